--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -41,7 +41,7 @@
     ),
     Break(
         "a scheduler that was told nothing does not choose by its model",
-        "starting/knowledge.py",
+        "starting/startup_phase.py",
         "return has_model",
         "return True",
         "tests.starting",
@@ -217,7 +217,7 @@
     ),
     Break(
         "gateway: a prompt is unread until its first event",
-        "placement/unread_prompts.py",
+        "placement/prefill_queue.py",
         "return min(float(tokens), max(0.0, now - self._since) * read_rate)",
         "return max(0.0, now - self._since) * read_rate",
         "tests.placement.test_upstream_load",
@@ -498,14 +498,14 @@
     ),
     Break(
         "tiers: the more urgent overtake what waits to be read",
-        "placement/unread_prompts.py",
+        "placement/prefill_queue.py",
         "if other <= tier)",
         "if other >= 0)",
         "tests.placement.test_unread_prompts",
     ),
     Break(
         "the usual pause is never 0",
-        "placement/quiet_pause.py",
+        "placement/baseline_pause.py",
         "seconds = max(_LEAST_SECONDS, seconds)",
         "pass",
         "tests.placement.test_pauses",
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -59,7 +59,7 @@
 from lotushill.scheduling.line_keeper import LineKeeper
 from lotushill.scheduling.placer import Placer
 from lotushill.scheduling.shared_load import SharedLoad
-from lotushill.starting.knowledge import Start
+from lotushill.starting.startup_phase import StartupPhase
 from lotushill.waiting.line import WaitingLine
 from lotushill.waiting.turns import Rivals
 
@@ -129,7 +129,7 @@
             self.peers.send_message,
             clocks.now,
         )
-        self._start_of_life = Start(SMALL_FLEET, clocks.now())
+        self._start_of_life = StartupPhase(SMALL_FLEET, clocks.now())
         self.rests = Rests()
         stated = StatedLimits()
         counting = CountingGateways(
@@ -311,7 +311,7 @@
             await anyio.sleep(_SWEEP_SECONDS)
             known = {upstream.id for upstream in self.views.upstreams.all()}
             self.pool.sweep(known)
-            self.fleet.forget(known, clocks.now())
+            self.fleet.evict_unused(known, clocks.now())
             self._tell_paces()
             self.rests.forget(known, clocks.now())
             self.limits.forget(known)
@@ -406,7 +406,7 @@
 
     def _tell_paces(self) -> None:
         for item in self.fleet.engine_paces.take_changes():
-            steps, reading = round(item.steps, 2), round(item.reading, 2)
+            steps, reading = round(item.step_slowness, 2), round(item.read_slowness, 2)
             self.log.note("upstream.pace", upstream=item.upstream, steps=steps, reading=reading)
 
     def _on_tick(self) -> None:
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -181,7 +181,7 @@
     gauge(
         "upstreams_uneven",
         "Upstreams that are slower or faster than their like for good, as far as is known here",
-        lambda: len(gateway.fleet.engine_paces.lasting()),
+        lambda: len(gateway.fleet.engine_paces.deviating_paces()),
     )
     gauge("connections_opened", "Connections to upstreams", lambda: gateway.pool.opened)
     gauge("task_faults", "Faults beside the request path", lambda: gateway.side_tasks.faults)
@@ -210,8 +210,8 @@
             "resting": sorted(gateway.rests.barred(clocks.now())),
             "limited": gateway.limits.stated.limited(),
             "paces": {
-                item.upstream: [round(item.steps, 2), round(item.reading, 2)]
-                for item in gateway.fleet.engine_paces.lasting()
+                item.upstream: [round(item.step_slowness, 2), round(item.read_slowness, 2)]
+                for item in gateway.fleet.engine_paces.deviating_paces()
             },
         },
         "over_share": _over_share(gateway),
--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -37,18 +37,18 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.fleet import Fleet
-from lotushill.placement.kept_parts import chained
-from lotushill.placement.learning import PACED_EVENTS
+from lotushill.placement.learning import PACE_SAMPLE_PAUSES
 from lotushill.placement.messages import Began
 from lotushill.placement.messages import Ended
 from lotushill.placement.messages import Outcome
 from lotushill.placement.messages import Paced
-from lotushill.placement.placed import placed
+from lotushill.placement.placed_message import placed_message
+from lotushill.placement.prefix_cache_model import chain_parts
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
 from lotushill.routing.upstream import Upstream
-from lotushill.starting.draw import Seen
-from lotushill.starting.draw import draw
+from lotushill.starting.draw import UpstreamCredit
+from lotushill.starting.draw import draw_upstream
 from lotushill.waiting.entry import Held
 from lotushill.waiting.entry import Waiting
 from lotushill.waiting.line import WaitingLine
@@ -339,8 +339,8 @@
         self, fleet: Fleet, known: list[Upstream], excluded: frozenset[str]
     ) -> list[Upstream]:
         loads = [(item, fleet.load(item.id)) for item in known if item.id not in excluded]
-        seen = [Seen(item, load.unanswered, load.answered) for item, load in loads]
-        return draw(seen, self._rng)
+        seen = [UpstreamCredit(item, load.unanswered, load.answered) for item, load in loads]
+        return draw_upstream(seen, self._rng)
 
     def _admit(self, client: Client, choice: Choice) -> None:
         """Ask for a permit where the engine has a limit, and send with one."""
@@ -411,11 +411,11 @@
         client.sent_at = self.now
         self._rests[client.scheduler].note_sent(choice.upstream.id, self.now)
         self._clients[number] = client
-        told = placed(number, client.need, choice, True)
-        self.fleets[client.scheduler].note_taken(client.need, self.now)
+        told = placed_message(number, client.need, choice, True)
+        self.fleets[client.scheduler].note_choice_used(client.need, self.now)
         mine = self.fleets[client.scheduler]
         mine.start(told, self.service, self.now)
-        mine.pace("llm").note_reading(told.reading)
+        mine.pace("llm").note_prefill(told.prefill_tokens)
         for fleet in self.fleets if self._hears() else ():
             if fleet is not mine:
                 start = functools.partial(fleet.start, told, self.service)
@@ -438,7 +438,7 @@
         if client.over or client.number != number:
             return
         engine = self.engines[client.engine]
-        chain = tuple(chained(client.need.parts))
+        chain = tuple(chain_parts(client.need.parts))
         run = Run(
             number, client.need.tier, client.need.prompt_tokens, client.output,
             client.need.prompt_tokens, chain,
@@ -458,8 +458,8 @@
             lambda: self._rests[client.scheduler].note_taken(name, self.now),
         )
         client.run = run
-        if client.need.patience < client.kind.deadline:
-            patient_until = client.waited_since + client.need.patience
+        if client.need.first_event_timeout < client.kind.deadline:
+            patient_until = client.waited_since + client.need.first_event_timeout
             self._at(patient_until, lambda: self._impatient(client, run))
         self._wake(client.engine)
 
@@ -539,7 +539,7 @@
             client.began_at = at
             began = Began(run.number, at - client.sent_at)
             self._at(at, lambda: self._tell_all(client, lambda fleet, now: fleet.begin(began, now)))
-        elif len(run.events) == PACED_EVENTS + 1:
+        elif len(run.events) == PACE_SAMPLE_PAUSES + 1:
             pauses = sorted(b - a for a, b in itertools.pairwise(run.events))
             paced = Paced(run.number, pauses[2])
             self._at(
@@ -552,12 +552,12 @@
             return
         fleet = self.fleets[client.scheduler]
         load, pace = fleet.load(self.upstreams[client.engine].id), fleet.pace("llm")
-        due = load.unread.all(pace.read_rate, self.now) / pace.read_rate
+        due = load.prefill_queue.remaining_tokens(pace.read_rate, self.now) / pace.read_rate
         if pause > 0.0:
             slowness = load.pace.step_slowness(self.now)
             ratio = pace.pauses.note(pause, client.due, len(load.running), slowness)
             if ratio is not None and not due:
-                load.pace.note_step(ratio, self.now)
+                load.pace.note_pause_ratio(ratio, self.now)
         client.due = due
 
     def _on_end(self, run: Run, at: float) -> None:
--- a/src/lotushill/moves/move_plan.py
+++ b/src/lotushill/moves/move_plan.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from lotushill.placement.backup import COPY_LOSS_PER_TOKEN
-from lotushill.placement.pauses import missed
+from lotushill.placement.pauses import exceed_probability
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -136,7 +136,7 @@
     """Return what the move itself costs: the memory, and a pause that may be too long."""
     price = _WAY_LOSS + COPY_LOSS_PER_TOKEN * run.tokens
     if run.gap > 0.0 and not run.stalled:
-        price += _GAP_LOSS * missed(run.usual_pause + copying, run.gap)
+        price += _GAP_LOSS * exceed_probability(run.usual_pause + copying, run.gap)
     return price
 
 
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -72,7 +72,7 @@
     from lotushill.links.codec import Message
     from lotushill.links.datagram import Datagram
     from lotushill.membership.membership import Outgoing
-    from lotushill.placement.engine_pace import LastingPace
+    from lotushill.placement.engine_pace import LongTermPace
     from lotushill.placement.messages import Load
     from lotushill.process.settings import GatewaySettings
 
@@ -96,9 +96,9 @@
     on_load: Callable[[Load], None]
     everything: Callable[[], list[Load]]
     """All that is held to run."""
-    paces: Callable[[], list[LastingPace]]
+    paces: Callable[[], list[LongTermPace]]
     """What is known of the pace of upstreams."""
-    on_paces: Callable[[list[LastingPace]], None]
+    on_paces: Callable[[list[LongTermPace]], None]
     """Hears what another scheduler knows of it."""
     on_gone: Callable[[str], None]
     """Hears of a gateway that left or was lost."""
--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -64,7 +64,7 @@
         self.last_at = 0.0
         self._pauses = AttemptPauses(parts, request, choice.upstream, news)
         engine = request.service.engine
-        self._movable = engine is not None and engine.moves
+        self._movable = engine is not None and engine.can_move_memory
         """Whether runs of its service can be moved."""
         self._moving: MovingRun | None = None
         """The run once its first event has come, where it can be moved."""
@@ -147,13 +147,13 @@
             return AttemptEnd(EndKind.BROKEN, "content-encoding")
         if self._request.route.kind is not RouteKind.STREAM:
             return await self._pass_whole(connection, head)
-        if self._has_a_way_on() or self._choice.continues or self._movable:
+        if self._has_a_way_on() or self._choice.resumes_from_copy or self._movable:
             return await self._pass_events(connection, head)
         return await self._pass_stream(connection, head)
 
     async def _read_head(self, connection: UpstreamConnection) -> AnswerHead:
         """Return the head; a repeatable request does not wait for a silent upstream."""
-        patience = max(_SILENCE_SECONDS, _SILENCE_PREDICTED * self._choice.first)
+        patience = max(_SILENCE_SECONDS, _SILENCE_PREDICTED * self._choice.first_event_seconds)
         try:
             async with asyncio.timeout(patience):
                 return await connection.read_head()
@@ -199,7 +199,7 @@
             return self._first_patience()
         gap = self._request.route.target_gap
         if not self._movable:
-            given_up = self._has_a_way_on() or self._choice.continues
+            given_up = self._has_a_way_on() or self._choice.resumes_from_copy
             return latest(gap) if given_up else None
         if not self._has_a_way_on():
             return None
@@ -264,7 +264,9 @@
     def _note_first(self, now: float) -> None:
         taken = now - self.sent_at
         self._news.began(taken)
-        self._parts.metrics.note_first(self._request.service.name, taken, self._choice.first)
+        self._parts.metrics.note_first(
+            self._request.service.name, taken, self._choice.first_event_seconds
+        )
 
 
 def _came_back(choice: Choice) -> bool:
--- a/src/lotushill/requests/attempt_news.py
+++ b/src/lotushill/requests/attempt_news.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.placement.learning import PACED_EVENTS
+from lotushill.placement.learning import PACE_SAMPLE_PAUSES
 from lotushill.placement.messages import Outcome
 from lotushill.requests.attempt_end import EndKind
 
@@ -45,10 +45,10 @@
 
     def paused(self, seconds: float) -> None:
         """Take in a pause between two events; the first ones tell the pace of the upstream."""
-        if len(self._pauses) == PACED_EVENTS:
+        if len(self._pauses) == PACE_SAMPLE_PAUSES:
             return
         self._pauses.append(seconds)
-        if len(self._pauses) == PACED_EVENTS:
+        if len(self._pauses) == PACE_SAMPLE_PAUSES:
             self._shared_load.note_paced(self._request, sorted(self._pauses)[_PACE_RANK])
 
     def silent(self) -> None:
--- a/src/lotushill/requests/attempt_pauses.py
+++ b/src/lotushill/requests/attempt_pauses.py
@@ -47,10 +47,10 @@
         slowness = load.pace.step_slowness(now)
         ratio = pauses.note(now - self._last_at, self._waiting, len(load.running), slowness)
         if ratio is not None and not due:
-            load.pace.note_step(ratio, now)
+            load.pace.note_pause_ratio(ratio, now)
 
     def _due_reading(self, now: float) -> float:
         """Return the seconds of reading that are due at the upstream."""
         load = self._parts.fleet.load(self._upstream.id)
         rate = self._parts.fleet.pace(self._service).read_rate
-        return load.unread.all(rate, now) / rate
+        return load.prefill_queue.remaining_tokens(rate, now) / rate
--- a/src/lotushill/requests/continuation.py
+++ b/src/lotushill/requests/continuation.py
@@ -123,7 +123,7 @@
 
     def _choice(self, upstream: Upstream) -> Choice:
         seconds = self._parts.fleet.pace(self._request.service.name).stream_seconds
-        return Choice(upstream, 0.0, _CONTINUE_SECONDS, 0, 0, seconds, continues=True)
+        return Choice(upstream, 0.0, _CONTINUE_SECONDS, 0, 0, seconds, resumes_from_copy=True)
 
     def _spend(self) -> bool:
         return self._parts.budgets.spend(self._request.service.name, self._clock())
--- a/src/lotushill/requests/front.py
+++ b/src/lotushill/requests/front.py
@@ -23,9 +23,9 @@
 from lotushill.requests.exchange import Exchange
 from lotushill.routing.route import RouteKind
 from lotushill.scheduling.request import Request
-from lotushill.starting.patience import MOST_WAITING
-from lotushill.starting.patience import ready_retry
-from lotushill.starting.patience import ready_wait
+from lotushill.starting.ready_wait import MAX_WAITING_REQUESTS
+from lotushill.starting.ready_wait import ready_retry_after_seconds
+from lotushill.starting.ready_wait import ready_wait_seconds
 
 if TYPE_CHECKING:
     from lotushill.links.asgi import Receive
@@ -204,8 +204,8 @@
 
     async def _await_ready(self, demand: Demand, arrived: float) -> None:
         """Wait for what is missing since the start, as long as that can still help the client."""
-        ends = arrived + ready_wait(demand.time_left or 0.0)
-        if self._is_ready() or self.waiting >= MOST_WAITING:
+        ends = arrived + ready_wait_seconds(demand.time_left or 0.0)
+        if self._is_ready() or self.waiting >= MAX_WAITING_REQUESTS:
             return
         self.waiting += 1
         try:
@@ -215,11 +215,11 @@
             self.waiting -= 1
 
     def _retry_seconds(self) -> float:
-        return ready_retry(self._parts.rng.random())
+        return ready_retry_after_seconds(self._parts.rng.random())
 
     def _route(self, table: RoutingTable, demand: Demand, scope: Scope) -> Route:
         path = scope[TARGET].partition(b"?")[0].decode("latin-1")
-        route = table.find(demand.host, path)
+        route = table.find_route(demand.host, path)
         if route is None:
             raise self._unknown(404)
         return route
@@ -254,7 +254,7 @@
         service=service,
         route=route.name,
         target=route.target,
-        gap=route.target_gap,
+        target_gap=route.target_gap,
         time_left=limit,
         stream=route.kind is RouteKind.STREAM,
         prompt_tokens=demand.prompt_tokens,
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -174,7 +174,7 @@
         if engine is None or not run.may_move(now):
             return None
         service = run.request.service.name
-        patience = self.stalls.after(service, run.request.need.gap)
+        patience = self.stalls.after(service, run.request.need.target_gap)
         stalled = now >= self._sound_at and run.stands_still(now, patience)
         usual = self.stalls.usual_pause(service)
         move = plan_move(run.state(now, usual, leaves_in, stalled), engine)
@@ -266,7 +266,7 @@
 
     def _fits(self, request: Request, choice: Choice) -> bool:
         engine = request.service.engine
-        room = engine is not None and choice.running < engine.slots and not choice.full
+        room = engine is not None and choice.running < engine.slots and not choice.is_full
         return room and self._ward.admits(request, choice)
 
     def _note(self, run: MovingRun, move: Move, why: str, began: float) -> None:
--- a/src/lotushill/requests/moving_run.py
+++ b/src/lotushill/requests/moving_run.py
@@ -114,7 +114,7 @@
             pause=pause,
             usual_pause=pause if usual_pause is None else usual_pause,
             time_left=request.ends - now,
-            gap=request.need.gap,
+            gap=request.need.target_gap,
             repeatable=request.route.repeatable,
             copied=self._copied,
             leaves_in=leaves_in,
--- a/src/lotushill/scheduling/desk.py
+++ b/src/lotushill/scheduling/desk.py
@@ -12,7 +12,7 @@
 from lotushill.placement.choice import Choice
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.need import Need
-from lotushill.placement.placed import placed
+from lotushill.placement.placed_message import placed_message
 from lotushill.routing.demand import PromptPart
 from lotushill.waiting.entry import Held
 from lotushill.waiting.entry import Waiting
@@ -115,15 +115,17 @@
         """Return the answer, with a request that goes somewhere counted in."""
         if isinstance(found, NoChoice):
             return self._refused(ask, found)
-        self._fleet.note_taken(need, now)
+        self._fleet.note_choice_used(need, now)
         upstreams = self._upstreams_of(service.name)
         if ask.copied:
             targets = [item for item in upstreams if self._limits.rate(item.id) == NO_LIMIT]
             backup = self._fleet.backup(need, service, found, targets, now)
             found = replace(found, backup=backup)
-        memory = self._fleet.load(found.upstream.id).memory
+        memory = self._fleet.load(found.upstream.id).reserved_tokens
         engine = service.engine is not None
-        self._shared_load.start_for(ask.sender, placed(ask.request, need, found, engine), service)
+        self._shared_load.start_for(
+            ask.sender, placed_message(ask.request, need, found, engine), service
+        )
         return self._chosen(ask, found, memory)
 
     def _refused(self, ask: PlacementAsk, found: NoChoice) -> PlacementAnswer:
@@ -132,8 +134,8 @@
             ask.request,
             refusal=found.refusal.value,
             retry_after=found.retry_after,
-            wait=found.wait,
-            first=found.first,
+            wait=found.wait_seconds,
+            first=found.first_event_seconds,
             usual_prompt=found.usual_prompt,
             longest_prompt=found.longest_prompt,
             standing=found.standing,
@@ -147,13 +149,13 @@
             ask.request,
             upstream=choice.upstream.id,
             cost=choice.cost,
-            first=choice.first,
-            seconds=choice.seconds,
-            wait=choice.wait,
-            harm=choice.harm,
-            reading=choice.reading,
-            ahead=choice.ahead,
-            again=choice.again,
+            first=choice.first_event_seconds,
+            seconds=choice.answer_seconds,
+            wait=choice.wait_seconds,
+            harm=choice.interference_cost,
+            reading=choice.prefill_tokens,
+            ahead=choice.total_prefill_tokens,
+            again=choice.reread_tokens,
             running=choice.running,
             memory=memory,
             fetch_from=fetch.source.id if fetch else "",
@@ -169,7 +171,7 @@
         service=ask.service,
         route=ask.route,
         target=ask.target,
-        gap=ask.gap,
+        target_gap=ask.gap,
         time_left=ask.time_left,
         stream=ask.stream,
         prompt_tokens=ask.prompt_tokens,
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -16,12 +16,12 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.fetch import Fetch
-from lotushill.placement.fleet import NO_UPSTREAM_RETRY
-from lotushill.placement.placed import placed
+from lotushill.placement.fleet import NO_UPSTREAM_RETRY_AFTER_SECONDS
+from lotushill.placement.placed_message import placed_message
 from lotushill.routing.route import RouteKind
 from lotushill.scheduling.placement import Placement
-from lotushill.starting.draw import Seen
-from lotushill.starting.draw import draw
+from lotushill.starting.draw import UpstreamCredit
+from lotushill.starting.draw import draw_upstream
 from lotushill.waiting.entry import Held
 from lotushill.waiting.entry import Waiting
 
@@ -124,7 +124,7 @@
                 return self._by_own_model(request, excluded, candidates)
             found = await self._in_line(self._keeper, request, excluded, candidates)
             if found is not None or self._client is None:
-                return found or NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY)
+                return found or NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
         return await self._by_scheduler(self._client, request, excluded, again, waits)
 
     async def _by_scheduler(
@@ -159,7 +159,7 @@
         known = [item.id for item in self._upstreams.of(request.service.name)]
         closed = [name for name in known if name in barred]
         if not closed:
-            return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY)
+            return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
         now, route = self._clock(), request.need.route
         limited = self._barred.any_limited(closed, route, now)
         refusal = Refusal.LIMITED if limited else Refusal.RESTING
@@ -242,12 +242,12 @@
         self, request: Request, found: Choice, candidates: list[Upstream]
     ) -> Placement:
         now, service = self._clock(), request.service
-        self._fleet.note_taken(request.need, now)
+        self._fleet.note_choice_used(request.need, now)
         if _may_be_copied(request):
             targets = [item for item in candidates if self._limits.rate(item.id) == NO_LIMIT]
             backup = self._fleet.backup(request.need, service, found, targets, now)
             found = replace(found, backup=backup)
-        memory = self._fleet.load(found.upstream.id).memory
+        memory = self._fleet.load(found.upstream.id).reserved_tokens
         return Placement(found, self._placed(self.number(), request, found), memory)
 
     def _drawn(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
@@ -258,9 +258,13 @@
             for item in self._upstreams.of(request.service.name)
             if item.id not in excluded
         }
-        reachable = {item: load for item, load in loads.items() if not load.away(now)} or loads
-        seen = [Seen(item, load.unanswered, load.answered) for item, load in reachable.items()]
-        found = self._by_own_model(request, excluded, draw(seen, self._rng))
+        reachable = {
+            item: load for item, load in loads.items() if not load.is_unreachable(now)
+        } or loads
+        seen = [
+            UpstreamCredit(item, load.unanswered, load.answered) for item, load in reachable.items()
+        ]
+        found = self._by_own_model(request, excluded, draw_upstream(seen, self._rng))
         return replace(found, drawn=True) if isinstance(found, Placement) else found
 
     def _alone(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
@@ -275,7 +279,7 @@
         return self._rng.sample(fit, min(count, len(fit)))
 
     def _placed(self, number: int, request: Request, choice: Choice) -> Placed:
-        return placed(number, request.need, choice, request.service.engine is not None)
+        return placed_message(number, request.need, choice, request.service.engine is not None)
 
     def continued(self, request: Request, choice: Choice) -> Placement:
         """Return the placement of a run that goes on at an upstream that is known."""
@@ -293,7 +297,7 @@
             service=need.service,
             route=need.route,
             target=need.target,
-            gap=need.gap,
+            gap=need.target_gap,
             time_left=max(0.0, request.ends - self._clock()),
             stream=need.stream,
             copied=_may_be_copied(request),
@@ -317,7 +321,7 @@
         return [
             item.id
             for item in self._upstreams.of(request.service.name)
-            if item.id not in excluded and self._fleet.load(item.id).away(now)
+            if item.id not in excluded and self._fleet.load(item.id).is_unreachable(now)
         ]
 
     def _from_answer(self, request: Request, answer: PlacementAnswer) -> Placement | None:
@@ -331,9 +335,9 @@
             answer.reading,
             answer.ahead,
             answer.seconds,
-            wait=answer.wait,
-            harm=answer.harm,
-            again=answer.again,
+            wait_seconds=answer.wait,
+            interference_cost=answer.harm,
+            reread_tokens=answer.again,
             running=answer.running,
             returned=answer.returned,
             fetch=self._fetch(answer),
--- a/src/lotushill/scheduling/shared_load.py
+++ b/src/lotushill/scheduling/shared_load.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    from lotushill.placement.engine_pace import LastingPace
+    from lotushill.placement.engine_pace import LongTermPace
     from lotushill.placement.fleet import Fleet
     from lotushill.placement.messages import Placed
     from lotushill.routing.service import Service
@@ -79,7 +79,7 @@
         now = self._clock()
         self._own[placed.request] = (placed, now)
         self._fleet.start(placed, service, now)
-        self._fleet.pace(service.name).note_reading(placed.reading)
+        self._fleet.pace(service.name).note_prefill(placed.prefill_tokens)
         if not told:
             self._tell(Load(self._name, False, placed=(placed,)))
 
@@ -129,21 +129,21 @@
             running = [
                 (placed, since)
                 for request, since in held.items()
-                if (placed := self._fleet.find(request)) is not None
+                if (placed := self._fleet.running_request(request)) is not None
             ]
             loads.append(_started(sender, running, now))
         return [load for load in loads if load.placed]
 
-    def paces(self) -> list[LastingPace]:
+    def paces(self) -> list[LongTermPace]:
         """Return what is known of the pace of upstreams, for the same."""
-        return self._fleet.engine_paces.known()
+        return self._fleet.engine_paces.known_paces()
 
-    def take_paces(self, paces: Sequence[LastingPace]) -> None:
+    def take_paces(self, paces: Sequence[LongTermPace]) -> None:
         """Take in what another scheduler has found of upstreams of which nothing is known here."""
         for told in paces:
             service = self._service_of(told.upstream)
             if service is not None:
-                self._fleet.presume_pace(told, service.name)
+                self._fleet.adopt_reported_pace(told, service.name)
 
     def whole(self) -> list[Load]:
         """Return what repairs whatever others have missed: all that this gateway runs.
@@ -223,7 +223,7 @@
         self._ends_by[placed.request] = now + 2 * placed.seconds + _SILENT_SECONDS
         self._fleet.start(placed, service, now)
         if not placed.age:
-            self._fleet.pace(service.name).note_reading(placed.reading)
+            self._fleet.pace(service.name).note_prefill(placed.prefill_tokens)
 
     def _count_out(self, ended: Ended, held: dict[int, float], near: bool = True) -> None:
         held.pop(ended.request, None)
--- a/src/lotushill/shares/work.py
+++ b/src/lotushill/shares/work.py
@@ -30,7 +30,7 @@
         """0 is the most urgent."""
 
     @property
-    def reading(self) -> int:
+    def prefill_tokens(self) -> int:
         """Prompt tokens that have to be read."""
 
     @property
@@ -58,4 +58,4 @@
     if service.engine is None:
         return max(_LEAST_WORK, placed.seconds)
     made = max(0, placed.memory - placed.prompt)
-    return max(_LEAST_WORK, placed.reading + _OUTPUT_WORTH * made)
+    return max(_LEAST_WORK, placed.prefill_tokens + _OUTPUT_WORTH * made)
--- a/src/lotushill/waiting/entry.py
+++ b/src/lotushill/waiting/entry.py
@@ -41,7 +41,7 @@
     @cached_property
     def patience_ends(self) -> float:
         """Return when its client gives up without a sign of an answer."""
-        patience = replace(self.need, time_left=math.inf).patience
+        patience = replace(self.need, time_left=math.inf).first_event_timeout
         return self.since + min(patience, self.need.waited + self.need.time_left)
 
     @property
--- a/src/lotushill/waiting/line.py
+++ b/src/lotushill/waiting/line.py
@@ -97,7 +97,7 @@
             return self._fleet.choose(need, service, upstreams, entry.excluded, now)
         if self.room.find(entry.key) is not None:
             return self._renew(entry, now)
-        early = self._fleet.shedding.early(entry.need_at(now), now)
+        early = self._fleet.shedding.refuse_early(entry.need_at(now), now)
         if early is not None:
             return early
         found = self._look(entry, service, upstreams, now, new=True)
@@ -128,7 +128,7 @@
         if self._fleet.shedding.is_long(need) or self._stands_behind(entry, now):
             return None
         found = self._fleet.choose(need, service, upstreams, entry.excluded, now)
-        if isinstance(found, Choice) and found.first <= need.target - need.waited:
+        if isinstance(found, Choice) and found.first_event_seconds <= need.target - need.waited:
             return found
         return None
 
@@ -165,8 +165,8 @@
     def _give_up(self, entry: Waiting, found: NoChoice, now: float) -> NoChoice:
         """Return the final answer of one that waits no longer, or not at all."""
         self.room.drop(entry.key)
-        wait = max(found.wait, self._likely_wait(entry, now))
-        refused = self._fleet.shedding.give_up(entry.need_at(now), found.refusal, wait, now)
+        wait = max(found.wait_seconds, self._likely_wait(entry, now))
+        refused = self._fleet.shedding.refuse_finally(entry.need_at(now), found.refusal, wait, now)
         return replace(refused, standing=found.standing)
 
     # What waits
@@ -212,7 +212,7 @@
         Those that wait are ready at each moment, and fill what is left up to the reserve, where
         newcomers leave some of it to chance. What they take is gone for as long as they run.
         """
-        if service.engine is None or choice.seconds < _LONG_RUN_SECONDS:
+        if service.engine is None or choice.answer_seconds < _LONG_RUN_SECONDS:
             return False
         if not self._fleet.shedding.is_long(entry.need):
             return False
@@ -253,10 +253,10 @@
             # Of a team over its share nobody goes before newcomers of others.
             newcomer=standing > 0.0 or not self._returns.is_due(need.caller, now),
             standing=standing,
-            since=entry.since,
+            arrived_at=entry.since,
         )
         late = now >= self._time.in_time_until(entry) and not self._is_pressed(entry, now)
-        return (place.tier, late, place.newcomer, place.standing, place.since)
+        return (place.tier, late, place.newcomer, place.standing, place.arrived_at)
 
     def _standing(self, entry: Waiting, now: float) -> float:
         """Return what the team of a request has had, worked out once for a moment."""
--- a/src/lotushill/waiting/open_engines.py
+++ b/src/lotushill/waiting/open_engines.py
@@ -57,6 +57,6 @@
 
 def _free(load: UpstreamLoad, tier: int, slots: int) -> int:
     """Return how many slots of an engine are free for a tier, or will be within moments."""
-    usual = load.usual_seconds
+    usual = load.mean_expected_seconds
     soon = math.floor(slots * _SOON_SECONDS / usual) if usual > 0.0 else 0
-    return slots + soon - load.before(tier)
+    return slots + soon - load.count_before(tier)
--- a/src/lotushill/waiting/time_left.py
+++ b/src/lotushill/waiting/time_left.py
@@ -50,7 +50,7 @@
 
     def comes_too_late(self, entry: Waiting, choice: Choice, now: float) -> bool:
         """Return whether a slot that is free now is worth more to one that came later."""
-        first = now + choice.first
+        first = now + choice.first_event_seconds
         if first > entry.patience_ends:
             return True
         late = first > entry.since + entry.need.target
--- a/tests/requests/test_tiers.py
+++ b/tests/requests/test_tiers.py
@@ -35,7 +35,7 @@
 from lotushill.placement.fleet import Fleet
 from lotushill.placement.messages import route_number
 from lotushill.placement.need import Need
-from lotushill.placement.recent_starts import SPAN_SECONDS
+from lotushill.placement.recent_starts import RECENT_STARTS_SECONDS
 from lotushill.routing.demand import PromptPart
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
@@ -178,7 +178,7 @@
             larger = [
                 item
                 for at, item in began
-                if now - SPAN_SECONDS <= at <= now - NEWS_SECONDS
+                if now - RECENT_STARTS_SECONDS <= at <= now - NEWS_SECONDS
                 and item.tier > need.tier
                 and item.prompt_tokens > 2 * need.prompt_tokens
             ]
--- a/tests/scheduling/test_lives.py
+++ b/tests/scheduling/test_lives.py
@@ -63,7 +63,7 @@
         self.hear(late)
         self.hear(Load("gw-2", False, ended=(Ended(1, Outcome.CUT, 1.0),)))
         new = self.fleet.load("i-1@2")
-        self.assertEqual(({}, 0), (new.running, new.memory))
+        self.assertEqual(({}, 0), (new.running, new.reserved_tokens))
         self.assertEqual(Fleet("z").load("x").failures.rate(10.0), new.failures.rate(10.0))
 
     @given(st.integers(0, 10**6), st.integers(2, 30))
--- a/tests/scheduling/test_shared_load.py
+++ b/tests/scheduling/test_shared_load.py
@@ -86,7 +86,8 @@
         self.receive_whole()
         self.assertEqual(self.one.running(), self.other.running())
         unread = [
-            node.fleet.load("b").unread.all(0.0, self.clock[0]) for node in (self.one, self.other)
+            node.fleet.load("b").prefill_queue.remaining_tokens(0.0, self.clock[0])
+            for node in (self.one, self.other)
         ]
         self.assertEqual(unread[0], unread[1])
 
--- a/tests/scheduling/test_waiting_desk.py
+++ b/tests/scheduling/test_waiting_desk.py
@@ -51,7 +51,7 @@
 def ask(number: int, waited: float = 0.0) -> PlacementAsk:
     need = chat()
     return PlacementAsk(
-        "gw", number, "llm", "chat", need.target, need.gap, need.time_left - waited, True, False,
+        "gw", number, "llm", "chat", need.target, need.target_gap, need.time_left - waited, True, False,
         False, need.prompt_tokens, need.output_tokens, (7,), (need.prompt_tokens,), 0, (),
         waited=waited, waits=True,
     )  # fmt: skip
@@ -107,7 +107,7 @@
         self.scheduler.look()
         answer, name = self.scheduler.sent[0]
         self.assertEqual((1, "e0", "gw"), (answer.request, answer.upstream, name))
-        self.assertTrue(self.scheduler.fleet.knows(1), "it is counted in")
+        self.assertTrue(self.scheduler.fleet.is_running(1), "it is counted in")
 
     def test_a_gateway_that_cannot_wait_is_answered_as_before(self) -> None:
         answer = self.scheduler.answer(replace(ask(1), waits=False))
@@ -230,7 +230,7 @@
 
     async def test_it_is_refused_when_its_client_would_leave(self) -> None:
         task = await self.start()
-        self.scheduler.look(chat().patience + 0.1)
+        self.scheduler.look(chat().first_event_timeout + 0.1)
         found = await task
         assert isinstance(found, NoChoice)
         self.assertTrue(found.final)
--- a/tests/scheduling/virtual_fleet.py
+++ b/tests/scheduling/virtual_fleet.py
@@ -142,7 +142,7 @@
         engine.sent.append(self.now)
         news = SharedLoad(sender, Fleet(scheduler.hall), lambda: self.now, lambda _: SERVICE,
                           lambda load: self._tell(scheduler, load))  # fmt: skip
-        placed = scheduler.fleet.find(number)
+        placed = scheduler.fleet.running_request(number)
         assert placed is not None
         news.start(placed, SERVICE, told=True)
         if engine.silent:
--- a/tests/shares/test_shares.py
+++ b/tests/shares/test_shares.py
@@ -19,7 +19,7 @@
 class Sent:
     request: int
     team: int
-    reading: int = 1000
+    prefill_tokens: int = 1000
     prompt: int = 5000
     memory: int = 5100
     tier: int = 0
--- a/tests/waiting/entries.py
+++ b/tests/waiting/entries.py
@@ -46,7 +46,7 @@
 def placed(number: int, upstream: str, need: Need, seconds: float = 2.0) -> Placed:
     """Return news of a request that runs."""
     return Placed(
-        number, upstream, 0, need.prompt_tokens, need.gap, seconds, 0.0,
+        number, upstream, 0, need.prompt_tokens, need.target_gap, seconds, 0.0,
         began=True, route=route_number(need.route), tier=need.tier, prompt=need.prompt_tokens,
     )  # fmt: skip
 
--- a/tests/waiting/test_line.py
+++ b/tests/waiting/test_line.py
@@ -154,7 +154,7 @@
         entry = waiting(1, chat())
         self.place(entry)
         self.assertEqual([], self.due(START + 1.0))
-        self.assertEqual([(1, False)], self.due(START + entry.need.patience))
+        self.assertEqual([(1, False)], self.due(START + entry.need.first_event_timeout))
 
     def test_a_refusal_after_a_wait_is_final(self) -> None:
         self.place(waiting(1, letter()))
