--- a/src/lotushill/availability/patience.py
+++ b/src/lotushill/availability/patience.py
@@ -9,7 +9,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.returns.promise import KEPT_SECONDS
+from lotushill.returns.promise import GRACE_SECONDS
 
 if TYPE_CHECKING:
     from lotushill.placement.need import Need
@@ -46,5 +46,5 @@
     waits, while its place is kept. Longer, those that are late already would take the room of many
     that are not.
     """
-    longest = min(KEPT_SECONDS, RETURN_SHARE * need.target)
+    longest = min(GRACE_SECONDS, RETURN_SHARE * need.target)
     return _RETURN_POLL_SECONDS if waited + _RETURN_POLL_SECONDS <= longest else None
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -55,13 +55,13 @@
 from lotushill.requests.upstream_pool import UpstreamPool
 from lotushill.requests.ward import Ward
 from lotushill.routing.limits import ClientLimits
-from lotushill.scheduling.desk import PlacementDesk
-from lotushill.scheduling.line_keeper import LineKeeper
+from lotushill.scheduling.placement_responder import PlacementResponder
 from lotushill.scheduling.placer import Placer
+from lotushill.scheduling.queue_runner import QueueRunner
 from lotushill.scheduling.shared_load import SharedLoad
 from lotushill.starting.startup_phase import StartupPhase
-from lotushill.waiting.line import WaitingLine
-from lotushill.waiting.turns import Rivals
+from lotushill.waiting.admission_queue import AdmissionQueue
+from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
     import asyncio
@@ -147,11 +147,11 @@
             clocks.now,
         )
         self.team_limits = TeamLimits(counting, self.limits.client, rng, clocks.now)
-        self.waiting = LineKeeper(
+        self.waiting = QueueRunner(
             settings.name,
-            WaitingLine(
+            AdmissionQueue(
                 self.fleet,
-                Rivals(settings.name),
+                RemoteQueues(settings.name),
                 self.fleet.shares,
                 self.fleet.shedding.returns,
             ),
@@ -161,13 +161,13 @@
             clocks.now,
             self.log,
         )
-        self.desk = PlacementDesk(
+        self.desk = PlacementResponder(
             settings.name,
             self.fleet,
             self.shared_load,
             self._service_named,
             self.views.upstreams.of,
-            self.peers.model_sync.ready,
+            self.peers.model_sync.is_ready,
             stated,
             self.waiting,
             self.peers.send_to,
@@ -317,11 +317,11 @@
             self.limits.forget(known)
             self.team_limits.forget()
             self.mover.forget(known)
-            self.waiting.line.engines.forget(known)
+            self.waiting.queue.engines.forget(known)
             self.shared_load.expire()
             self.views.expire()
             self.quarantine.keeper.look()
-            for load in self.shared_load.due_lists(self.peers.count()):
+            for load in self.shared_load.due_snapshots(self.peers.count()):
                 self.peers.tell_load(load)
 
     # Settings
@@ -378,10 +378,10 @@
             contact=self.views.contact,
             upstream_id=self.views.upstreams.id_of,
             on_load=lambda load: self.shared_load.receive(load),
-            everything=lambda: self.shared_load.everything(),
+            everything=lambda: self.shared_load.all_running(),
             on_gone=self._on_gone,
             paces=lambda: self.shared_load.paces(),
-            on_paces=lambda paces: self.shared_load.take_paces(paces),
+            on_paces=lambda paces: self.shared_load.merge_paces(paces),
             answer=lambda ask, now: self.desk.answer(ask, now),
             on_late=lambda request: self.shared_load.give_up(request),
             on_work_pull=self.duties.pages,
@@ -402,7 +402,7 @@
 
     def _on_gone(self, name: str) -> None:
         self.shared_load.drop_sender(name)
-        self.waiting.drop_asker(name)
+        self.waiting.drop_gateway(name)
 
     def _tell_paces(self) -> None:
         for item in self.fleet.engine_paces.take_changes():
@@ -422,7 +422,7 @@
         if not self._start_of_life.is_new(now):
             return True
         heard = len(self.peers.membership.live())
-        has_model = self.peers.model_sync.ready()
+        has_model = self.peers.model_sync.is_ready()
         return self._start_of_life.knows_fleet(heard, self.registration.listed, has_model, now)
 
     def _sharing(self) -> int:
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -28,7 +28,7 @@
     from lotushill.requests.mover import Mover
     from lotushill.requests.upstream_gate import UpstreamGate
     from lotushill.requests.upstream_pool import UpstreamPool
-    from lotushill.scheduling.line_keeper import LineKeeper
+    from lotushill.scheduling.queue_runner import QueueRunner
 
 
 class Reported(Protocol):
@@ -51,7 +51,7 @@
     quarantine: FleetQuarantine
     side_tasks: SideTasks
     front: Front
-    waiting: LineKeeper
+    waiting: QueueRunner
 
     def ready(self) -> bool:
         """Return whether clients may be sent here."""
@@ -70,13 +70,15 @@
         lambda: float(gateway.peers.schedulers.schedules()),
     )
     gauge("unanswered_asks", "Asks without an answer", lambda: gateway.peers.client.unanswered)
-    line = gateway.waiting.line
-    gauge("waiting", "Requests that wait here for room", lambda: len(line.room))
-    gauge("waiting_bytes", "Bytes of these, as reckoned", lambda: line.room.bytes)
+    line = gateway.waiting.queue
+    gauge("waiting", "Requests that wait here for room", lambda: len(line.requests))
+    gauge("waiting_bytes", "Bytes of these, as reckoned", lambda: line.requests.bytes)
     gauge("waiting_held", "Requests that had to wait here so far", lambda: line.held)
     gauge("waiting_placed", "Of these, placed so far", lambda: line.placed)
     gauge("waiting_given_up", "Of these, refused so far", lambda: line.given_up)
-    gauge("waiting_full", "Requests that found the waiting room full", lambda: line.room.overflows)
+    gauge(
+        "waiting_full", "Requests that found the waiting room full", lambda: line.requests.overflows
+    )
     gauge(
         "waiting_elsewhere",
         "Requests of this gateway that wait at schedulers",
@@ -166,7 +168,7 @@
     gauge(
         "teams_over_share",
         "Services and tiers with a team that others go before where there is too little room",
-        lambda: len(gateway.fleet.shares.ahead(clocks.now())),
+        lambda: len(gateway.fleet.shares.teams_over_share(clocks.now())),
     )
     gauge(
         "team_limit_held_back",
@@ -245,17 +247,17 @@
     names = {team_number(item.name): item.name for item in table.teams} if table else {}
     return [
         {**asdict(item), "team": names.get(item.team, str(item.team))}
-        for item in gateway.fleet.shares.ahead(clocks.now())
+        for item in gateway.fleet.shares.teams_over_share(clocks.now())
     ]
 
 
-def _waiting(keeper: LineKeeper) -> dict[str, object]:
-    room = keeper.line.room
+def _waiting(keeper: QueueRunner) -> dict[str, object]:
+    room = keeper.queue.requests
     return {
         "tiers": {name: room.tiers(name) for name in room.services()},
-        "held": keeper.line.held,
-        "placed": keeper.line.placed,
-        "given_up": keeper.line.given_up,
+        "held": keeper.queue.held,
+        "placed": keeper.queue.placed,
+        "given_up": keeper.queue.given_up,
         "found_full": room.overflows,
     }
 
--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -49,11 +49,11 @@
 from lotushill.routing.upstream import Upstream
 from lotushill.starting.draw import UpstreamCredit
 from lotushill.starting.draw import draw_upstream
-from lotushill.waiting.entry import Held
-from lotushill.waiting.entry import Waiting
-from lotushill.waiting.line import WaitingLine
-from lotushill.waiting.turns import NEWS_SECONDS as WAITING_NEWS_SECONDS
-from lotushill.waiting.turns import Rivals
+from lotushill.waiting.admission_queue import AdmissionQueue
+from lotushill.waiting.entry import Queued
+from lotushill.waiting.entry import QueueEntry
+from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS as WAITING_NEWS_SECONDS
+from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -156,7 +156,7 @@
         ]
         self._alive = list(range(scenario.schedulers))
         self.lines = [
-            WaitingLine(fleet, Rivals(str(n)), fleet.shares, fleet.shedding.returns)
+            AdmissionQueue(fleet, RemoteQueues(str(n)), fleet.shares, fleet.shedding.returns)
             for n, fleet in enumerate(self.fleets)
         ]
         self._in_line: dict[int, Client] = {}
@@ -255,7 +255,7 @@
         if isinstance(found, Choice):
             self._admit(client, found)
             return
-        if isinstance(found, Held):
+        if isinstance(found, Queued):
             self._wait_in_line(client, found)
             return
         pause = self._pause(client, found)
@@ -264,7 +264,7 @@
             return
         self._refuse(client, found)
 
-    def _wait_in_line(self, client: Client, held: Held) -> None:
+    def _wait_in_line(self, client: Client, held: Queued) -> None:
         """Have a request asked for again while it waits, as its gateway does."""
         self._in_line[client.key] = client
         scheduler, waiting_since = client.scheduler, client.waited_since
@@ -275,7 +275,7 @@
                 del self._in_line[client.key]
                 self._place(client)
 
-        self._at(self.now + held.renew, renew)
+        self._at(self.now + held.renew_seconds, renew)
         if not self._watched[scheduler]:
             self._watched[scheduler] = True
             self._at(self.now + _LOOK_SECONDS, lambda: self._look(scheduler))
@@ -291,25 +291,25 @@
                 self._admit(client, found)
             else:
                 self._refuse(client, found)
-        if len(line.room):
+        if len(line.requests):
             self._at(self.now + _LOOK_SECONDS, lambda: self._look(scheduler))
         else:
             self._watched[scheduler] = False
 
     def _tell_line(self, scheduler: int) -> None:
         """Tell the other schedulers how many wait, until none does."""
-        tiers = self.lines[scheduler].room.tiers("llm")
+        tiers = self.lines[scheduler].requests.tiers("llm")
 
         def hear() -> None:
             for number, line in enumerate(self.lines):
                 if number != scheduler:
-                    line.rivals.note(str(scheduler), "llm", tiers, self.now)
+                    line.remote_queues.set_counts(str(scheduler), "llm", tiers, self.now)
 
         self._at(self.now + _NEWS_SECONDS, hear)
         if self._watched[scheduler]:
             self._at(self.now + WAITING_NEWS_SECONDS, lambda: self._tell_line(scheduler))
 
-    def _choose(self, client: Client) -> Choice | NoChoice | Held:
+    def _choose(self, client: Client) -> Choice | NoChoice | Queued:
         rests, denials = self._rests[client.scheduler], self._denials[client.scheduler]
         barred = BarredUpstreams(rests, denials)
         known = [item for n, item in enumerate(self.upstreams) if self._listed[n]]
@@ -317,7 +317,7 @@
         closed = barred.names(route, self.now)
         open_ones = [item for item in known if item.id not in closed | client.excluded]
         if closed and not open_ones:
-            self.lines[client.scheduler].room.drop(client.key)
+            self.lines[client.scheduler].requests.drop(client.key)
             limited = barred.any_limited(closed, route, self.now)
             refusal = Refusal.LIMITED if limited else Refusal.RESTING
             return NoChoice(refusal, barred.first_end(closed, route, self.now))
@@ -329,7 +329,7 @@
             fleet = self.fleets[client.scheduler]
             drawn = self._drawn(fleet, known, excluded)
             return fleet.choose(need, self.service, drawn, excluded, self.now)
-        entry = Waiting(client.key, need, "", client.waited_since, self.now, excluded)
+        entry = QueueEntry(client.key, need, "", client.waited_since, self.now, excluded)
         return self.lines[client.scheduler].place(entry, self.service, known, self.now)
 
     def _hears(self) -> bool:
@@ -506,10 +506,10 @@
     def _tell_returns(self) -> None:
         """Let the schedulers tell each other whom they told to come back."""
         for fleet in self.fleets:
-            news = fleet.shedding.returns.due_news(self.now)
+            news = fleet.shedding.returns.due_states(self.now)
             others = [other for other in self.fleets if other is not fleet]
             for other in others if news else ():
-                heard = functools.partial(other.shedding.returns.hear, news)
+                heard = functools.partial(other.shedding.returns.merge, news)
                 self._at(self.now + _NEWS_SECONDS, self._with_clock(heard))
         if self.now < self.scenario.seconds:
             self._at(self.now + _RETURN_NEWS_SECONDS, self._tell_returns)
@@ -609,7 +609,7 @@
     def _finish(self, client: Client, end: str, why: str = "") -> None:
         client.over = True
         self._in_line.pop(client.key, None)
-        self.lines[client.scheduler].room.drop(client.key)
+        self.lines[client.scheduler].requests.drop(client.key)
         client.served = end in ("in_time", "late")
         if why:
             self.tallies[client.kind.name].why[why] += 1
@@ -642,7 +642,7 @@
                 self._at(self.now + _LOST_SECONDS, end)
         client.number = 0
         self._in_line.pop(client.key, None)
-        self.lines[client.scheduler].room.drop(client.key)
+        self.lines[client.scheduler].requests.drop(client.key)
         client.scheduler = self._rng.choice(self._alive)
         if client.tries > 1 or begun:
             self._finish(client, "failed", "gateway lost")
--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -37,7 +37,7 @@
 from lotushill.placement.weigher import TypicalRequest
 from lotushill.rendezvous import ranked
 from lotushill.routing.demand import PromptPart
-from lotushill.shares.shares import Shares
+from lotushill.shares.shares import TeamShares
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -95,7 +95,7 @@
         self._is_cut_off = is_cut_off
         self.recent = RecentParts(recent_seconds)
         self.shedding = Shedding()
-        self.shares = Shares()
+        self.shares = TeamShares()
         self.engine_paces = FleetPaces()
         self._loads: dict[str, UpstreamLoad] = {}
         self._paces: dict[str, ServicePace] = {}
@@ -219,7 +219,7 @@
 
         What is `closed` has no room now: it gets nothing, but counts for the room of all.
         """
-        self.shares.note_ask(need, now)
+        self.shares.note_demand(need, now)
         known = {item.id: item for item in upstreams}
         ranks = _ranks(need.service, tuple(known)) if service.engine else {}
         candidates = [item for item in known.values() if item.id not in excluded]
@@ -278,7 +278,7 @@
             return None
         if only_reserved_left(held, urgent, slots):
             return Refusal.OVERLOAD
-        return Refusal.SHARE if self.shares.over_share(need, now) else None
+        return Refusal.SHARE if self.shares.is_over_share(need, now) else None
 
     def only_reserved_left(
         self,
@@ -299,13 +299,13 @@
         """Return whether a request leaves the room to teams that have had less of their share."""
         if not has_to_wait(need, choices, service.engine is not None):
             return False
-        return self.shares.over_share(need, now) and not self.shedding.must_serve(need, now)
+        return self.shares.is_over_share(need, now) and not self.shedding.must_serve(need, now)
 
     def _explained(self, refused: NoChoice, need: Need, now: float) -> NoChoice:
         """Return a refusal with the standing of the team, where that is its reason."""
         if refused.refusal is not Refusal.SHARE:
             return refused
-        return replace(refused, standing=self.shares.beside_others(need, now))
+        return replace(refused, standing=self.shares.relative_standing(need, now))
 
     def backup(
         self,
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -13,8 +13,8 @@
 from lotushill.placement.choice import Refusal
 from lotushill.placement.recent_starts import RecentStarts
 from lotushill.placement.usual_request import UsualRequests
-from lotushill.returns.promise import Asker
-from lotushill.returns.promises import Returns
+from lotushill.returns.promise import Requester
+from lotushill.returns.promises import ReturnPromises
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -43,13 +43,13 @@
     def __init__(self) -> None:
         self.usual = UsualRequests()
         self.starts = RecentStarts()
-        self.returns = Returns()
+        self.returns = ReturnPromises()
 
     def note(self, placed: Placed, service: str, now: float) -> None:
         """Learn from a request that any gateway has sent to an upstream."""
         self.usual.note_prompt(service, placed.route, placed.prompt, placed.prefill_tokens)
         self.starts.note(service, placed.tier, placed.prompt, now - placed.age)
-        self.returns.room.note(service, placed.tier, now - placed.age)
+        self.returns.start_rate.note(service, placed.tier, now - placed.age)
 
     def is_long(self, need: Need) -> bool:
         """Return whether a request's route has the longest prompts of its service.
@@ -86,7 +86,7 @@
         no_room = first > need.first_event_timeout
         if self.must_serve(need, now):
             return None
-        early = self.returns.until_due(_asker(need, now), now)
+        early = self.returns.seconds_early(_asker(need, now), now)
         if early:
             return self._refused(need, Refusal.EARLY, early, wait, first)
         if not (overload or no_room):
@@ -115,7 +115,7 @@
         final: bool = False,
     ) -> NoChoice:
         """Return the refusal of a request, with when it is to come back."""
-        early = self.returns.until_due(_asker(need, now), now)
+        early = self.returns.seconds_early(_asker(need, now), now)
         if early:
             return self._refused(need, Refusal.EARLY, early, wait, first)
         if self.returns.has_place(need.caller, now):
@@ -128,7 +128,7 @@
 
     def refuse_early(self, need: Need, now: float) -> NoChoice | None:
         """Return the refusal of one that comes sooner than it was told, None for all others."""
-        seconds = self.returns.until_due(_asker(need, now), now)
+        seconds = self.returns.seconds_early(_asker(need, now), now)
         if not seconds or self.must_serve(need, now):
             return None
         return replace(self._refused(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
@@ -154,7 +154,7 @@
         )
 
 
-def _asker(need: Need, now: float) -> Asker:
+def _asker(need: Need, now: float) -> Requester:
     # Plain requests of many callers are the same to the byte.
     caller = need.caller if need.stream else 0
-    return Asker(caller, need.service, need.tier, now - need.waited, need.time_left)
+    return Requester(caller, need.service, need.tier, now - need.waited, need.time_left)
--- a/src/lotushill/requests/attempt_pauses.py
+++ b/src/lotushill/requests/attempt_pauses.py
@@ -21,7 +21,7 @@
         self._service = request.service.name
         self._upstream = upstream
         self._news = news
-        self._models_all = parts.placer.models_all()
+        self._models_all = parts.placer.has_full_model()
         """Whether all that runs at the upstream is known, so that its pauses can be explained."""
         self._last_at = 0.0
         self._waiting = 0.0
--- a/src/lotushill/requests/continuation.py
+++ b/src/lotushill/requests/continuation.py
@@ -119,7 +119,9 @@
 
     async def _go_on(self, choice: Choice, permit: Permit) -> AttemptEnd:
         self._splitter.drop_partial()
-        return await self._attempt(self._parts.placer.continued(self._request, choice), permit)
+        return await self._attempt(
+            self._parts.placer.continuation_placement(self._request, choice), permit
+        )
 
     def _choice(self, upstream: Upstream) -> Choice:
         seconds = self._parts.fleet.pace(self._request.service.name).stream_seconds
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -155,7 +155,7 @@
         self.upstream = choice.upstream.id
         self._note_choice(placement)
         self._parts.shared_load.start(
-            placement.placed, self._request.service, told=bool(placement.scheduler)
+            placement.placed, self._request.service, announced=bool(placement.scheduler)
         )
         self.runs += 1
         news = AttemptNews(self._parts.shared_load, number, self._note_ran)
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -257,7 +257,11 @@
         if not isinstance(found, Placement):
             return None
         told = bool(found.scheduler)
-        placed = found.placed if told else self._placer.continued(request, found.choice).placed
+        placed = (
+            found.placed
+            if told
+            else self._placer.continuation_placement(request, found.choice).placed
+        )
         self._shared_load.start(placed, request.service, told)
         if self._fits(request, found.choice):
             return placed
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -22,8 +22,8 @@
 from lotushill.scheduling.placement import Placement
 from lotushill.starting.draw import UpstreamCredit
 from lotushill.starting.draw import draw_upstream
-from lotushill.waiting.entry import Held
-from lotushill.waiting.entry import Waiting
+from lotushill.waiting.entry import Queued
+from lotushill.waiting.entry import QueueEntry
 
 if TYPE_CHECKING:
     import random
@@ -37,8 +37,8 @@
     from lotushill.placement.messages import Placed
     from lotushill.placement.need import Need
     from lotushill.routing.upstream import Upstream
-    from lotushill.scheduling.line_keeper import LineKeeper
     from lotushill.scheduling.placement_client import PlacementClient
+    from lotushill.scheduling.queue_runner import QueueRunner
     from lotushill.scheduling.request import Request
     from lotushill.scheduling.shared_load import SharedLoad
     from lotushill.views.upstream_view import UpstreamView
@@ -69,7 +69,7 @@
         schedulers: Schedulers | None = None,
         client: PlacementClient | None = None,
         knows_fleet: Callable[[], bool] = lambda: True,
-        keeper: LineKeeper | None = None,
+        queue_runner: QueueRunner | None = None,
     ) -> None:
         """Place for the gateway `name`; without schedulers, always by the own model.
 
@@ -90,15 +90,15 @@
         self._schedulers = schedulers
         self._client = client
         self._knows_fleet = knows_fleet
-        self._keeper = keeper
+        self._keeper = queue_runner
         self._salt = rng.getrandbits(64)
         self._numbers = itertools.count()
 
-    def number(self) -> int:
+    def new_attempt_number(self) -> int:
         """Return a number for an attempt that is hardly ever that of another, of any gateway."""
         return xxhash.xxh64_intdigest(f"{self._name}/{self._salt}/{next(self._numbers)}")
 
-    def models_all(self) -> bool:
+    def has_full_model(self) -> bool:
         """Return whether this gateway hears of what all others run."""
         return self._schedulers is None or self._schedulers.schedules()
 
@@ -114,7 +114,7 @@
             if self._none_is_open(request, excluded | barred):
                 return self._all_barred(request, barred)
             excluded |= barred
-        if self._client is None or self.models_all():
+        if self._client is None or self.has_full_model():
             if not again:
                 self._note_size(request.need)
             candidates = self._upstreams.of(request.service.name)
@@ -185,7 +185,7 @@
 
     async def _in_line(
         self,
-        keeper: LineKeeper,
+        keeper: QueueRunner,
         request: Request,
         excluded: frozenset[str],
         candidates: list[Upstream],
@@ -194,7 +194,7 @@
 
         None where this gateway has come to ask schedulers meanwhile.
         """
-        key = self.number()
+        key = self.new_attempt_number()
         try:
             while True:
                 found = await self._ask_line(keeper, request, excluded, candidates, key)
@@ -202,7 +202,7 @@
                     return found
                 if isinstance(found, Choice):
                     return self._own_placement(request, found, candidates)
-                if self._client is not None and not self.models_all():
+                if self._client is not None and not self.has_full_model():
                     return None
                 candidates = self._upstreams.of(request.service.name)
                 excluded |= self._barred.names(request.need.route, self._clock())
@@ -211,16 +211,16 @@
 
     async def _ask_line(
         self,
-        keeper: LineKeeper,
+        keeper: QueueRunner,
         request: Request,
         excluded: frozenset[str],
         candidates: list[Upstream],
         key: int,
-    ) -> Choice | NoChoice | Held:
+    ) -> Choice | NoChoice | Queued:
         """Return the answer that comes before a request is to be asked for again."""
         later: asyncio.Future[Choice | NoChoice] = asyncio.get_running_loop().create_future()
 
-        def answer(entry: Waiting, found: Choice | NoChoice, now: float) -> None:
+        def answer(entry: QueueEntry, found: Choice | NoChoice, now: float) -> None:
             del entry, now
             if not later.done():
                 later.set_result(found)
@@ -231,11 +231,11 @@
             time_left=max(0.0, request.ends - now),
             waited=now - request.arrived,
         )
-        entry = Waiting(key, need, "", request.arrived, now, excluded)
+        entry = QueueEntry(key, need, "", request.arrived, now, excluded)
         found = keeper.place(entry, request.service, candidates, answer)
-        if not isinstance(found, Held):
+        if not isinstance(found, Queued):
             return found
-        done, _ = await asyncio.wait((later,), timeout=found.renew)
+        done, _ = await asyncio.wait((later,), timeout=found.renew_seconds)
         return later.result() if done else found
 
     def _own_placement(
@@ -248,7 +248,7 @@
             backup = self._fleet.backup(request.need, service, found, targets, now)
             found = replace(found, backup=backup)
         memory = self._fleet.load(found.upstream.id).reserved_tokens
-        return Placement(found, self._placed(self.number(), request, found), memory)
+        return Placement(found, self._placed(self.new_attempt_number(), request, found), memory)
 
     def _drawn(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
         """Place a request while nothing is known of what others run."""
@@ -281,9 +281,9 @@
     def _placed(self, number: int, request: Request, choice: Choice) -> Placed:
         return placed_message(number, request.need, choice, request.service.engine is not None)
 
-    def continued(self, request: Request, choice: Choice) -> Placement:
+    def continuation_placement(self, request: Request, choice: Choice) -> Placement:
         """Return the placement of a run that goes on at an upstream that is known."""
-        return Placement(choice, self._placed(self.number(), request, choice))
+        return Placement(choice, self._placed(self.new_attempt_number(), request, choice))
 
     # By a scheduler
 
@@ -293,7 +293,7 @@
         need = request.need
         return PlacementAsk(
             sender=self._name,
-            request=self.number(),
+            request=self.new_attempt_number(),
             service=need.service,
             route=need.route,
             target=need.target,
--- a/src/lotushill/shares/work.py
+++ b/src/lotushill/shares/work.py
@@ -14,7 +14,7 @@
 """So that no request is free."""
 
 
-class Placed(Protocol):
+class SentRequest(Protocol):
     """What is known of a request that was sent to an upstream."""
 
     @property
@@ -50,7 +50,7 @@
         """How long it has run already, in seconds."""
 
 
-def predicted_work(placed: Placed, service: Service) -> float:
+def predicted_work(placed: SentRequest, service: Service) -> float:
     """Return what a request is expected to cost: tokens at an engine, seconds at plain services.
 
     Only requests of one service are compared with each other.
--- a/tests/peering/test_peers.py
+++ b/tests/peering/test_peers.py
@@ -187,7 +187,7 @@
         ((asker, asked, pull),) = self.network.posted
         self.assertEqual("gw-12", asker)
         self.assertIsInstance(pull, ModelPull)
-        self.assertFalse(newcomer.model_sync.ready())
+        self.assertFalse(newcomer.model_sync.is_ready())
         target = next(item for item in self.network.all() if item.membership.own.name == asked)
         self.network.posted.clear()
         target._on_message("gw-12", pull)
@@ -195,7 +195,7 @@
         self.assertEqual("gw-12", receiver)
         self.assertIsInstance(page, ModelPage)
         newcomer._on_message(asked, page)
-        self.assertTrue(newcomer.model_sync.ready())
+        self.assertTrue(newcomer.model_sync.is_ready())
         self.assertEqual([7], [load.ended[0].request for load in self.network.loads["gw-12"]])
         self.assertEqual([LongTermPace("e1", 2.0, 1.0)], self.network.paces["gw-12"])
         self.network.posted.clear()
--- a/tests/requests/test_rest.py
+++ b/tests/requests/test_rest.py
@@ -169,6 +169,6 @@
     ) -> Placement | NoChoice:
         if upstream_id in excluded:
             return await place(request, excluded, again, waits)
-        return rig.parts.placer.continued(request, choice)
+        return rig.parts.placer.continuation_placement(request, choice)
 
     rig.parts.placer.place = chosen  # type: ignore[method-assign]
--- a/tests/scheduling/test_shared_load.py
+++ b/tests/scheduling/test_shared_load.py
@@ -58,7 +58,7 @@
         self.other = Node("other", self.clock)
 
     def receive_whole(self) -> None:
-        for load in self.one.load.whole():
+        for load in self.one.load.snapshot():
             self.other.load.receive(load)
 
     @given(_STEPS)
@@ -115,7 +115,7 @@
         self.assertEqual(set(), self.other.running())
 
     def test_a_young_request_survives_a_list_that_was_on_its_way(self) -> None:
-        whole = self.one.load.whole()
+        whole = self.one.load.snapshot()
         self.other.load.receive(Load("one", False, placed=(placed("one/1"),)))
         for load in whole:
             self.other.load.receive(load)
@@ -139,7 +139,7 @@
             node.load.start(placed("a"), SERVICE)
             for _ in range(200):
                 self.clock[0] += 0.1
-                lists[gateways] += bool(node.load.due_lists(gateways))
+                lists[gateways] += bool(node.load.due_snapshots(gateways))
         self.assertGreaterEqual(lists[9], 35)
         self.assertLessEqual(lists[360], 1 + 20 * 40 / 360)
 
@@ -148,7 +148,7 @@
         told = []
         for _ in range(3):
             self.clock[0] += 0.5
-            told.append(sum(len(load.placed) for load in self.one.load.whole()))
+            told.append(sum(len(load.placed) for load in self.one.load.snapshot()))
         self.assertEqual([1, 1, 0], told)
 
     def test_a_gateway_that_becomes_a_scheduler_is_told_all_that_runs_anywhere(self) -> None:
@@ -158,7 +158,7 @@
         self.other.load.start(placed("own"), SERVICE)
         self.clock[0] += 0.5
         newcomer = Node("newcomer", self.clock)
-        for load in self.other.load.everything():
+        for load in self.other.load.all_running():
             newcomer.load.receive(load)
         self.assertEqual(9, len(newcomer.running()))
         self.assertEqual(self.other.running(), newcomer.running())
--- a/tests/scheduling/test_told_paces.py
+++ b/tests/scheduling/test_told_paces.py
@@ -42,7 +42,7 @@
         news = SharedLoad("new", newcomer, lambda: fleet.now, lambda _: SERVICE, lambda _: None)
         names = {upstream_number(name): name for name in fleet.engines}
         page = pack_paces(fleet.schedulers[0].load.paces())
-        news.take_paces(unpack_paces(page, names.get))
+        news.merge_paces(unpack_paces(page, names.get))
         slow = set()
         for name in fleet.engines:
             known = fleet.schedulers[0].fleet.load(name).pace
