--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -162,8 +162,8 @@
     Break(
         "gateway: what may have run is not called not run",
         "requests/exchange.py",
-        "await self._answer.give(_BAD_GATEWAY)",
-        "await self._answer.give(_UNAVAILABLE, 1.0)",
+        "await self._answer.send_own_answer(_BAD_GATEWAY)",
+        "await self._answer.send_own_answer(_UNAVAILABLE, 1.0)",
         "tests.requests.test_request_path",
     ),
     Break(
@@ -182,14 +182,14 @@
     ),
     Break(
         "gateway: a client that leaves ends the work",
-        "requests/front.py",
+        "requests/client_application.py",
         "            connection.on_lost = lost.note\n",
         "",
         "tests.requests.test_request_path",
     ),
     Break(
         "gateway: the unknown is not denied by an old view",
-        "requests/front.py",
+        "requests/client_application.py",
         "if not self._parts.view_is_fresh():",
         "if False:",
         "tests.requests.test_request_path",
@@ -302,15 +302,15 @@
     Break(
         "gateway: a run goes on only after its first event",
         "requests/continuation.py",
-        "return known and sound and wanted and self._splitter.events > 0",
+        "return known and sound and wanted and self._splitter.event_count > 0",
         "return known and sound and wanted",
         "tests.requests.test_request_path",
     ),
     Break(
         "gateway: a run goes on at no upstream that has just failed",
         "requests/continuation.py",
-        "return known and sound and wanted and self._splitter.events > 0",
-        "return known and wanted and self._splitter.events > 0",
+        "return known and sound and wanted and self._splitter.event_count > 0",
+        "return known and wanted and self._splitter.event_count > 0",
         "tests.requests.test_request_path",
     ),
     Break(
@@ -337,15 +337,15 @@
     Break(
         "moves: a run that its target does not take goes back to its source",
         "requests/continuation.py",
-        "returns=held.upstream.id == held.source.id",
-        "returns=False",
+        "returns_to_source=held.upstream.id == held.source.id",
+        "returns_to_source=False",
         "tests.requests.test_moves",
     ),
     Break(
         "moves: a client that takes nothing makes no run stand still",
-        "requests/moving_run.py",
-        "self._last_at = now\n        self._waits_since = math.inf\n\n    def note_passed_on",
-        "self._last_at = now\n        self._waits_since = now\n\n    def note_passed_on",
+        "requests/movable_run.py",
+        "self._last_at = now\n        self._waits_since = math.inf\n\n    def note_delivered",
+        "self._last_at = now\n        self._waits_since = now\n\n    def note_delivered",
         "tests.requests.test_moves",
     ),
     Break(
@@ -682,7 +682,7 @@
     ),
     Break(
         "requests end when their time is up after a suspension",
-        "requests/front.py",
+        "requests/client_application.py",
         "scope.deadline -= seconds",
         "scope.deadline -= 0.0",
         "tests.requests.test_suspension",
@@ -724,7 +724,7 @@
     ),
     Break(
         "nothing is sent while it is not known what is held",
-        "requests/front.py",
+        "requests/client_application.py",
         " or not self._parts.knows_holds()",
         "",
         "tests.requests.test_quarantine",
@@ -739,14 +739,14 @@
     Break(
         "nothing is written to an upstream that rests, whoever chose it",
         "requests/attempt.py",
-        "if not self._parts.gate.pass_on(self._permit):",
+        "if not self._parts.gate.authorize_send(self._permit):",
         "if False:",
         "tests.requests.test_rest",
     ),
     Break(
         "a run does not go on where a rest was asked for",
         "requests/continuation.py",
-        "wanted = self._parts.gate.wants(backup.id)",
+        "wanted = self._parts.gate.accepts_requests(backup.id)",
         "wanted = True",
         "tests.requests.test_rest",
     ),
@@ -927,14 +927,14 @@
     ),
     Break(
         "groups under which upstreams end are kept apart",
-        "requests/ward.py",
+        "requests/isolation_policy.py",
         "if ward is None or service not in self._isolation.services(now):",
         "if True:",
         "tests.requests.test_ward",
     ),
     Break(
         "of what is kept apart one request runs at a time",
-        "requests/ward.py",
+        "requests/isolation_policy.py",
         "if self._isolation.empty or not choice.running:",
         "if True:",
         "tests.requests.test_ward",
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -44,16 +44,16 @@
 from lotushill.process.metrics import Metrics
 from lotushill.process.side_tasks import SideTasks
 from lotushill.process.suspension import SuspensionWatch
+from lotushill.requests.client_application import ClientApplication
 from lotushill.requests.client_protocol import ClientProtocol
-from lotushill.requests.engine_memory import EngineMemory
-from lotushill.requests.front import Front
-from lotushill.requests.idle_connections import idle_connections
+from lotushill.requests.engine_memory_client import EngineMemoryClient
+from lotushill.requests.idle_connections import idle_connection_limit
+from lotushill.requests.isolation_policy import IsolationPolicy
 from lotushill.requests.mover import Mover
 from lotushill.requests.parts import GatewayParts
 from lotushill.requests.retry_budgets import RetryBudgets
 from lotushill.requests.upstream_gate import UpstreamGate
 from lotushill.requests.upstream_pool import UpstreamPool
-from lotushill.requests.ward import Ward
 from lotushill.routing.limits import ClientLimits
 from lotushill.scheduling.placement_responder import PlacementResponder
 from lotushill.scheduling.placer import Placer
@@ -206,9 +206,9 @@
             clocks.now,
         )
         self.budgets = RetryBudgets(settings.retry, self._sharing, clocks.now())
-        ward = Ward(self.quarantine.isolation, self.views.upstreams, clocks.now)
+        ward = IsolationPolicy(self.quarantine.isolation, self.views.upstreams, clocks.now)
         self.mover = Mover(
-            EngineMemory(),
+            EngineMemoryClient(),
             placer,
             self.shared_load,
             self.views.upstreams,
@@ -220,7 +220,7 @@
             self.log,
             clocks.now,
         )
-        self.front = Front(
+        self.front = ClientApplication(
             GatewayParts(
                 name=settings.name,
                 configuration=self.views.configuration,
@@ -233,7 +233,7 @@
                 gate=self.gate,
                 limits=self.limits,
                 team_limits=self.team_limits,
-                ward=ward,
+                isolation_policy=ward,
                 mover=self.mover,
                 budgets=self.budgets,
                 quarantine=self.quarantine.keeper,
@@ -310,7 +310,7 @@
         while True:
             await anyio.sleep(_SWEEP_SECONDS)
             known = {upstream.id for upstream in self.views.upstreams.all()}
-            self.pool.sweep(known)
+            self.pool.close_expired(known)
             self.fleet.evict_unused(known, clocks.now())
             self._tell_paces()
             self.rests.forget(known, clocks.now())
@@ -356,10 +356,10 @@
         """Be taken out by the balancer first, then finish every request in progress."""
         ends = clocks.now() + self.settings.grace_seconds - _LAST_SECONDS
         self._stopping = True
-        self.front.closing = True
+        self.front.closes_connections = True
         self.log.note("process.stopping", in_progress=self.front.in_progress)
         await anyio.sleep(self.settings.leave_seconds)
-        self.front.open = False
+        self.front.accepts_requests = False
         self.clients.stop()
         while self.front.in_progress and clocks.now() < ends:
             await anyio.sleep(_TICK_SECONDS)
@@ -414,7 +414,7 @@
         self.leaving.tell_due()
         self.limits.keeper.tell_due()
         self.returns.tell_due()
-        self.mover.look()
+        self.mover.start_due_handovers()
 
     def _knows_fleet(self) -> bool:
         """Return whether the own model tells what the whole fleet runs."""
@@ -446,7 +446,7 @@
         service = self._service_of(upstream.id)
         if service is None:
             return 0
-        return idle_connections(
+        return idle_connection_limit(
             service.max_connections, self.peers.count(), upstream.id, self.settings.name
         )
 
@@ -458,7 +458,7 @@
         """Take what was believed before a suspension for old."""
         self.log.note("process.woke", suspended=round(seconds, 2))
         self.front.note_suspension(seconds)
-        self.pool.drop_idle()
+        self.pool.close_idle()
         self.views.doubt()
 
     def _on_configuration(self) -> None:
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -24,7 +24,7 @@
     from lotushill.process.metrics import Metrics
     from lotushill.process.settings import GatewaySettings
     from lotushill.process.side_tasks import SideTasks
-    from lotushill.requests.front import Front
+    from lotushill.requests.client_application import ClientApplication
     from lotushill.requests.mover import Mover
     from lotushill.requests.upstream_gate import UpstreamGate
     from lotushill.requests.upstream_pool import UpstreamPool
@@ -50,7 +50,7 @@
     mover: Mover
     quarantine: FleetQuarantine
     side_tasks: SideTasks
-    front: Front
+    front: ClientApplication
     waiting: QueueRunner
 
     def ready(self) -> bool:
@@ -127,12 +127,12 @@
     gauge(
         "sends_barred",
         "Requests kept from upstreams that were chosen and want none, so far",
-        lambda: gateway.gate.barred,
+        lambda: gateway.gate.blocked_sends,
     )
     gauge(
         "rests_unreadable",
         "Wishes for rest that could not be read so far",
-        lambda: gateway.gate.unreadable,
+        lambda: gateway.gate.unreadable_cooldowns,
     )
     gauge(
         "upstreams_limited",
@@ -142,7 +142,7 @@
     gauge(
         "sends_unpermitted",
         "Requests for which there was no permit at the upstream that was chosen, so far",
-        lambda: gateway.gate.unpermitted,
+        lambda: gateway.gate.requests_without_permit,
     )
     gauge(
         "permits_denied",
@@ -164,7 +164,7 @@
     gauge("places_promised", "Places promised here so far", lambda: returns.made)
     gauge("returns_placed", "Returns placed here as promised so far", lambda: returns.kept)
     gauge("returns_early", "Asks of returns before their time so far", lambda: returns.early)
-    gauge("moves_under_way", "Handovers of runs now", lambda: gateway.mover.under_way)
+    gauge("moves_under_way", "Handovers of runs now", lambda: gateway.mover.handovers_in_progress)
     gauge(
         "teams_over_share",
         "Services and tiers with a team that others go before where there is too little room",
@@ -178,7 +178,7 @@
     gauge(
         "waiting_for_start",
         "Requests that wait until this gateway is ready",
-        lambda: gateway.front.waiting,
+        lambda: gateway.front.waiting_until_ready,
     )
     gauge(
         "upstreams_uneven",
--- a/src/lotushill/requests/attempt_pauses.py
+++ b/src/lotushill/requests/attempt_pauses.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from lotushill.requests.attempt_news import AttemptNews
+    from lotushill.requests.attempt_reporter import AttemptReporter
     from lotushill.requests.parts import GatewayParts
     from lotushill.routing.upstream import Upstream
     from lotushill.scheduling.request import Request
@@ -15,7 +15,7 @@
     """Learns from the events of one stream."""
 
     def __init__(
-        self, parts: GatewayParts, request: Request, upstream: Upstream, news: AttemptNews
+        self, parts: GatewayParts, request: Request, upstream: Upstream, news: AttemptReporter
     ) -> None:
         self._parts = parts
         self._service = request.service.name
@@ -31,7 +31,7 @@
         """Note that events have come."""
         if self._last_at:
             pause = now - self._last_at
-            self._news.paused(pause)
+            self._news.report_pause(pause)
             self._parts.mover.stalls.note(self._service, pause)
         if self._models_all:
             due = self._due_reading(now)
--- a/src/lotushill/requests/front.py
+++ b/src/lotushill/requests/client_application.py
@@ -16,7 +16,7 @@
 from lotushill.links.asgi import read_body
 from lotushill.placement.need import Need
 from lotushill.platform import request_head
-from lotushill.requests.caller_number import caller_number
+from lotushill.requests.caller_hash import caller_hash
 from lotushill.requests.client_answer import ClientAnswer
 from lotushill.requests.client_protocol import CONNECTION
 from lotushill.requests.client_protocol import TARGET
@@ -65,7 +65,7 @@
         self._scope.cancel()
 
 
-class Front:
+class ClientApplication:
     """Takes in requests."""
 
     def __init__(self, parts: GatewayParts) -> None:
@@ -74,11 +74,11 @@
         self._scopes: set[anyio.CancelScope] = set()
         """Of the requests in progress."""
         self.in_progress = 0
-        self.closing = False
+        self.closes_connections = False
         """Whether connections end after their answer, since the process is stopping."""
-        self.waiting = 0
+        self.waiting_until_ready = 0
         """Requests that wait until this gateway is ready."""
-        self.open = True
+        self.accepts_requests = True
         """False when new requests are turned away, since they could not be finished."""
 
     def note_suspension(self, seconds: float) -> None:
@@ -101,7 +101,7 @@
         arrived = self._parts.clock()
         demand = request_head.read_demand(scope["headers"])
         answer = ClientAnswer(send, demand.request_id)
-        answer.closing = self.closing
+        answer.close_after = self.closes_connections
         try:
             request = await self._check(scope, receive, demand, arrived)
         except CallerGoneError:
@@ -116,7 +116,7 @@
                 target=scope[TARGET].decode("latin-1")[:80],
                 configuration=self._parts.configuration.revision,
             )
-            await answer.give(error.status, error.retry_after)
+            await answer.send_own_answer(error.status, error.retry_after)
             return
         await self._bring_to_answer(scope, request, answer)
 
@@ -140,7 +140,7 @@
                     request=request.demand.request_id,
                     trace="".join(traceback.format_exception(error)),
                 )
-                await answer.give(502 if exchange.runs else 503, self._retry_seconds())
+                await answer.send_own_answer(502 if exchange.runs else 503, self._retry_seconds())
         self._scopes.discard(cancel)
         connection.on_lost = None
         if cancel.cancelled_caught:
@@ -171,7 +171,7 @@
     ) -> Request:
         await self._await_ready(demand, arrived)
         table = self._parts.configuration.table
-        if table is None or not self.open or not self._parts.knows_holds():
+        if table is None or not self.accepts_requests or not self._parts.knows_holds():
             raise _TurnedAwayError(503, self._retry_seconds())
         headers = list(scope["headers"])
         if sum(len(name) + len(value) + 4 for name, value in headers) > table.limits.header_bytes:
@@ -183,7 +183,7 @@
         service = table.services[route.service_for(self._parts.rng.random())]
         route = self._parts.settings.route_for(route, team, service.name)
         limit = min(demand.time_left or route.timeout, route.timeout)
-        caller = caller_number(team.name if team else "", scope[TARGET], body)
+        caller = caller_hash(team.name if team else "", scope[TARGET], body)
         return Request(
             key=f"{self._parts.name}/{next(self._numbers)}",
             demand=demand,
@@ -205,14 +205,14 @@
     async def _await_ready(self, demand: Demand, arrived: float) -> None:
         """Wait for what is missing since the start, as long as that can still help the client."""
         ends = arrived + ready_wait_seconds(demand.time_left or 0.0)
-        if self._is_ready() or self.waiting >= MAX_WAITING_REQUESTS:
+        if self._is_ready() or self.waiting_until_ready >= MAX_WAITING_REQUESTS:
             return
-        self.waiting += 1
+        self.waiting_until_ready += 1
         try:
-            while self.open and not self._is_ready() and self._parts.clock() < ends:
+            while self.accepts_requests and not self._is_ready() and self._parts.clock() < ends:
                 await anyio.sleep(_READY_POLL_SECONDS)
         finally:
-            self.waiting -= 1
+            self.waiting_until_ready -= 1
 
     def _retry_seconds(self) -> float:
         return ready_retry_after_seconds(self._parts.rng.random())
--- a/src/lotushill/requests/ward.py
+++ b/src/lotushill/requests/isolation_policy.py
@@ -18,7 +18,7 @@
 _NOBODY: frozenset[str] = frozenset()
 
 
-class Ward:
+class IsolationPolicy:
     """Keeps groups that are isolated at one upstream of their service, and all others from it.
 
     Whatever ends there takes nothing with it that is not suspected itself, and since nothing else
@@ -33,7 +33,7 @@
         self._upstreams = upstreams
         self._clock = clock
 
-    def barred(self, request: Request) -> frozenset[str]:
+    def excluded_upstreams(self, request: Request) -> frozenset[str]:
         """Return the upstreams of its service that a request is to be kept from."""
         if self._isolation.empty:
             return _NOBODY
@@ -46,7 +46,7 @@
             return frozenset(item.id for item in self._upstreams.of(service)) - {ward}
         return frozenset((ward,))
 
-    def wait(self, request: Request) -> float:
+    def retry_delay(self, request: Request) -> float:
         """Return for how many seconds a request is not to be tried at all."""
         if self._isolation.empty:
             return 0.0
--- a/src/lotushill/requests/upstream_gate.py
+++ b/src/lotushill/requests/upstream_gate.py
@@ -25,7 +25,7 @@
     """Lets one request be written to one upstream: without it none is."""
 
     upstream_id: str
-    returns: bool = False
+    returns_to_source: bool = False
     """Whether a run goes back to the upstream that stopped it, which may be leaving."""
 
 
@@ -53,20 +53,20 @@
         self._on_leaving = on_leaving
         self._log = log
         self._clock = clock
-        self.barred = 0
+        self.blocked_sends = 0
         """Sends that were kept back so far, after the upstream had been chosen."""
-        self.unreadable = 0
+        self.unreadable_cooldowns = 0
         """Wishes for rest that could not be read so far."""
-        self.unpermitted = 0
+        self.requests_without_permit = 0
         """Requests for which there was no permit at the upstream that was chosen, so far."""
         self.unreadable_limits = 0
         """Limits that could not be read so far."""
 
-    def hear(self, upstream_id: str, said: Statement, asked: float) -> None:
+    def record_statement(self, upstream_id: str, said: Statement, asked: float) -> None:
         """Take in what the answer to a request that was sent at `asked` says of its upstream."""
         now = self._clock()
         if said.unreadable:
-            self.unreadable += 1
+            self.unreadable_cooldowns += 1
         if said.rest:
             self._rests.note_asked(upstream_id, said.rest, now)
             self._log.note("upstream.rests", upstream=upstream_id, seconds=said.rest)
@@ -82,7 +82,7 @@
         if said.limit is not None:
             self._limits.keeper.hear(upstream_id, Word(said.limit, asked, now))
 
-    def wants(self, upstream_id: str) -> bool:
+    def accepts_requests(self, upstream_id: str) -> bool:
         """Return whether an upstream takes new requests of this gateway now, as far as is known."""
         known = self._upstreams.find(upstream_id)
         if known is None or known.draining:
@@ -99,13 +99,13 @@
             return Permit(upstream.id)
         if await self._limits.admit(permit_request(upstream, need)):
             return Permit(upstream.id)
-        self.unpermitted += 1
+        self.requests_without_permit += 1
         return None
 
-    def pass_on(self, permit: Permit) -> bool:
+    def authorize_send(self, permit: Permit) -> bool:
         """Return whether a request may be written now, and count it if so."""
-        if not permit.returns and not self.wants(permit.upstream_id):
-            self.barred += 1
+        if not permit.returns_to_source and not self.accepts_requests(permit.upstream_id):
+            self.blocked_sends += 1
             return False
         self._rests.note_sent(permit.upstream_id, self._clock())
         return True
--- a/src/lotushill/requests/upstream_search.py
+++ b/src/lotushill/requests/upstream_search.py
@@ -48,7 +48,7 @@
         """Look at an upstream no more: it had the request, or did not take it."""
         self._excluded.add(upstream_id)
 
-    def put_off(self, upstream_id: str) -> None:
+    def defer(self, upstream_id: str) -> None:
         """Look at an upstream no more for as long as there is no permit for it."""
         self._put_off.add(upstream_id)
 
@@ -68,14 +68,14 @@
 
     async def _look(self) -> Placement | NoChoice:
         """Look for an upstream once."""
-        request, ward = self._request, self._parts.ward
-        wait = ward.wait(request)
+        request, ward = self._request, self._parts.isolation_policy
+        wait = ward.retry_delay(request)
         if wait > 0:
             return NoChoice(Refusal.ISOLATED, wait)
         wait = await self._limit_wait()
         if wait > 0:
             return NoChoice(Refusal.TEAM_LIMIT, wait)
-        barred = ward.barred(request) | self._excluded | self._without_permit()
+        barred = ward.excluded_upstreams(request) | self._excluded | self._without_permit()
         found = await self._parts.placer.place(request, barred, self._asked)
         self._asked = True
         if isinstance(found, Placement) and not ward.admits(request, found.choice):
--- a/src/lotushill/requests/wire.py
+++ b/src/lotushill/requests/wire.py
@@ -12,7 +12,7 @@
     from lotushill.scheduling.request import Request
 
 
-def on_the_wire(request: Request, choice: Choice, last_event_id: str, now: float) -> bytes:
+def encode_request(request: Request, choice: Choice, last_event_id: str, now: float) -> bytes:
     """Return head and body of one attempt; the stream goes on after `last_event_id`, if any."""
     headers = request.headers
     if last_event_id:
