--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -13,7 +13,7 @@
 import anyio
 
 from lotushill import clock as clocks
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.contracts.exceptions import SettingsError
 from lotushill.event_log import EventLog
@@ -26,8 +26,8 @@
 from lotushill.gateway.store_views import StoreViews
 from lotushill.journal import Journal
 from lotushill.limits.barred_upstreams import BarredUpstreams
-from lotushill.limits.counting import CountingGateways
 from lotushill.limits.fleet_limits import FleetLimits
+from lotushill.limits.limit_owners import LimitOwners
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.limits.team_limits import TeamLimits
 from lotushill.links.http_server import HttpServer
@@ -130,9 +130,9 @@
             clocks.now,
         )
         self._start_of_life = StartupPhase(SMALL_FLEET, clocks.now())
-        self.rests = Rests()
+        self.rests = Cooldowns()
         stated = StatedLimits()
-        counting = CountingGateways(
+        counting = LimitOwners(
             self.peers.membership, self.peers.schedulers, lambda: self.registration.listed
         )
         self.limits = FleetLimits(
@@ -388,7 +388,7 @@
             on_work_page=self.duties.receive,
             on_suspects=lambda news: self.quarantine.keeper.receive(news),
             on_leaving=lambda news: self.leaving.receive(news),
-            on_limits=lambda news: self.limits.keeper.receive(news),
+            on_limits=lambda news: self.limits.gossip.receive(news),
             on_permit_ask=self._on_permit_ask,
             on_permit_answer=lambda answer: self.limits.client.receive(answer),
             on_returns=lambda news: self.returns.receive(news),
@@ -397,7 +397,7 @@
         )
 
     def _on_permit_ask(self, ask: PermitAsk) -> PermitAnswer:
-        limits = self.team_limits if self.team_limits.counts(ask) else self.limits
+        limits = self.team_limits if self.team_limits.is_team_limit(ask) else self.limits
         return limits.answer(ask)
 
     def _on_gone(self, name: str) -> None:
@@ -412,7 +412,7 @@
     def _on_tick(self) -> None:
         self.suspension.look()
         self.leaving.tell_due()
-        self.limits.keeper.tell_due()
+        self.limits.gossip.send_due()
         self.returns.tell_due()
         self.mover.start_due_handovers()
 
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -11,7 +11,7 @@
 from lotushill.routing.team import team_number
 
 if TYPE_CHECKING:
-    from lotushill.availability.rests import Rests
+    from lotushill.availability.cooldowns import Cooldowns
     from lotushill.event_log import EventLog
     from lotushill.gateway.duties import FleetDuties
     from lotushill.gateway.fleet_quarantine import FleetQuarantine
@@ -41,7 +41,7 @@
     store: ObjectStore
     views: StoreViews
     peers: Peers
-    rests: Rests
+    rests: Cooldowns
     limits: FleetLimits
     team_limits: TeamLimits
     fleet: Fleet
@@ -118,7 +118,11 @@
         "Ends of upstreams under requests of this gateway so far, once for each request",
         lambda: gateway.quarantine.keeper.upstream_ends,
     )
-    gauge("rests_asked", "Rests that upstreams asked for so far", lambda: gateway.rests.asked)
+    gauge(
+        "rests_asked",
+        "Rests that upstreams asked for so far",
+        lambda: gateway.rests.requested_count,
+    )
     gauge(
         "upstreams_resting",
         "Upstreams that want nothing from this gateway now",
@@ -137,7 +141,7 @@
     gauge(
         "upstreams_limited",
         "Upstreams that name a limit for all gateways together",
-        lambda: len(gateway.limits.stated.limited()),
+        lambda: len(gateway.limits.stated.limited_rates()),
     )
     gauge(
         "sends_unpermitted",
@@ -173,7 +177,7 @@
     gauge(
         "team_limit_held_back",
         "Times that a request was kept back by the limit of its team, so far",
-        lambda: gateway.team_limits.held_back,
+        lambda: gateway.team_limits.delayed_count,
     )
     gauge(
         "waiting_for_start",
@@ -210,7 +214,7 @@
             "known": [asdict(item) for item in gateway.views.upstreams.all()],
             "ignored": dict(gateway.views.upstream_faults.held),
             "resting": sorted(gateway.rests.barred(clocks.now())),
-            "limited": gateway.limits.stated.limited(),
+            "limited": gateway.limits.stated.limited_rates(),
             "paces": {
                 item.upstream: [round(item.step_slowness, 2), round(item.read_slowness, 2)]
                 for item in gateway.fleet.engine_paces.deviating_paces()
--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -11,17 +11,17 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from lotushill.availability.patience import limited_retry
-from lotushill.availability.patience import rest_pause
-from lotushill.availability.patience import return_pause
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.retry_budget import RetryBudget
 from lotushill.availability.stated_limits import NO_LIMIT
+from lotushill.availability.stated_limits import LimitReport
 from lotushill.availability.stated_limits import StatedLimits
-from lotushill.availability.stated_limits import Word
+from lotushill.availability.wait_policy import cooldown_wait
+from lotushill.availability.wait_policy import limited_retry_after_seconds
+from lotushill.availability.wait_policy import returned_request_wait
 from lotushill.limits.barred_upstreams import BarredUpstreams
 from lotushill.limits.denials import Denials
-from lotushill.limits.permit_desk import PermitDesk
+from lotushill.limits.permit_buckets import PermitBuckets
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.load.policy import known_paces
 from lotushill.load.policy.arrivals import Arrivals
@@ -143,13 +143,13 @@
         """For how many reasons an engine is away now."""
         self._rest_asked = [0.0] * scenario.engines
         """Seconds of rest that an engine asks for while it turns all away, 0 while it does not."""
-        self._rests = [Rests() for _ in range(scenario.schedulers)]
+        self._rests = [Cooldowns() for _ in range(scenario.schedulers)]
         self._limits = StatedLimits()
         self._ranks = [
             PermitRanks(fleet, self._limits, lambda _: self.upstreams) for fleet in self.fleets
         ]
         self._disturbing = random.Random(f"{seed}/disturbances")
-        self._desk = PermitDesk()
+        self._desk = PermitBuckets()
         self._denials = [Denials() for _ in range(scenario.schedulers)]
         self._budgets = [
             RetryBudget(_RETRY_RATIO, _RETRY_SLACK, _RETRY_WINDOW_SECONDS) for _ in self.fleets
@@ -320,7 +320,7 @@
             self.lines[client.scheduler].requests.drop(client.key)
             limited = barred.any_limited(closed, route, self.now)
             refusal = Refusal.LIMITED if limited else Refusal.RESTING
-            return NoChoice(refusal, barred.first_end(closed, route, self.now))
+            return NoChoice(refusal, barred.seconds_to_first_end(closed, route, self.now))
         waited = self.now - client.waited_since
         left = max(0.0, client.arrived + client.kind.deadline - self.now)
         need = replace(client.need, waited=waited, time_left=left)
@@ -351,7 +351,7 @@
             return
         # Any scheduler's model would do; the one of the engine's own is as good as this one.
         rank = self._ranks[asker].rank("llm", need.route, need.tier, need.prompt_tokens, self.now)
-        verdict = self._desk.ask(name, rate, rank, str(asker), self.now)
+        verdict = self._desk.request_permit(name, rate, rank, str(asker), self.now)
         if verdict.granted:
             self._at(self.now + _PERMIT_SECONDS, lambda: self._send_if_there(client, choice))
             return
@@ -367,11 +367,11 @@
         """Return after how long a request is looked at again, None where it is refused now."""
         waited, target = self.now - client.waited_since, client.kind.target
         if found.refusal in (Refusal.RESTING, Refusal.LIMITED):
-            return rest_pause(found.retry_after, waited, client.need)
+            return cooldown_wait(found.retry_after, waited, client.need)
         if found.final or found.refusal is Refusal.EARLY:
             return None
         if found.refusal is Refusal.RETURNED:
-            return return_pause(waited, client.need)
+            return returned_request_wait(waited, client.need)
         if found.refusal is not Refusal.NO_UPSTREAM:
             return None
         pause = _POLL_SECONDS * self._rng.uniform(0.7, 1.3)
@@ -381,7 +381,7 @@
         left = client.arrived + client.kind.deadline - self.now
         retry_after = refusal.retry_after
         if refusal.refusal is Refusal.LIMITED:
-            retry_after = limited_retry(retry_after)
+            retry_after = limited_retry_after_seconds(retry_after)
         pause = min(retry_after, _RETURN_SHARE * left)
         tries = 2
         if client.impatient:
@@ -455,7 +455,7 @@
         name = self.upstreams[client.engine].id
         self._at(
             self.now + _WAY_SECONDS,
-            lambda: self._rests[client.scheduler].note_taken(name, self.now),
+            lambda: self._rests[client.scheduler].note_accepted(name, self.now),
         )
         client.run = run
         if client.need.first_event_timeout < client.kind.deadline:
@@ -481,7 +481,7 @@
         client.excluded |= {self.upstreams[client.engine].id}
         client.rejected += 1
         budget = self._budgets[client.scheduler]
-        if client.rejected >= _MOST_REJECTED or not budget.spend(len(self._alive), self.now):
+        if client.rejected >= _MOST_REJECTED or not budget.try_spend(len(self._alive), self.now):
             self._refuse(client, NoChoice(Refusal.RESTING, _SHED_RETRY_SECONDS))
             return
         self._at(self.now + _WAY_SECONDS, lambda: self._place(client))
@@ -490,7 +490,7 @@
         """Let an engine refuse a request and ask for rest."""
         self.turned_away += 1
         name, seconds = self.upstreams[client.engine].id, self._rest_asked[client.engine]
-        self._rests[client.scheduler].note_asked(name, seconds, self.now)
+        self._rests[client.scheduler].note_requested(name, seconds, self.now)
         self._end_run(client, Outcome.FAILED)
         client.excluded |= {name}
         client.rejected += 1
@@ -659,11 +659,11 @@
             self._at(ends, functools.partial(self._name_limit, index, NO_LIMIT))
 
     def _name_limit(self, index: int, rate: float) -> None:
-        self._limits.take(self.upstreams[index].id, Word(rate, self.now, self.now))
+        self._limits.merge(self.upstreams[index].id, LimitReport(rate, self.now, self.now))
         for denials in self._denials:
             denials.clear(self.upstreams[index].id)
         if rate < NO_LIMIT:
-            self._desk.begin(self.upstreams[index].id, rate, self.now)
+            self._desk.add_bucket(self.upstreams[index].id, rate, self.now)
 
     def _plan_old_work(self) -> None:
         """Let requests of former gateways run on, of which no scheduler knows."""
--- a/src/lotushill/peering/group_keeper.py
+++ b/src/lotushill/peering/group_keeper.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from lotushill.availability.trickle import Trickle
+from lotushill.availability.trickle import TrickleTimer
 from lotushill.links.quarantine_messages import GroupEnd
 from lotushill.links.quarantine_messages import GroupNews
 from lotushill.links.quarantine_messages import IsolatedGroup
@@ -45,7 +45,7 @@
         self._clock = clock
         self._ends: RepeatPlan[GroupEnd] = RepeatPlan()
         self._proofs: RepeatPlan[Group] = RepeatPlan()
-        self._timer = Trickle(rng)
+        self._timer = TrickleTimer(rng)
         """For what is kept apart: a gateway that starts anew has seen none of the ends."""
 
     # The request path
@@ -103,7 +103,7 @@
             if self._isolation.adopt(group, item.left, item.pause, now):
                 self._note_isolated(group, "")
         if {Group(item.service, item.label) for item in told} >= set(self._isolation.groups(now)):
-            self._timer.hear()
+            self._timer.note_consistent()
 
     def _note_isolated(self, group: Group, upstream: str) -> None:
         self._log.note(
--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from lotushill.moves.stalls import latest
+from lotushill.moves.stalls import max_threshold
 from lotushill.platform.upstream_answer import read_statement
 from lotushill.requests.attempt_end import AttemptEnd
 from lotushill.requests.attempt_end import EndKind
@@ -208,10 +208,10 @@
         gap = self._request.route.target_gap
         if not self._movable:
             given_up = self._has_a_way_on() or self._choice.resumes_from_copy
-            return latest(gap) if given_up else None
+            return max_threshold(gap) if given_up else None
         if not self._has_a_way_on():
             return None
-        return self._parts.mover.stalls.after(self._request.service.name, gap)
+        return self._parts.mover.stalls.threshold(self._request.service.name, gap)
 
     async def _pass_events(self, connection: UpstreamConnection, head: AnswerHead) -> AttemptEnd:
         """Pass whole events on, so that another upstream can go on after any of them."""
@@ -233,7 +233,7 @@
         """Return how long the first event is waited for after the head."""
         if not self._movable or not self._request.route.repeatable:
             return None
-        return self._parts.mover.first_event_waits.after_if_known(self._request.service.name)
+        return self._parts.mover.first_event_waits.threshold_if_known(self._request.service.name)
 
     def _follow_run(self, connection: UpstreamConnection) -> None:
         if not self._movable or _came_back(self._choice):
--- a/src/lotushill/requests/attempt_end.py
+++ b/src/lotushill/requests/attempt_end.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from lotushill.availability.statement import NOTHING_SAID
+from lotushill.availability.statement import EMPTY_STATEMENT
 from lotushill.availability.statement import Statement
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     detail: str = ""
     head: AnswerHead | None = None
     body: bytes = b""
-    statement: Statement = NOTHING_SAID
+    statement: Statement = EMPTY_STATEMENT
     """What the upstream said of itself."""
     connection_lost: bool = False
     """Whether the connection ended under a request that had been sent."""
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from lotushill.availability.stated_limits import finite
+from lotushill.availability.stated_limits import finite_or_none
 from lotushill.requests.attempt import Attempt
 from lotushill.requests.attempt_end import EndKind
 from lotushill.requests.attempt_reporter import AttemptReporter
@@ -146,7 +146,9 @@
         upstream = placement.choice.upstream
         self._search.defer(upstream.id)
         rate = self._parts.limits.stated.rate(upstream.id)
-        self._note("placement.put_off", upstream=upstream.id, why="no permit", limit=finite(rate))
+        self._note(
+            "placement.put_off", upstream=upstream.id, why="no permit", limit=finite_or_none(rate)
+        )
         if placement.scheduler:
             self._parts.shared_load.give_up(placement.placed.request)
 
@@ -187,10 +189,10 @@
                 kind=end.kind.value,
                 why=end.detail,
                 identity=self._identity(end),
-                rest=end.statement.rest,
+                rest=end.statement.cooldown,
                 leaving=end.statement.leaving,
-                unreadable=end.statement.unreadable,
-                limit=finite(end.statement.limit),
+                unreadable=end.statement.unreadable_cooldown,
+                limit=finite_or_none(end.statement.limit),
             )
         return end
 
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -13,10 +13,10 @@
 from lotushill.moves.move_links import MoveLinks
 from lotushill.moves.move_plan import Move
 from lotushill.moves.move_plan import copy_seconds
-from lotushill.moves.move_plan import in_order
 from lotushill.moves.move_plan import plan_move
+from lotushill.moves.move_plan import sort_by_urgency
 from lotushill.moves.notices import Notices
-from lotushill.moves.stalls import Stalls
+from lotushill.moves.stalls import StallThresholds
 from lotushill.requests.handover import NO_ANSWER
 from lotushill.requests.handover import Handover
 from lotushill.requests.handover import Phase
@@ -88,9 +88,9 @@
         self._sound_at = float("-inf")
         """Until then no stream is taken to stand still, since this process did."""
         self.notices = Notices()
-        self.stalls = Stalls()
+        self.stalls = StallThresholds()
         """Pauses between the events of streams."""
-        self.first_event_waits = Stalls()
+        self.first_event_waits = StallThresholds()
         """From the head of an answer to its first event."""
 
     # For those who hold streams
@@ -114,11 +114,11 @@
     def status(self) -> dict[str, object]:
         """Return what is moved now, as plain data."""
         now = self._clock()
-        left = {name: self.notices.left(name, now) for name in self._runs}
+        left = {name: self.notices.seconds_left(name, now) for name in self._runs}
         return {
             "under_way": self.handovers_in_progress,
             "leaving": {name: round(s, 2) for name, s in left.items() if s is not None},
-            "long_pause_ms": self.stalls.shown(),
+            "long_pause_ms": self.stalls.long_pauses_ms(),
         }
 
     @property
@@ -153,13 +153,13 @@
         planned: dict[str, tuple[MovableRun, Move]] = {}
         for upstream_id, runs in self._runs.items():
             left = self._leaves_in(upstream_id, now)
-            if (left is None and not everywhere) or self._links.busy(upstream_id):
+            if (left is None and not everywhere) or self._links.is_full(upstream_id):
                 continue
             for key, run in runs.items():
                 move = self._plan(run, left, now)
                 if move is not None:
                     planned[key] = (run, move)
-        for key, move in in_order((key, move) for key, (_, move) in planned.items()):
+        for key, move in sort_by_urgency((key, move) for key, (_, move) in planned.items()):
             self._start(planned[key][0], move, now)
 
     def _leaves_in(self, upstream_id: str, now: float) -> float | None:
@@ -167,14 +167,14 @@
         known = self._upstreams.find(upstream_id)
         if known is None or known.draining:
             self.notices.note(upstream_id, known.leaves_seconds if known else None, now)
-        return self.notices.left(upstream_id, now)
+        return self.notices.seconds_left(upstream_id, now)
 
     def _plan(self, run: MovableRun, leaves_in: float | None, now: float) -> Move | None:
         engine = run.request.service.engine
         if engine is None or not run.may_move(now):
             return None
         service = run.request.service.name
-        patience = self.stalls.after(service, run.request.need.target_gap)
+        patience = self.stalls.threshold(service, run.request.need.target_gap)
         stalled = now >= self._sound_at and run.is_stalled(now, patience)
         usual = self.stalls.usual_pause(service)
         move = plan_move(run.state(now, usual, leaves_in, stalled), engine)
@@ -186,7 +186,7 @@
         engine = run.request.service.engine
         assert engine is not None
         seconds = copy_seconds(run.tokens, engine, near=False)
-        if not self._links.take(run.upstream.id, seconds, move.within):
+        if not self._links.try_reserve(run.upstream.id, seconds, move.time_limit):
             return
         run.begin_handover()
         self._spawn(self._move(run, move, seconds))
@@ -204,7 +204,7 @@
         try:
             tried = {run.upstream.id}
             for _ in range(_MOST_TARGETS):
-                if run.ended or self._clock() - began >= move.within:
+                if run.ended or self._clock() - began >= move.time_limit:
                     break
                 placed = await self._target(run.request, frozenset(tried))
                 if placed is None:
@@ -218,7 +218,7 @@
                     break
         finally:
             run.end_handover(self._clock())
-            self._links.give_back(run.upstream.id, seconds)
+            self._links.release(run.upstream.id, seconds)
             self._note(run, move, why, began)
 
     async def _hand_over(self, run: MovableRun, placed: Placed, seconds: float) -> Handover | None:
--- a/src/lotushill/requests/upstream_gate.py
+++ b/src/lotushill/requests/upstream_gate.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from lotushill.availability.stated_limits import Word
+from lotushill.availability.stated_limits import LimitReport
 from lotushill.limits.permit_request import permit_request
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lotushill.availability.rests import Rests
+    from lotushill.availability.cooldowns import Cooldowns
     from lotushill.availability.statement import Statement
     from lotushill.event_log import EventLog
     from lotushill.limits.fleet_limits import FleetLimits
@@ -40,7 +40,7 @@
     def __init__(
         self,
         upstreams: UpstreamView,
-        rests: Rests,
+        rests: Cooldowns,
         limits: FleetLimits,
         on_leaving: Callable[[str], None],
         log: EventLog,
@@ -65,13 +65,13 @@
     def record_statement(self, upstream_id: str, said: Statement, asked: float) -> None:
         """Take in what the answer to a request that was sent at `asked` says of its upstream."""
         now = self._clock()
-        if said.unreadable:
+        if said.unreadable_cooldown:
             self.unreadable_cooldowns += 1
-        if said.rest:
-            self._rests.note_asked(upstream_id, said.rest, now)
-            self._log.note("upstream.rests", upstream=upstream_id, seconds=said.rest)
+        if said.cooldown:
+            self._rests.note_requested(upstream_id, said.cooldown, now)
+            self._log.note("upstream.rests", upstream=upstream_id, seconds=said.cooldown)
         else:
-            self._rests.note_taken(upstream_id, now)
+            self._rests.note_accepted(upstream_id, now)
         if said.leaving:
             self._on_leaving(upstream_id)
         if said.unreadable_limit:
@@ -80,14 +80,14 @@
                 "upstream.limit_unreadable", upstream=upstream_id, value=said.unreadable_limit
             )
         if said.limit is not None:
-            self._limits.keeper.hear(upstream_id, Word(said.limit, asked, now))
+            self._limits.gossip.note_answer(upstream_id, LimitReport(said.limit, asked, now))
 
     def accepts_requests(self, upstream_id: str) -> bool:
         """Return whether an upstream takes new requests of this gateway now, as far as is known."""
         known = self._upstreams.find(upstream_id)
         if known is None or known.draining:
             return False
-        return not self._rests.bars(upstream_id, self._clock())
+        return not self._rests.is_barred(upstream_id, self._clock())
 
     async def admit(self, upstream: Upstream, need: Need) -> Permit | None:
         """Return the permit for one request, None if it has to go elsewhere.
--- a/src/lotushill/requests/upstream_search.py
+++ b/src/lotushill/requests/upstream_search.py
@@ -7,9 +7,9 @@
 
 import anyio
 
-from lotushill.availability.patience import limited_retry
-from lotushill.availability.patience import rest_pause
-from lotushill.availability.patience import return_pause
+from lotushill.availability.wait_policy import cooldown_wait
+from lotushill.availability.wait_policy import limited_retry_after_seconds
+from lotushill.availability.wait_policy import returned_request_wait
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.scheduling.placement import Placement
@@ -61,7 +61,9 @@
             pause = self._pause(found)
             if pause is None:
                 if found.refusal in (Refusal.LIMITED, Refusal.TEAM_LIMIT):
-                    found = replace(found, retry_after=limited_retry(found.retry_after))
+                    found = replace(
+                        found, retry_after=limited_retry_after_seconds(found.retry_after)
+                    )
                 self._note_refusal(found)
                 return found
             await anyio.sleep(pause)
@@ -88,7 +90,7 @@
         limit = self._request.route.limit
         if limit is None or self._within_limit:
             return 0.0
-        wait = await self._parts.team_limits.wait(limit, self._request.need.tier)
+        wait = await self._parts.team_limits.request_permit(limit, self._request.need.tier)
         self._within_limit = wait <= 0.0
         return wait
 
@@ -96,18 +98,18 @@
         """Return what was put off and still is, whether or not those who choose know of it."""
         route, denials = self._request.need.route, self._parts.limits.denials
         now = self._clock()
-        return {name for name in self._put_off if denials.bars(name, route, now)}
+        return {name for name in self._put_off if denials.is_barred(name, route, now)}
 
     def _pause(self, found: NoChoice) -> float | None:
         """Return after how many seconds to look again, None to refuse now."""
         request, now = self._request, self._clock()
         if found.refusal in (Refusal.RESTING, Refusal.LIMITED, Refusal.TEAM_LIMIT):
-            pause = rest_pause(found.retry_after, now - request.arrived, request.need)
+            pause = cooldown_wait(found.retry_after, now - request.arrived, request.need)
             return pause if pause is not None and now + pause < request.ends else None
         if found.refusal is Refusal.EARLY:
             return None
         if found.refusal is Refusal.RETURNED:
-            pause = return_pause(now - request.arrived, request.need)
+            pause = returned_request_wait(now - request.arrived, request.need)
             return pause if pause is not None and now + pause < request.ends else None
         pause = _POLL_SECONDS * self._parts.rng.uniform(0.7, 1.3)
         if found.final:
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -163,7 +163,7 @@
         now, route = self._clock(), request.need.route
         limited = self._barred.any_limited(closed, route, now)
         refusal = Refusal.LIMITED if limited else Refusal.RESTING
-        return NoChoice(refusal, self._barred.first_end(closed, route, now))
+        return NoChoice(refusal, self._barred.seconds_to_first_end(closed, route, now))
 
     def _note_size(self, need: Need) -> None:
         self._fleet.note_arrival(need, self._clock())
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -13,15 +13,15 @@
 from typing import TypeAlias
 
 from lotushill import clock as clocks
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.contracts.settings_view import SettingsView
 from lotushill.duties.true_time import TrueTime
 from lotushill.duties.work_counts import WorkCounts
 from lotushill.event_log import EventLog
 from lotushill.limits.barred_upstreams import BarredUpstreams
-from lotushill.limits.counting import CountingGateways
 from lotushill.limits.fleet_limits import FleetLimits
+from lotushill.limits.limit_owners import LimitOwners
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.limits.team_limits import TeamLimits
 from lotushill.links.http_server import HttpServer
@@ -292,9 +292,9 @@
             self.clock, time.monotonic, self._on_woke, lambda _: self.confirmed
         )
         log = EventLog("gw", self.lines.append)
-        rests = Rests()
+        rests = Cooldowns()
         members, stated = alone("gw"), StatedLimits()
-        counting = CountingGateways(members, Schedulers(members), lambda: 1)
+        counting = LimitOwners(members, Schedulers(members), lambda: 1)
         self.limits = FleetLimits(
             self.view,
             counting,
--- a/tests/scheduling/test_waiting_desk.py
+++ b/tests/scheduling/test_waiting_desk.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from typing import cast
 
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.limits.barred_upstreams import BarredUpstreams
 from lotushill.limits.denials import Denials
@@ -188,7 +188,7 @@
         view.replace(UPSTREAMS, 1)
         self.placer = Placer(
             "s0", self.scheduler.fleet, self.scheduler.load, view, random.Random(1),
-            self.scheduler.clock, BarredUpstreams(Rests(), Denials()), StatedLimits(),
+            self.scheduler.clock, BarredUpstreams(Cooldowns(), Denials()), StatedLimits(),
             queue_runner=self.scheduler.keeper,
         )  # fmt: skip
 
