--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -585,14 +585,14 @@
     Break(
         "a request that ends upstreams is held after three",
         "quarantine/suspect.py",
-        "return len(self.ends) >= ENDS_TO_HOLD\n\n    def is_clear",
+        "return len(self.failed_upstreams) >= ENDS_TO_HOLD\n\n    def is_clear",
         "return False\n\n    def is_clear",
         "tests.quarantine.test_quarantine",
     ),
     Break(
         "what one gateway saw is told to all",
         "peering/quarantine_keeper.py",
-        "self._plan.tell(cut.identity, now)",
+        "self._plan.schedule_failure(cut.identity, now)",
         "pass",
         "tests.quarantine.test_fleet",
     ),
@@ -928,14 +928,14 @@
     Break(
         "groups under which upstreams end are kept apart",
         "requests/isolation_policy.py",
-        "if ward is None or service not in self._isolation.services(now):",
+        "if ward is None or service not in self._isolation.isolated_services(now):",
         "if True:",
         "tests.requests.test_ward",
     ),
     Break(
         "of what is kept apart one request runs at a time",
         "requests/isolation_policy.py",
-        "if self._isolation.empty or not choice.running:",
+        "if self._isolation.is_empty or not choice.running:",
         "if True:",
         "tests.requests.test_ward",
     ),
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -228,7 +228,7 @@
         },
         "members": [_member(item) for item in gateway.peers.membership.all()],
         "held_requests": {
-            item.hex(): gateway.quarantine.suspects.ends_under(item)
+            item.hex(): gateway.quarantine.suspects.failure_count(item)
             for item in gateway.quarantine.held()
         },
         "isolated_groups": [
--- a/src/lotushill/requests/client_application.py
+++ b/src/lotushill/requests/client_application.py
@@ -124,7 +124,7 @@
         clock = self._parts.clock
         connection = cast("ClientProtocol", scope[CONNECTION])
         exchange = Exchange(self._parts, request, answer)
-        self._parts.work.enter(request.service.name)
+        self._parts.work.increment_running(request.service.name)
         left = request.ends - clock()
         with anyio.CancelScope(deadline=asyncio.get_running_loop().time() + left) as cancel:
             lost = _Lost(cancel)
@@ -149,7 +149,7 @@
             else:
                 await exchange.time_out()
         took = clock() - request.arrived
-        self._parts.work.leave(request.service.name)
+        self._parts.work.decrement_running(request.service.name)
         self._parts.metrics.note_request(request.service.name, exchange.outcome, took)
         self._parts.log.note(
             "request.ended",
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -203,7 +203,7 @@
     def _note_ran(self) -> None:
         if not self._counted:
             self._counted = True
-            self._parts.work.note_began(self._request.team)
+            self._parts.work.record_start(self._request.team)
 
     def _note_choice(self, placement: Placement) -> None:
         choice = placement.choice
--- a/src/lotushill/requests/parts.py
+++ b/src/lotushill/requests/parts.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable
 
     from lotushill.contracts.settings_view import SettingsView
-    from lotushill.duties.work_counts import WorkCounts
+    from lotushill.duties.request_counter import RequestCounter
     from lotushill.event_log import EventLog
     from lotushill.limits.fleet_limits import FleetLimits
     from lotushill.limits.team_limits import TeamLimits
@@ -48,7 +48,7 @@
     mover: Mover
     budgets: RetryBudgets
     quarantine: QuarantineKeeper
-    work: WorkCounts
+    work: RequestCounter
     log: EventLog
     metrics: Metrics
     rng: random.Random
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -16,8 +16,8 @@
 from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.contracts.settings_view import SettingsView
+from lotushill.duties.request_counter import RequestCounter
 from lotushill.duties.true_time import TrueTime
-from lotushill.duties.work_counts import WorkCounts
 from lotushill.event_log import EventLog
 from lotushill.limits.barred_upstreams import BarredUpstreams
 from lotushill.limits.fleet_limits import FleetLimits
@@ -349,7 +349,7 @@
             team_limits=TeamLimits(counting, self.limits.client, random.Random(8), self.clock),
             quarantine=self.keeper,
             budgets=budgets,
-            work=WorkCounts("gw", 5.0, TrueTime(time.time, self.clock), self.clock),
+            work=RequestCounter("gw", 5.0, TrueTime(time.time, self.clock), self.clock),
             log=log,
             metrics=metrics,
             rng=random.Random(1),
--- a/tests/requests/test_quarantine.py
+++ b/tests/requests/test_quarantine.py
@@ -246,7 +246,7 @@
         for upstream in upstreams:
             upstream.scripts.append(streams(upstream))
         async with Rig(upstreams, RouteKind.STREAM, engine=True, backups=True) as rig:
-            rig.quarantine.note_end(
+            rig.quarantine.record_upstream_failure(
                 identity_of(TEAM, HOST, b"POST", b"/p/x", DEADLY), TEAM, "/p/x", "before", 1.0
             )
             headers = "Token-Usage: 1000,400\r\nPrompt-Prefix: 0a:600,0b:400\r\n"
--- a/tests/requests/test_ward.py
+++ b/tests/requests/test_ward.py
@@ -29,7 +29,7 @@
     now = rig.clock()
     for number, before in enumerate(ENDS_APART):
         for group in groups_of("s", TEAM, rig.route.name, SUSPECT.encode(), ()):
-            rig.isolation.note_end(group, f"former{number}", "gw", 0, now - before)
+            rig.isolation.record_upstream_failure(group, f"former{number}", "gw", 0, now - before)
 
 
 def got_suspect(upstreams: list[ScriptedUpstream]) -> list[ScriptedUpstream]:
