--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -313,8 +313,8 @@
             "gw", self.isolation, self.sent_messages.append, log, random.Random(6), self.clock
         )
         self.keeper = QuarantineKeeper(
-            "gw", self.quarantine, groups, self.view, pool.has_ended, self.sent_messages.append, log,
-            random.Random(3), self.clock,
+            "gw", self.quarantine, groups, self.view, pool.has_ended, self.sent_messages.append,
+            log, random.Random(3), self.clock,
         )  # fmt: skip
         placer = Placer(
             "gw",
--- a/tests/scheduling/test_waiting_desk.py
+++ b/tests/scheduling/test_waiting_desk.py
@@ -51,8 +51,8 @@
 def ask(number: int, waited: float = 0.0) -> PlacementAsk:
     need = chat()
     return PlacementAsk(
-        "gw", number, "llm", "chat", need.target, need.target_gap, need.time_left - waited, True, False,
-        False, need.prompt_tokens, need.output_tokens, (7,), (need.prompt_tokens,), 0, (),
+        "gw", number, "llm", "chat", need.target, need.target_gap, need.time_left - waited, True,
+        False, False, need.prompt_tokens, need.output_tokens, (7,), (need.prompt_tokens,), 0, (),
         waited=waited, waits=True,
     )  # fmt: skip
 
