--- a/src/lotushill/availability/__init__.py
+++ b/src/lotushill/availability/__init__.py
@@ -1,3 +1,3 @@
-"""Which upstreams want no requests now, by what they say of themselves in their answers."""
+"""Availability of upstreams, as they state it themselves in their answers."""
 
 from __future__ import annotations
--- a/src/lotushill/availability/newest_first.py
+++ b/src/lotushill/availability/newest_first.py
@@ -1,4 +1,4 @@
-"""Which of many facts fit one datagram. Pure."""
+"""Selects which of many facts go into one datagram. Pure."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class NewestFirst:
-    """Chooses what became known last, and some of the others in turn by lot.
+    """Selects the facts that changed last, and a random sample of the others.
 
-    The load that it answers: hundreds of engines say something of themselves at the same time. One
-    more word among them is to be known to all within a moment, and the others some time.
+    Load case: hundreds of engines state something about themselves at the same time. One further
+    statement among them has to reach all gateways within a moment, the others eventually.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -24,11 +24,11 @@
         self._since: dict[str, float] = {}
 
     def note(self, name: str, now: float) -> None:
-        """Note that something of a name became known."""
+        """Record that the fact stored under a name changed."""
         self._since[name] = now
 
     def choose(self, names: Iterable[str]) -> list[str]:
-        """Return those to tell of now, and forget all that are not among the names."""
+        """Return the names to announce now, and forget those that are not among `names`."""
         known = set(names)
         self._since = {name: at for name, at in self._since.items() if name in known}
         newest = self._newest()
@@ -36,7 +36,7 @@
         return newest + self._rng.sample(others, min(_OTHERS, len(others)))
 
     def is_told(self, told: Iterable[str]) -> bool:
-        """Return whether somebody told of all that became known last here."""
+        """Return whether an announcement covered all names that changed last here."""
         return set(self._newest()) <= set(told)
 
     def _newest(self) -> list[str]:
--- a/src/lotushill/availability/patience.py
+++ b/src/lotushill/availability/patience.py
@@ -1,8 +1,8 @@
-"""Whether a request waits where all upstreams that could serve it want a rest. Pure.
+"""Decides whether a request waits while all upstreams that could serve it are in cooldown. Pure.
 
-The load that it answers: all engines of a service turn requests away for some seconds and ask for
-rest. A caller that is refused comes back to any gateway, mostly with its last try, and no sooner
-than it is told to; one that waits here is served as soon as the first engine takes requests again.
+Load case: all engines of a service reject requests for some seconds and ask for a cooldown. A
+refused caller returns to any gateway, mostly with its last try, and not before its Retry-After time
+is over; a request that waits here is served as soon as the first engine accepts requests again.
 """
 
 from __future__ import annotations
@@ -15,36 +15,37 @@
     from lotushill.placement.need import Need
 
 WAIT_SHARE = 1.0
-"""Of its target, up to which a request waits for the end of a rest: it can still be in time."""
+"""Fraction of its target for which a request waits for a cooldown to end; it can still be served in
+time then."""
 _TIER_SECONDS = 0.01
-"""By so much later each less urgent tier looks again: at a rest's end one request goes first, and
-it is to be one of the most urgent."""
+"""Additional delay per tier until a request checks again: one probe request goes first at the end
+of a cooldown, and it has to be one of the most urgent."""
 _LIMITED_RETRY_SECONDS = 1.0
-"""Without a permit for its whole target, a request that came back at once would mostly use up its
-caller's last try in vain."""
+"""Shortest Retry-After time of a request that got no permit within its whole target. If its caller
+returned at once, it would mostly use up its last try in vain."""
 RETURN_SHARE = 0.6
-"""Of its target, up to which one that came back waits for the room that it was promised."""
+"""Fraction of its target for which a returned request waits for the slot promised to it."""
 _RETURN_POLL_SECONDS = 0.06
-"""Between two looks for the room that was promised: about as often as a slot comes free."""
+"""Interval between two checks for the promised slot: about as often as a slot becomes free."""
 
 
 def limited_retry(first_end: float) -> float:
-    """Return after how many seconds a request that had no permit is to come back."""
+    """Return the Retry-After time in seconds for a request that got no permit."""
     return max(_LIMITED_RETRY_SECONDS, first_end)
 
 
 def rest_pause(rest_ends_in: float, waited: float, need: Need) -> float | None:
-    """Return for how long a request that has waited so long is to wait, None if it is refused."""
+    """Return for how many seconds a request that has waited so far waits on, None to refuse it."""
     pause = rest_ends_in + need.tier * _TIER_SECONDS
     return pause if waited + pause <= WAIT_SHARE * need.target else None
 
 
 def return_pause(waited: float, need: Need) -> float | None:
-    """Return for how long one that came back as it was told is to wait, None if it is refused.
+    """Return how many seconds a returned request waits until the next check, or None to refuse it.
 
-    Its client has no further try, and room is about to come: it waits here beyond what a newcomer
-    waits, while its place is kept. Longer, those that are late already would take the room of many
-    that are not.
+    Its client has no further try, and a slot is about to become free: it waits here longer than a
+    new request does, while its promise is kept. With longer waits, requests that are late already
+    would take the slots of many that are not.
     """
     longest = min(KEPT_SECONDS, RETURN_SHARE * need.target)
     return _RETURN_POLL_SECONDS if waited + _RETURN_POLL_SECONDS <= longest else None
--- a/src/lotushill/availability/rests.py
+++ b/src/lotushill/availability/rests.py
@@ -1,8 +1,10 @@
-"""Which upstreams want no requests from this gateway for a while. Pure, with the clock passed in.
+"""Cooldowns: periods for which upstreams asked this gateway to send no requests.
 
-The load that it answers: an upstream that is full, or protects itself, turns requests away and says
-for how long it wants none. Sent on all the same, they come back as refusals, each of which costs
-the caller a round trip and the fleet a part of its retry budget.
+Pure, with the clock passed in.
+
+Load case: an upstream that is full, or protects itself, rejects requests and states for how long it
+wants none. Requests that are sent all the same are rejected as well, and each rejection costs the
+caller a round trip and the fleet a part of its retry budget.
 """
 
 from __future__ import annotations
@@ -14,8 +16,11 @@
     from collections.abc import Iterable
 
 _TRIAL_SECONDS = 0.1
-"""After a rest one request goes first. Whoever still wants none turns it away within a round trip
-of some milliseconds; who has not done so after ten times as long has taken it."""
+"""Time after which a probe request counts as accepted.
+
+After a cooldown one request is sent as a probe. An upstream that still wants none rejects it within
+a round trip of some milliseconds; if it has not done so after ten times as long, it accepted it.
+"""
 _NOBODY: frozenset[str] = frozenset()
 
 
@@ -23,7 +28,7 @@
 class _Rest:
     until: float
     trial_at: float | None = None
-    """When the first request after the rest was sent."""
+    """When the first request after the cooldown was sent, None before that."""
 
     def is_over(self, now: float) -> bool:
         return self.trial_at is not None and now >= self.trial_at + _TRIAL_SECONDS
@@ -36,18 +41,18 @@
 
 
 class Rests:
-    """Rests by the id of an upstream's life: a later life is free at once."""
+    """Cooldowns by the id of an upstream's incarnation, so that a restart ends them at once."""
 
     def __init__(self) -> None:
         self._rests: dict[str, _Rest] = {}
         self.asked = 0
-        """Rests that were asked for so far."""
+        """Number of cooldowns requested so far."""
 
     def note_asked(self, upstream_id: str, seconds: float, now: float) -> None:
-        """Note that an upstream wants nothing for so long; of several wishes the longest holds.
+        """Record that an upstream asked for a cooldown; of several the one that ends last applies.
 
-        Requests that were under way together are turned away one after the other, and a shorter
-        word to a later one takes nothing back of what was asked before.
+        Requests that were in flight together are rejected one after the other, and a shorter
+        cooldown in a later rejection does not shorten an earlier one.
         """
         self.asked += 1
         until = now + seconds
@@ -55,7 +60,7 @@
         self._rests[upstream_id] = _Rest(max(until, known.until if known else until))
 
     def note_sent(self, upstream_id: str, now: float) -> None:
-        """Note that a request goes out; after a rest the first one tries for those that follow."""
+        """Record that a request is sent; the first one after a cooldown is the probe."""
         rest = self._rests.get(upstream_id)
         if rest is None:
             return
@@ -65,31 +70,31 @@
             rest.trial_at = now
 
     def note_taken(self, upstream_id: str, now: float) -> None:
-        """Note an answer that asks for no rest: what it does not take back is a rest that lasts."""
+        """Record an answer without a cooldown; it does not end a cooldown that still lasts."""
         rest = self._rests.get(upstream_id)
         if rest is not None and now >= rest.until:
             del self._rests[upstream_id]
 
     def bars(self, upstream_id: str, now: float) -> bool:
-        """Return whether an upstream is to be sent nothing now."""
+        """Return whether no request may be sent to an upstream now."""
         rest = self._rests.get(upstream_id)
         return rest is not None and rest.bars(now)
 
     def barred(self, now: float) -> frozenset[str]:
-        """Return all upstreams that are to be sent nothing now."""
+        """Return all upstreams to which no request may be sent now."""
         if not self._rests:
             return _NOBODY
         return frozenset(name for name, rest in self._rests.items() if rest.bars(now))
 
     def first_end(self, upstream_ids: Iterable[str], now: float) -> float:
-        """Return after how many seconds the first of some upstreams that rest takes requests."""
+        """Return the seconds until the first of some upstreams in cooldown accepts requests."""
         ends = [self._rests[name].ends() for name in upstream_ids if name in self._rests]
         return max(0.0, min(ends, default=now) - now)
 
     def forget(self, known: set[str], now: float) -> None:
-        """Drop the rests of upstreams that no view knows, once they are over.
+        """Drop the cooldowns of upstreams that are in no view, once they have ended.
 
-        An entry that lapses or cannot be read for a while comes back within the rest.
+        An entry that expires or cannot be read for a while may reappear within the cooldown.
         """
         for upstream_id in self._rests.keys() - known:
             if now >= self._rests[upstream_id].until:
--- a/src/lotushill/availability/retry_budget.py
+++ b/src/lotushill/availability/retry_budget.py
@@ -1,4 +1,4 @@
-"""A gateway's part of the fleet's budget for sending a request once more."""
+"""A gateway's part of the fleet's retry budget."""
 
 from __future__ import annotations
 
@@ -6,35 +6,36 @@
 
 _RATIO_SHARE = 0.8
 _SLACK_SHARE = 0.8
-"""What of the budget is used: the rest is for counts that differ at the edges of a window."""
+"""Fractions of ratio and slack that are used; the remainder covers counts that differ between
+gateways at the edges of a window."""
 
 
 class RetryBudget:
-    """Counts requests and repeats of one service in a sliding window."""
+    """Counts requests and retries of one service in a sliding window."""
 
     def __init__(
         self, ratio: float, slack: float, window: float, started: float = float("-inf")
     ) -> None:
-        """Count from when the process `started`."""
+        """Create the budget; `started` is the time at which the process started."""
         self._started = started
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
         self.change(ratio, slack, window)
 
     def change(self, ratio: float, slack: float, window: float) -> None:
-        """Use other bounds from now on; `window` is in seconds."""
+        """Replace the bounds; `window` is in seconds."""
         self._ratio = ratio * _RATIO_SHARE
         self._slack = slack * _SLACK_SHARE
         self._window = window
 
     def note_request(self, now: float) -> None:
-        """Note a client's request."""
+        """Record a client's request."""
         self._requests.append(now)
 
     def spend(self, gateways: int, now: float) -> bool:
-        """Take one repeat, if this gateway's part of the budget has one left.
+        """Take one retry and return True if this gateway's part of the budget has one left.
 
-        `gateways` is how many share the budget, 0 while that is not known.
+        `gateways` is the number of gateways that share the budget, 0 while it is unknown.
         """
         self._forget(self._requests, now)
         self._forget(self._repeats, now)
@@ -45,11 +46,12 @@
         return True
 
     def _slack_part(self, gateways: int, now: float) -> float:
-        """Return what is allowed beyond the share of the own requests.
+        """Return the retries allowed beyond the ratio of this gateway's own requests.
 
-        Nothing while the fleet's size is not known, and nothing in the first window of a process:
-        its host may have spent its part just before it was started again, and others count a new
-        one in only after some seconds. So all parts together never exceed the budget.
+        It is 0 while the fleet's size is unknown, and in the first window of a process: the
+        previous process on its host may have spent its part just before the restart, and other
+        gateways count a new one only after some seconds. So all parts together never exceed the
+        budget.
         """
         if not gateways or now - self._started < self._window:
             return 0.0
--- a/src/lotushill/availability/stated_limits.py
+++ b/src/lotushill/availability/stated_limits.py
@@ -1,4 +1,4 @@
-"""The rates at which upstreams take requests from all gateways together, by their newest words."""
+"""Request rates that upstreams accept from all gateways together, by their newest statements."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 
 NO_LIMIT = math.inf
 _KEPT_SECONDS = 30.0
-"""How long an end of a limit is remembered, and a limit of an upstream that no view knows: longer
-than news are under way, and than an entry lapses for."""
+"""How long the end of a limit is kept, and a limit of an upstream that is in no view: longer than
+gossip is in flight, and than an entry is missing when it expires."""
 
 
 @dataclass(frozen=True)
 class Word:
-    """What one answer said of an upstream's limit; it was said between two moments."""
+    """The limit that an upstream stated in one answer, at some moment between two times."""
 
     rate: float
-    """Requests a second from all gateways together, `NO_LIMIT` where it named none."""
+    """Requests per second from all gateways together, `NO_LIMIT` if the answer stated none."""
     asked: float
-    """When the request was sent."""
+    """When the request was sent: the earliest time of the statement."""
     heard: float
-    """When its answer came."""
+    """When its answer was received: the latest time of the statement."""
 
 
 class StatedLimits:
-    """The newest word of each upstream's life. Pure, with the clock's times passed in.
+    """The newest limit report of each upstream's incarnation. Pure, with the clock passed in.
 
-    An upstream counts its words for nobody, so that their order is known only as far as their
-    times do not overlap. Of two that do the lower rate holds: a later answer settles it.
+    Upstreams do not number their statements, so the order of two reports is known only if their
+    times do not overlap. Of two that overlap the lower rate applies: a later answer settles it.
     """
 
     def __init__(self) -> None:
         self._words: dict[str, Word] = {}
 
     def take(self, upstream_id: str, word: Word) -> bool:
-        """Take in a word of an own answer or of another gateway's; return whether it is news.
+        """Merge a report of this or another gateway; return whether the known rate changed.
 
-        Nothing is kept for an upstream that never named a limit.
+        Nothing is stored for an upstream that never stated a limit.
         """
         known = self._words.get(upstream_id)
         if known is None:
@@ -50,16 +50,16 @@
         return word.rate != known.rate
 
     def rate(self, upstream_id: str) -> float:
-        """Return the requests a second that an upstream takes, `NO_LIMIT` without a limit."""
+        """Return the requests per second that an upstream accepts, `NO_LIMIT` if unlimited."""
         known = self._words.get(upstream_id)
         return known.rate if known is not None else NO_LIMIT
 
     def word(self, upstream_id: str) -> Word | None:
-        """Return the newest word of an upstream that ever named a limit."""
+        """Return the newest report of an upstream, None if it never stated a limit."""
         return self._words.get(upstream_id)
 
     def words(self) -> dict[str, Word]:
-        """Return all words that are kept, the ends of limits among them."""
+        """Return all stored reports, including those that ended a limit."""
         return dict(self._words)
 
     def limited(self) -> dict[str, float]:
@@ -68,11 +68,11 @@
 
     @property
     def empty(self) -> bool:
-        """Return whether nothing is kept."""
+        """Whether no report is stored."""
         return not self._words
 
     def forget(self, known: set[str], now: float) -> None:
-        """Drop ends of limits, and limits of upstreams that no view knows, once they are old."""
+        """Drop ended limits, and limits of upstreams that are in no view, once they are old."""
         for upstream_id, word in list(self._words.items()):
             over = word.rate == NO_LIMIT or upstream_id not in known
             if over and now - word.heard > _KEPT_SECONDS:
@@ -80,12 +80,12 @@
 
 
 def finite(rate: float | None) -> float | None:
-    """Return a rate as a log line can hold it, None without a limit."""
+    """Return a rate in the form that log lines can hold: None if there is no limit."""
     return rate if rate is not None and rate < NO_LIMIT else None
 
 
 def _replaces(word: Word, known: Word) -> bool:
-    """Return whether a word is to be believed in place of the one that is known."""
+    """Return whether a report replaces the known one."""
     if word.rate == known.rate:
         return word.heard > known.heard
     if word.asked >= known.heard:
--- a/src/lotushill/availability/statement.py
+++ b/src/lotushill/availability/statement.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself in one answer."""
+"""Statements of an upstream about itself in one answer."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 from lotushill.availability.stated_limits import NO_LIMIT
 
 LONGEST_REST_SECONDS = 300.0
-"""A longer wish is cut to this: whoever wants nothing for minutes says that it leaves, and a figure
-that is absurd by mistake must not take an upstream away for hours."""
+"""Longest cooldown; longer ones are cut to this. An upstream that wants no requests for minutes
+states that it is leaving, and an absurd value sent by mistake must not remove it for hours."""
 LEAST_LIMIT = 0.1
-"""A lower limit is taken for this: with nothing sent, nobody would hear of its end."""
+"""Lowest limit in requests per second; lower ones are raised to this. If no request were sent, no
+answer could state that the limit ended."""
 MOST_LIMIT = 100_000.0
-"""A higher limit is taken for this: no fleet sends one upstream as much."""
+"""Highest limit in requests per second; higher ones are cut to this. No fleet sends one upstream as
+much."""
 _MOST_LOGGED = 60
 _EMPTY = "(empty)"
 _DECIMAL = re.compile(rb"[0-9]{1,30}(?:\.[0-9]{0,30})?|\.[0-9]{1,30}")
@@ -22,23 +24,23 @@
 
 @dataclass(frozen=True)
 class Statement:
-    """Facts that the upstream alone knows; what an answer does not say is left at its default."""
+    """Facts that only the upstream knows; those missing in an answer keep their default."""
 
     not_executed: bool = False
-    """Whether it did not run the request and never will."""
+    """Whether the upstream did not run the request and never will."""
     rest: float = 0.0
-    """Seconds from now in which it wants no request from this gateway; 0 for none."""
+    """Seconds from now for which the upstream wants no request from this gateway; 0 for none."""
     leaving: bool = False
-    """Whether it is about to end, and wants no new request from anybody."""
+    """Whether the upstream is about to shut down and wants no new request from any gateway."""
     unreadable: str = ""
-    """A wish for rest that could not be read, and so is not followed."""
+    """Text of a cooldown that could not be parsed, and so is ignored."""
     limit: float | None = NO_LIMIT
-    """Requests a second that it takes from all gateways together, `NO_LIMIT` where it names none.
+    """Requests per second that it accepts from all gateways together, `NO_LIMIT` if it states none.
 
-    None where it names one that cannot be read: then what is known of it stays.
+    None if it states one that cannot be parsed: then the known limit stays.
     """
     unreadable_limit: str = ""
-    """What stands in the place of such a limit."""
+    """Text of a limit that could not be parsed."""
 
 
 NOTHING_SAID = Statement()
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Rest:
-    """How long an upstream wants no requests, as far as that can be read."""
+    """Cooldown that an upstream asked for, as far as it can be parsed."""
 
     seconds: float = 0.0
     unreadable: str = ""
@@ -54,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Limit:
-    """How much an upstream takes from all gateways together, as far as that can be read."""
+    """Limit that an upstream stated for all gateways together, as far as it can be parsed."""
 
     rate: float | None = NO_LIMIT
     unreadable: str = ""
@@ -64,7 +66,7 @@
 
 
 def read_rest(values: list[bytes]) -> Rest:
-    """Return the longest of several wishes in seconds; dates are not among the forms in use."""
+    """Return the longest of several cooldowns in seconds; dates are not among the forms in use."""
     longest, unreadable = 0.0, ""
     for value in values:
         seconds = _seconds(value)
@@ -84,7 +86,7 @@
 
 
 def read_limit(values: list[bytes]) -> Limit:
-    """Return the lowest of several limits; one alone that cannot be read leaves it open."""
+    """Return the lowest of several limits; its rate is None if none of them can be parsed."""
     if not values:
         return _NONE_NAMED
     read = [_decimal(value) for value in values]
@@ -96,7 +98,7 @@
 
 
 def _decimal(value: bytes) -> float | None:
-    """Return a decimal number of at least 0, None for anything else."""
+    """Parse a decimal number of at least 0; return None for anything else."""
     text = value.strip()
     return float(text) if _DECIMAL.fullmatch(text) else None
 
--- a/src/lotushill/availability/telling.py
+++ b/src/lotushill/availability/telling.py
@@ -1,4 +1,4 @@
-"""When a gateway tells the others which of many facts that all are to know. Pure."""
+"""Schedules which facts a gateway announces to the others, and when. Pure."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 
 
 class Telling:
-    """Tells what is new first, and is silent where others tell the same."""
+    """Announces new facts first, and nothing while other gateways announce the same."""
 
     def __init__(self, rng: random.Random) -> None:
         self._timer = Trickle(rng)
         self._order = NewestFirst(rng)
 
     def note(self, name: str, now: float) -> None:
-        """Note that something of a name is new here."""
+        """Record that the fact stored under a name changed here."""
         self._order.note(name, now)
         self._timer.reset(now)
 
     def hear(self, told: Collection[str], complete: bool, differs: bool, now: float) -> None:
-        """Note what another gateway told, all that it knows or a part of it.
+        """Record an announcement of another gateway.
 
-        `differs` says that it lacks something, or believes something else.
+        `told` holds the names in it, and `complete` states whether these are all that the sender
+        knows. `differs` states that the sender lacks a fact, or holds a different one.
         """
         if differs:
             self._timer.reset(now)
@@ -35,7 +36,7 @@
             self._timer.hear()
 
     def due(self, names: Collection[str], now: float) -> list[str]:
-        """Return of which of all names to tell now, none while nothing is due."""
+        """Return the names to announce now, an empty list while nothing is due."""
         if not names:
             self._timer.stop()
             return []
--- a/src/lotushill/availability/trickle.py
+++ b/src/lotushill/availability/trickle.py
@@ -1,8 +1,8 @@
-"""When a gateway tells what all are to know (the Trickle algorithm, RFC 6206). Pure.
+"""Timer for announcements that all gateways need (the Trickle algorithm, RFC 6206). Pure.
 
-The load that it answers: hundreds of gateways learn the same fact within milliseconds. If each told
-all others, one upstream that leaves would cost the square of their number in datagrams. With this a
-few speak for all, and whoever joins or was cut off is told soon after.
+Load case: hundreds of gateways learn the same fact within milliseconds. If each sent it to all
+others, one upstream that leaves would cost the square of their number in datagrams. With this timer
+a few gateways announce it for all, and one that joins or was cut off receives it soon after.
 """
 
 from __future__ import annotations
@@ -14,19 +14,20 @@
     import random
 
 SHORTEST_SECONDS = 0.1
-"""The first interval; an upstream that says that it leaves serves on for seconds."""
+"""First interval; short against the seconds for which a leaving upstream goes on serving."""
 LONGEST_SECONDS = 3.2
-"""Once nothing is new, all gateways together tell once in so long, for those that joined since."""
+"""Longest interval. While nothing is new, all gateways together announce about once per interval,
+for those that joined since."""
 _ENOUGH = 2
-"""Heard so often in an interval, nothing more is said in it: with one telling alone, a datagram
-that is lost leaves a gateway untold for long."""
+"""Consistent announcements in an interval that suppress the own one. With only one of them, a lost
+datagram would leave a gateway without the fact for long."""
 
 
 class Trickle:
-    """Tells once in an interval, unless others were heard to tell the same; they double."""
+    """Fires once per interval unless others announced the same; intervals double up to a limit."""
 
     def __init__(self, rng: random.Random) -> None:
-        """Make a timer that is stopped."""
+        """Create a stopped timer."""
         self._rng = rng
         self._interval = SHORTEST_SECONDS
         self._tells = math.inf
@@ -35,30 +36,30 @@
 
     @property
     def running(self) -> bool:
-        """Return whether there is anything to tell."""
+        """Whether there is anything to announce."""
         return self._ends < math.inf
 
     @property
     def next_due(self) -> float:
-        """Return when `is_due` is to be asked, infinity for never."""
+        """Time at which to call `is_due` next, infinity for never."""
         return min(self._tells, self._ends)
 
     def reset(self, now: float) -> None:
-        """Begin with the shortest interval, since something is new here or to another one."""
+        """Restart with the shortest interval, since a fact is new here or to another gateway."""
         if self.running and self._interval == SHORTEST_SECONDS:
             return
         self._begin(SHORTEST_SECONDS, now)
 
     def stop(self) -> None:
-        """Tell no more."""
+        """Stop until the next `reset`."""
         self._tells = self._ends = math.inf
 
     def hear(self) -> None:
-        """Note that another one has told all that would be told here."""
+        """Record that another gateway announced all that this one would."""
         self._heard += 1
 
     def is_due(self, now: float) -> bool:
-        """Return whether to tell now, and go on to the next interval once one is over."""
+        """Return whether to announce now; begin the next interval when the current one is over."""
         due = now >= self._tells and self._heard < _ENOUGH
         if now >= self._tells:
             self._tells = math.inf
@@ -68,8 +69,9 @@
 
     def _begin(self, interval: float, now: float) -> None:
         self._interval = interval
-        # The first half is for listening: without it one whose interval began earlier would
-        # always speak before it has heard the others.
+        # The first half of an interval only receives (RFC 6206, listen-only period). Without it a
+        # gateway whose interval began earlier would always announce before it has received the
+        # announcements of others.
         self._tells = now + self._rng.uniform(0.5, 1.0) * interval
         self._ends = now + interval
         self._heard = 0
--- a/tests/availability/test_patience.py
+++ b/tests/availability/test_patience.py
@@ -1,4 +1,4 @@
-"""Who waits for the end of a rest, and who is refused at once."""
+"""Tests which requests wait for the end of a cooldown and which are refused at once."""
 
 from __future__ import annotations
 
@@ -32,9 +32,10 @@
 
 
 class TestReplay(unittest.TestCase):
-    """All ten engines turn away for two seconds, as at the end of a stampede of callers.
+    """All ten engines reject requests for two seconds, as at the end of a stampede of callers.
 
-    Refused at once, 0.835 of the credit was earned and 0.84 of the letters and queries in time.
+    When requests were refused at once, 0.835 of the credit was earned, and 0.84 of the letters and
+    queries were in time.
     """
 
     def test_waiting_for_the_first_end_serves_more_than_refusing(self) -> None:
@@ -45,5 +46,5 @@
     def test_engines_are_sent_few_requests_that_they_turn_away(self) -> None:
         scenario = parse_scenario(parse_file(SCENARIOS / "all-rest-long.yaml"))
         result = Replay(scenario, 1).play()
-        # Each of nine gateways may learn once from each of ten engines, and of three before.
+        # Each of nine gateways may be rejected once by each of ten engines, and by three earlier.
         self.assertLessEqual(result.turned_away, 9 * (10 + 3) + 10)
--- a/tests/availability/test_rests.py
+++ b/tests/availability/test_rests.py
@@ -1,4 +1,5 @@
-"""Rests in virtual time: none is broken, none outlasts its reason, and all do not end together."""
+"""Tests cooldowns in virtual time: none is violated, none outlasts its reason, and not all end
+together."""
 
 from __future__ import annotations
 
@@ -65,7 +66,7 @@
         self.assertEqual(0.0, kept.first_end(["c"], 10.1))
 
     def test_what_no_view_knows_is_kept_until_its_end(self) -> None:
-        """An entry that could not be read for a second took the rest of its engine with it."""
+        """An entry that cannot be read for a second must not remove the cooldown of its engine."""
         kept = Rests()
         kept.note_asked("a", 3.0, 10.0)
         kept.forget({"b"}, 11.0)
@@ -88,7 +89,7 @@
 
 
 class TestGateways(unittest.TestCase):
-    """An upstream that turns away all for ten seconds and asks each time for two of rest."""
+    """An upstream rejects all requests for ten seconds, each with a cooldown of two seconds."""
 
     def test_none_sends_more_than_one_into_a_rest_or_at_its_end(self) -> None:
         for gateways in (9, 81, 360):
@@ -96,7 +97,7 @@
             for times in sent:
                 gaps = [later - earlier for earlier, later in itertools.pairwise(times)]
                 self.assertGreaterEqual(min(gaps), 2.0)
-            # One try a rest, where blind ones would be 40 a second from each gateway.
+            # One request per cooldown; without cooldowns each gateway would send 40 a second.
             self.assertLessEqual(sum(len(times) for times in sent), gateways * 5)
 
     def sends(self, rng: random.Random) -> list[float]:
--- a/tests/availability/test_stated_limits.py
+++ b/tests/availability/test_stated_limits.py
@@ -1,4 +1,4 @@
-"""What is believed of an upstream's limit, whatever the order in which its words come."""
+"""Tests the known limit of an upstream for every order in which its limit reports arrive."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     def test_words_of_one_after_the_other_lead_to_the_last_in_any_order(
         self, order: list[int]
     ) -> None:
-        """Answers that cross on their way to several gateways, and their news."""
+        """Answers cross on their way to several gateways, and so does the gossip about them."""
         rates = (1.0, NO_LIMIT, 4.0, 0.2, 50.0, 2.0)
         limits = StatedLimits()
         for number in order:
--- a/tests/availability/test_telling.py
+++ b/tests/availability/test_telling.py
@@ -6,7 +6,7 @@
 from lotushill.availability.telling import Telling
 
 TURN = 0.1
-"""The first interval."""
+"""First interval of the timer."""
 
 
 class TestTelling(unittest.TestCase):
@@ -15,7 +15,7 @@
         self.now = 0.0
 
     def told(self, names: list[str], seconds: float = TURN) -> list[list[str]]:
-        """Let time pass; return what was told."""
+        """Advance the clock; return the announcements."""
         found = []
         ends = self.now + seconds
         while self.now < ends:
