--- a/src/lotushill/moves/__init__.py
+++ b/src/lotushill/moves/__init__.py
@@ -1,3 +1,3 @@
-"""Which runs are moved between upstreams with their memory, when and in which order; pure."""
+"""Moves of runs between upstreams together with their memory: which ones, when, in which order."""
 
 from __future__ import annotations
--- a/src/lotushill/moves/memory_copy.py
+++ b/src/lotushill/moves/memory_copy.py
@@ -1,4 +1,4 @@
-"""What an engine answers that was asked to copy the memory of a run to another one."""
+"""Answers of an engine to a request to copy the memory of a run to another engine."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 from enum import Enum
 
 _MOST_HANDLE = 200
-"""Characters; a longer text is no handle."""
+"""Longest handle in characters."""
 _NOT_IN_HANDLES = " /?#%,"
 
 
 class NoCopyReason(Enum):
-    """Why nothing was copied."""
+    """Reason why no memory was copied."""
 
     UNKNOWN_RUN = "no such run"
-    """It has ended, or never ran there; nothing was stopped."""
+    """The run has ended, or never ran at that engine; nothing was stopped."""
     BUSY = "a call is under way"
     NO_ROOM = "no room or no way"
-    """Where the run was to be stopped, it has been."""
+    """If the request was to stop the run, it has been stopped."""
 
 
 @dataclass(frozen=True)
 class Copied:
-    """The memory is at the other engine."""
+    """The memory was copied to the other engine."""
 
     handle: str
     made: int
-    """Events that the run had made."""
+    """Number of events that the run had produced."""
 
 
 @dataclass(frozen=True)
 class NotCopied:
-    """The memory is where it was."""
+    """The memory was not copied and is still at its engine."""
 
     reason: NoCopyReason
     handle: str = ""
-    """From which a run that was stopped goes on at its own engine."""
+    """Handle with which a stopped run resumes at its own engine, empty if there is none."""
 
 
 def is_handle(text: str) -> bool:
-    """Return whether a text can name memory, in a path and in a header."""
+    """Return whether a text can serve as a memory handle in a path and in a header."""
     plain = text.isascii() and text.isprintable() and 0 < len(text) <= _MOST_HANDLE
     return plain and not any(mark in text for mark in _NOT_IN_HANDLES)
--- a/src/lotushill/moves/move_links.py
+++ b/src/lotushill/moves/move_links.py
@@ -1,24 +1,29 @@
-"""How many moves are under way at once, by the links that they share.
+"""Limits how many moves are in flight at once, by the links that they share.
 
-Answers the load of a reclaim that empties many upstreams at the same moment: copies go one after
-another over a link, so that one more makes all behind it later. What would not be done in time
-stays where it is, and holds up nobody.
+Load case: a reclaim empties many upstreams at the same moment. Copies go over a link one after
+another, so that one more delays all behind it. A run whose copy would not be done in time stays at
+its upstream and delays no other.
 """
 
 from __future__ import annotations
 
 _MOST_AT_ONCE = 4
-"""Moves of one gateway at one upstream: as many as keep a link in use while calls travel."""
+"""Most moves of one gateway in flight from one upstream: enough to keep a link in use during the
+calls' round trips."""
 
 
 class MoveLinks:
-    """The seconds of copies that this gateway has under way at each upstream."""
+    """Seconds of the copies that this gateway has in flight from each upstream."""
 
     def __init__(self) -> None:
         self._due: dict[str, list[float]] = {}
 
     def take(self, upstream_id: str, seconds: float, within: float) -> bool:
-        """Count in a copy of so many seconds if it is done in time behind the others."""
+        """Reserve the link for a copy that takes `seconds`.
+
+        Return False if the upstream has too many moves in flight, or if the copy would not be done
+        `within` so many seconds behind them.
+        """
         due = self._due.get(upstream_id, [])
         if len(due) >= _MOST_AT_ONCE or sum(due) + seconds > within:
             return False
@@ -26,12 +31,12 @@
         return True
 
     def give_back(self, upstream_id: str, seconds: float) -> None:
-        """Count out a copy that is done or given up."""
+        """Release the reservation of a copy that is done or was given up."""
         due = self._due[upstream_id]
         due.remove(seconds)
         if not due:
             del self._due[upstream_id]
 
     def busy(self, upstream_id: str) -> bool:
-        """Return whether no further move may be under way at an upstream."""
+        """Return whether an upstream has as many moves in flight as are allowed."""
         return len(self._due.get(upstream_id, ())) >= _MOST_AT_ONCE
--- a/src/lotushill/moves/move_plan.py
+++ b/src/lotushill/moves/move_plan.py
@@ -1,9 +1,9 @@
-"""Whether a run is worth moving to another upstream with its memory, and which one goes first.
+"""Decides whether a run is worth moving to another upstream with its memory, and in which order.
 
-Answers three loads: upstreams that leave with a notice shorter than what runs there (a reclaim of
-a hall's engines ends some ten runs on each), an upstream at whose pace a run does not end within
-its time, and one that lets a run stand still. A move is priced by the tokens that are copied, and
-makes one pause longer; it is made where what the run would lose, by how likely it would, is more.
+Three load cases: upstreams that leave with a notice shorter than the runs there (a reclaim of a
+hall's engines ends some ten runs on each), an upstream too slow for a run to end within its time,
+and an upstream at which a run stalls. The cost of a move is the price of the copied tokens and one
+longer pause. A run is moved if its expected loss, weighted by probability, exceeds that cost.
 """
 
 from __future__ import annotations
@@ -22,84 +22,88 @@
     from lotushill.routing.service import EngineProfile
 
 _CUT_LOSS = 0.9
-"""What a stream loses that is cut off and cannot go on."""
+"""Fraction of its credit that a stream loses if it is cut off and cannot resume."""
 _RESUMED_LOSS = 0.5
-"""What one loses that can: a pause that is too long, and its prompt read once more."""
+"""Fraction that a stream loses if it is cut off and resumes elsewhere: a pause that is too long,
+and a second prefill of its prompt."""
 _COPIED_LOSS = 0.2
-"""What one loses of which a copy is kept: what had not arrived is read again, if the copy holds."""
+"""Fraction that a stream loses if a copy of its memory exists: tokens not yet copied are prefilled
+again, provided that the copy is still there."""
 _GAP_LOSS = 0.6
-"""What a stream loses by one pause that is too long."""
+"""Fraction that a stream loses by one pause that is too long."""
 _WAY_LOSS = 0.05
-"""What a move costs beside its memory: a repeat of the few that are left, and the chance that the
-run does not go on."""
+"""Cost of a move in addition to its memory: one of the few retries left, and the chance that the
+run does not resume."""
 _LENGTH_SPREAD = 3.0
-"""Steepness of the spread of lengths around the likely one: at half of it one run in nine has
-ended, at twice of it eight in nine."""
+"""Steepness of the distribution of run lengths around the expected one: at half of the expected
+length one run in nine has ended, at twice of it eight in nine."""
 _LEAST_REST_SHARE = 0.3
-"""Of the events made: what is still to come of a run that is longer than was likely."""
+"""Fraction of the events produced that is expected to remain of a run longer than its estimate."""
 _FARTHER = 2.0
-"""How many times longer memory takes to another hall."""
+"""Factor by which a copy to another hall takes longer."""
 _CALL_SECONDS = 0.02
-"""Around the copy itself: a round trip to the source, one to the target, and a step there."""
+"""Overhead of a move beyond the copy: a round trip to the source, one to the target, and one decode
+step there."""
 _SLOW_RATIO = 2.0
-"""Times the usual pause, below which an upstream is as slow as others may be at times."""
+"""Ratio of a run's mean pause to the usual one from which its upstream counts as slow; below it
+other upstreams may at times be as slow."""
 
 
 class Cause(Enum):
-    """Why a run is moved."""
+    """Reason why a run is moved."""
 
     LEAVING = "leaving"
-    """Its upstream ends before it does."""
+    """The upstream shuts down before the run ends."""
     STALLED = "stalled"
-    """Its upstream makes none of its events."""
+    """The upstream produces no events for the run."""
     SLOW = "slow"
-    """At its upstream's pace it does not end within its time."""
+    """The upstream is too slow for the run to end within its time."""
 
 
 @dataclass(frozen=True)
 class RunState:
-    """What is known of a run that streams; times are seconds."""
+    """State of a streaming run; times are in seconds."""
 
     tokens: int
-    """In memory: those of the prompt and those made."""
+    """Tokens in memory: those of the prompt and those generated."""
     made: int
-    """Events so far."""
+    """Events produced so far."""
     expected: float
-    """Events that it is likely to have in the end."""
+    """Events expected in total when the run ends."""
     pause: float
-    """Between its events so far, in the mean."""
+    """Mean pause between the events of this run so far."""
     usual_pause: float
-    """Between the events of its service's streams."""
+    """Mean pause between the events of all streams of its service."""
     time_left: float
-    """Until its client or its route no longer waits."""
+    """Time until its client or its route stops waiting."""
     gap: float
-    """Longest pause that is in time, 0 for none."""
+    """Longest pause that counts as in time, 0 if the route sets none."""
     repeatable: bool
-    """Whether it may go on elsewhere without its memory."""
+    """Whether the run may resume elsewhere without its memory."""
     copied: bool = False
-    """Whether a copy of its memory grows elsewhere."""
+    """Whether a backup copy of its memory is kept up to date at another upstream."""
     leaves_in: float | None = None
-    """Until its upstream ends, None if it stays.
+    """Time until its upstream shuts down, None if it does not leave.
 
-    At 0 nothing is moved any more: a run that is not taken elsewhere could not go back, since an
-    upstream takes no requests so long after its notice.
+    At 0 the run is not moved: if no other upstream accepted it, it could not return, since an
+    upstream accepts no requests that long after its notice.
     """
     stalled: bool = False
 
 
 @dataclass(frozen=True)
 class Move:
-    """A run that is worth moving."""
+    """Decision that a run is worth moving."""
 
     cause: Cause
     worth: float
-    """What the move saves beyond its price, as a share of the request's credit."""
+    """Credit that the move saves beyond its cost, as a fraction of the request's credit."""
     within: float
-    """Seconds in which the copy has to be done."""
+    """Seconds within which the copy has to be done."""
 
 
 def plan_move(run: RunState, engine: EngineProfile) -> Move | None:
-    """Return why and by when a run is to be moved, None where it is better off as it is."""
+    """Return why and within which time to move a run, None if it is better not moved."""
     cause, bound = _cause(run)
     copying = copy_seconds(run.tokens, engine, near=False)
     slower = run.pause >= _SLOW_RATIO * run.usual_pause
@@ -113,14 +117,14 @@
 
 
 def _cause(run: RunState) -> tuple[Cause, float]:
-    """Return what threatens a run most, and in how many seconds."""
+    """Return the most urgent threat to a run, and the seconds until it takes effect."""
     if run.leaves_in is not None and run.leaves_in < run.time_left:
         return Cause.LEAVING, run.leaves_in
     return (Cause.STALLED if run.stalled else Cause.SLOW), run.time_left
 
 
 def _loss(run: RunState, cause: Cause) -> float:
-    """Return what a run loses that is not moved and does not end."""
+    """Return the loss of a run that is not moved and does not end in time."""
     if cause is not Cause.SLOW and run.copied:
         return _COPIED_LOSS
     if cause is not Cause.SLOW and run.repeatable:
@@ -133,7 +137,7 @@
 
 
 def _price(run: RunState, copying: float) -> float:
-    """Return what the move itself costs: the memory, and a pause that may be too long."""
+    """Return the cost of the move itself: the memory, and a pause that may be too long."""
     price = _WAY_LOSS + COPY_LOSS_PER_TOKEN * run.tokens
     if run.gap > 0.0 and not run.stalled:
         price += _GAP_LOSS * missed(run.usual_pause + copying, run.gap)
@@ -141,7 +145,7 @@
 
 
 def outlasts(rest: float, left: float) -> float:
-    """Return how likely a run with `rest` likely seconds to go is not over in `left` seconds."""
+    """Return the probability that a run expected to last `rest` more seconds exceeds `left`."""
     if left <= 0.0:
         return 1.0
     if rest <= 0.0:
@@ -150,7 +154,7 @@
 
 
 def copy_seconds(tokens: int, engine: EngineProfile, near: bool) -> float:
-    """Return how long a move of so many tokens takes; `near` is within one hall."""
+    """Return the seconds that a move of so many tokens takes; `near` means within one hall."""
     if engine.link_rate <= 0.0:
         return math.inf
     way = 1.0 if near else _FARTHER
@@ -158,9 +162,9 @@
 
 
 def in_order(moves: Iterable[tuple[str, Move]]) -> list[tuple[str, Move]]:
-    """Return named moves with the most urgent first: what is worth most where the time is equal.
+    """Return named moves with the most urgent first, and the most worth first among equals.
 
-    Runs of upstreams that leave compete for the time that is left, and go before others.
+    Runs at leaving upstreams compete for the time left there, and go before others.
     """
     return sorted(moves, key=_rank)
 
--- a/src/lotushill/moves/notices.py
+++ b/src/lotushill/moves/notices.py
@@ -1,28 +1,28 @@
-"""How long upstreams that leave go on working.
+"""Estimates how long leaving upstreams go on working.
 
-Answers the load of a reclaim: upstreams of one kind in a data hall say within a moment that they
-leave, and end some two seconds later under all that runs there.
+Load case: a reclaim. Upstreams of one kind in a data hall announce within a moment that they leave,
+and shut down some two seconds later with all their runs.
 """
 
 from __future__ import annotations
 
 USUAL_SECONDS = 2.0
-"""What an upstream that names no time is taken to work on: the least notice that one gives."""
+"""Notice assumed for an upstream that states no time: the shortest notice that upstreams give."""
 _MOST_REMEMBERED = 4096
-"""Lives, some times as many as the largest fleet has upstreams."""
+"""Most incarnations remembered: several times the number of upstreams in the largest fleet."""
 
 
 class Notices:
-    """The upstreams that are known to leave, and by when they are taken to have ended."""
+    """Upstreams known to be leaving, with the times by which they are expected to shut down."""
 
     def __init__(self) -> None:
         self._ends: dict[str, float] = {}
 
     def note(self, upstream_id: str, seconds: float | None, now: float) -> None:
-        """Note that an upstream leaves, in so many seconds where it says so.
+        """Record that an upstream leaves, in `seconds` if it states a time.
 
-        The first word counts, since a notice that is heard again is as old as it was; a time that
-        is named brings the end nearer, and never farther.
+        The first notice counts, since a repeated notice does not start the time anew. A stated time
+        can only bring the end forward, never postpone it.
         """
         known = self._ends.get(upstream_id)
         if known is None:
@@ -33,11 +33,11 @@
             self._ends[upstream_id] = min(known, now + seconds)
 
     def left(self, upstream_id: str, now: float) -> float | None:
-        """Return how many seconds an upstream works on, 0 past its time; None if it stays."""
+        """Return the seconds until an upstream shuts down, 0 past its end, None if it stays."""
         ends = self._ends.get(upstream_id)
         return None if ends is None else max(0.0, ends - now)
 
     def forget(self, known: set[str]) -> None:
-        """Drop the lives that no view knows any longer."""
+        """Drop the incarnations that are in no view any longer."""
         for upstream_id in self._ends.keys() - known:
             del self._ends[upstream_id]
--- a/src/lotushill/moves/stalls.py
+++ b/src/lotushill/moves/stalls.py
@@ -1,9 +1,9 @@
-"""After which pause a stream is taken to have stopped, by the pauses that its service shows.
+"""Pause after which a stream counts as stalled, by the pauses observed for its service.
 
-Answers the load of upstreams that go dark or hold a run back without a word, between two events or
-between the head of the answer and its first one: its client would wait to its deadline, though the
-run can go on elsewhere. A pause beside the reading of long prompts, or
-of an upstream that is slow for a moment, is among the observed ones and is waited out.
+Load case: upstreams that stop responding or hold a run back without an error, between two events or
+between the head of the answer and its first event. The client would wait until its deadline,
+although the run can resume elsewhere. A pause during the prefill of long prompts, or of an upstream
+that is slow for a moment, is among the observed ones and is waited out.
 """
 
 from __future__ import annotations
@@ -13,25 +13,28 @@
 
 _QUANTILE = 0.99
 _STEP = 0.1
-"""Share by which a pause over the quantile raises it; it falls by a hundredth of that."""
+"""Fraction by which a pause above the estimated quantile raises the estimate; a shorter pause
+lowers it by a hundredth of that."""
 _USUAL_WEIGHT = 0.01
 _FIRST_SECONDS = 0.3
-"""Taken for a long pause before any was seen."""
+"""Long pause assumed before any pause was observed."""
 _KNOWN_FROM = 100
-"""Pauses, of which one is expected to be a long one."""
+"""Number of pauses from which the long pause is known: one of them is expected to be long."""
 _LEAST_LONG_SECONDS = 0.02
 _MULTIPLE = 4.0
-"""Of a long pause: one stream in some thousands pauses for so long and goes on by itself."""
+"""Multiple of the long pause that counts as a stall: one stream in some thousands pauses for that
+long and goes on by itself."""
 LEAST_SECONDS = 0.5
-"""Less is a disturbance that upstreams get over, and going on elsewhere takes as long."""
+"""Shortest threshold. Upstreams recover from shorter disturbances, and resuming elsewhere takes as
+long."""
 _MOST_PAUSES_ALLOWED = 4.0
-"""Of the pause that is in time, after which waiting any longer serves nobody."""
+"""Multiple of the longest pause that is in time, beyond which waiting any longer is of no use."""
 _MOST_SECONDS = 0.8
-"""The same where a route names no such pause."""
+"""The same bound if a route sets no such pause."""
 
 
 class Stalls:
-    """A long pause of each service, from the pauses of this gateway's own streams."""
+    """Long pause of each service, estimated from the pauses of this gateway's own streams."""
 
     def __init__(self) -> None:
         self._long: dict[str, float] = {}
@@ -39,7 +42,7 @@
         self._seen: Counter[str] = Counter()
 
     def note(self, service: str, pause: float) -> None:
-        """Learn from a pause between two events of a stream, in seconds."""
+        """Update the estimates with a pause between two events of a stream, in seconds."""
         if not 0.0 < pause < math.inf:
             return
         long = self._long.get(service, _FIRST_SECONDS)
@@ -50,7 +53,7 @@
         self._long[service] = max(_LEAST_LONG_SECONDS, long * math.exp(step))
 
     def usual_pause(self, service: str) -> float | None:
-        """Return the mean pause in seconds, long ones cut, None while none was seen."""
+        """Return the mean pause in seconds with long ones capped, None before the first one."""
         return self._usual.get(service)
 
     def long_pause(self, service: str) -> float:
@@ -62,11 +65,11 @@
         return {service: round(1000 * long, 1) for service, long in self._long.items()}
 
     def after(self, service: str, gap: float) -> float:
-        """Return after how many seconds a stream has stopped; `gap` is the pause in time."""
+        """Return the seconds after which a stream counts as stalled; `gap` is the pause in time."""
         return min(latest(gap), self._bound(service))
 
     def after_if_known(self, service: str) -> float | None:
-        """Return the same where no pause is in time, None until enough were seen."""
+        """Return the threshold if no pause counts as in time, None until enough were observed."""
         return self._bound(service) if self._seen[service] >= _KNOWN_FROM else None
 
     def _bound(self, service: str) -> float:
@@ -74,5 +77,5 @@
 
 
 def latest(gap: float) -> float:
-    """Return the longest pause, in seconds, that any stream is waited for that can go on."""
+    """Return the longest pause, in seconds, to wait for any stream that can resume elsewhere."""
     return max(_MOST_SECONDS, _MOST_PAUSES_ALLOWED * gap)
--- a/tests/moves/reclaim.py
+++ b/tests/moves/reclaim.py
@@ -1,7 +1,7 @@
-"""A reclaim in virtual time: upstreams leave at one moment, and moves decide by the real policy.
+"""Simulates a reclaim in virtual time: upstreams leave at once, and the real policy plans moves.
 
-`python -m tests.moves.reclaim` compares ways to keep runs, on the same seeds: nothing, copies kept
-from the start of each run, moves on notice, and moves beside copies.
+`python -m tests.moves.reclaim` compares ways to preserve runs, on the same seeds: nothing, copies
+kept from the start of each run, moves on notice, and moves in addition to copies.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 )  # fmt: skip
 NOTICE = 2.0
 RECLAIMED = 12
-"""Upstreams that leave at one moment, each with a full batch."""
+"""Number of upstreams that leave at once, each with a full batch."""
 _TICK = 0.05
 _PROMPT = 900
 _CUT_LOSS = 0.9
 _GOES_ON_LOSS = 0.05
-"""What a run loses that goes on from a copy after its upstream has ended without its doing."""
+"""Loss of a run that resumes from a copy after its upstream shut down unexpectedly."""
 _RUNS_A_RECLAIM = 40
-"""Runs that end as they should for each that is there when its upstream leaves."""
+"""Number of runs that end normally for each one that is running when its upstream leaves."""
 
 
 class Way(Enum):
-    """How runs are kept from being lost."""
+    """Ways to keep runs from being lost."""
 
     NOTHING = "nothing"
     COPIES = "copies from the start"
@@ -47,17 +47,17 @@
 
 @dataclass
 class Result:
-    """What came of the runs that outlast their upstream."""
+    """Outcome of the runs that outlast their upstream."""
 
     outlast: int = 0
     cut: int = 0
     moved: int = 0
     moved_in_vain: int = 0
-    """Runs that were moved and would have ended in time."""
+    """Number of moved runs that would have ended in time."""
     tokens: int = 0
-    """Copied between upstreams."""
+    """Tokens copied between upstreams."""
     loss: float = 0.0
-    """Of credit, the price of what was copied included, in requests."""
+    """Lost credit in requests, including the price of the copied tokens."""
 
 
 @dataclass
@@ -82,7 +82,7 @@
 
 
 def play(way: Way, engine: EngineProfile, seed: int) -> Result:
-    """Return what comes of a reclaim."""
+    """Simulate a reclaim and return its outcome."""
     rng, result = random.Random(seed), Result()
     for _ in range(RECLAIMED):
         runs = [_run(rng) for _ in range(engine.slots)]
@@ -102,7 +102,7 @@
 
 
 def _move(runs: list[_Run], engine: EngineProfile, copied: bool) -> None:
-    """Move what one upstream runs, by ticks of a gateway."""
+    """Move the runs of one upstream in ticks of a gateway."""
     links, under_way = MoveLinks(), list[tuple[float, float]]()
     now, free = 0.0, 0.0
     while now < NOTICE:
@@ -146,7 +146,7 @@
 
 
 def main() -> None:
-    """Print the ways beside one another."""
+    """Print a table that compares the ways."""
     print("| way | outlast | cut | moved | in vain | tokens copied | loss in requests |")
     print("|---|---|---|---|---|---|---|")
     seeds = range(int(sys.argv[1]) if len(sys.argv) > 1 else 20)
--- a/tests/moves/test_move_plan.py
+++ b/tests/moves/test_move_plan.py
@@ -1,4 +1,4 @@
-"""Which runs are moved: those that lose more where they are than the move costs."""
+"""Tests which runs are moved: those that would lose more without the move than it costs."""
 
 from __future__ import annotations
 
@@ -94,7 +94,7 @@
 
 
 class TestReclaim(unittest.TestCase):
-    """A hall's upstreams are taken with two seconds of notice; copies go one after another."""
+    """The upstreams of a hall leave with two seconds of notice; copies go one after another."""
 
     def test_under_one_in_twenty_is_cut_of_those_that_could_be_moved(self) -> None:
         for seed in range(10):
--- a/tests/moves/test_stalls.py
+++ b/tests/moves/test_stalls.py
@@ -1,4 +1,4 @@
-"""After which pause a stream has stopped, by the pauses that were seen."""
+"""Tests the pause after which a stream counts as stalled, by the pauses observed before."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.assertLessEqual(stalls.after("s", GAP), latest(GAP))
 
     def test_disturbed_pauses_are_waited_out(self) -> None:
-        """A seventh of the upstreams step two and a half times slower for some hundred ms."""
+        """A seventh of the upstreams decode two and a half times slower for some hundred ms."""
         stalls, rng = Stalls(), random.Random(9)
         taken_for_stopped = 0
         for _ in range(20_000):
