--- a/src/lotushill/limits/__init__.py
+++ b/src/lotushill/limits/__init__.py
@@ -1,3 +1,3 @@
-"""How all gateways together keep to the rates that upstreams name for them."""
+"""Rate limits of upstreams and teams that all gateways together comply with."""
 
 from __future__ import annotations
--- a/src/lotushill/limits/barred_upstreams.py
+++ b/src/lotushill/limits/barred_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that are to be sent nothing now: they rest, or there is no permit for them."""
+"""Upstreams to which no request may be sent now: in cooldown, or without a permit."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class BarredUpstreams:
-    """What those who choose leave out. Pure, with the clock passed in."""
+    """Upstreams that placement has to leave out. Pure, with the clock passed in."""
 
     def __init__(self, rests: Rests, denials: Denials) -> None:
         self._rests = rests
         self._denials = denials
 
     def names(self, route: str, now: float) -> frozenset[str]:
-        """Return all upstreams that a request of a route is not to be sent to now."""
+        """Return all upstreams to which no request of a route may be sent now."""
         return self._rests.barred(now) | self._denials.barred(route, now)
 
     def any_limited(self, upstream_ids: Iterable[str], route: str, now: float) -> bool:
-        """Return whether for any of some upstreams there is no permit."""
+        """Return whether a permit is denied for any of some upstreams."""
         return any(self._denials.bars(name, route, now) for name in upstream_ids)
 
     def first_end(self, upstream_ids: Iterable[str], route: str, now: float) -> float:
-        """Return after how many seconds the first of some upstreams may be sent a request."""
+        """Return the seconds until a request may be sent to the first of some upstreams."""
         return min((self._end(name, route, now) for name in upstream_ids), default=0.0)
 
     def _end(self, upstream_id: str, route: str, now: float) -> float:
--- a/src/lotushill/limits/counting.py
+++ b/src/lotushill/limits/counting.py
@@ -1,4 +1,4 @@
-"""Which gateway counts what an upstream with a limit gets, and which part of it it hands out."""
+"""Determines the gateway that owns the limit of an upstream, and the fraction it may hand out."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 
 
 class CountingGateways:
-    """One scheduler for each upstream, worked out from the live members by all of them alike.
+    """Limit owners: one scheduler per upstream, computed in the same way by all live members.
 
-    Schedulers know what runs, and so which requests are to come first.
+    Schedulers know which requests run, and so which ones should come first.
 
-    Members that disagree may take two for it at the same time. They never add up to more than the
-    limit for long: each hands out what the gateways that it hears are of all that are known, and
-    both sides of a cut together are no more than all.
+    Members with different views may choose two owners at the same time. Together these do not
+    exceed the limit for long: each hands out the fraction that its live gateways are of all known
+    ones, and both sides of a network partition together have no more than all.
     """
 
     def __init__(
         self, membership: Members, schedulers: Schedulers, registered: Callable[[], int]
     ) -> None:
-        """Choose among `schedulers`; `registered` tells how many the store lists, 0 if unknown."""
+        """Create it; `registered` returns how many gateways the store lists, 0 if unknown."""
         self._membership = membership
         self._schedulers = schedulers
         self._registered = registered
 
     @property
     def own_name(self) -> str:
-        """Return the name of this gateway."""
+        """Name of this gateway."""
         return self._membership.own.name
 
     def of(self, upstream: Upstream) -> MemberState:
-        """Return who counts for an upstream: one of its hall, which is cut off together with it."""
+        """Return the owner for an upstream, in its hall if possible: both are cut off together."""
         halls = self._schedulers.halls()
         near = halls.get(upstream.hall)
         names = near or [name for hall in halls.values() for name in hall]
@@ -49,11 +49,11 @@
         return found if found is not None else self._membership.own
 
     def is_own(self, upstream: Upstream) -> bool:
-        """Return whether this gateway counts."""
+        """Return whether this gateway is the owner for an upstream."""
         return self.of(upstream).name == self.own_name
 
     def part(self) -> float:
-        """Return which part of a limit those that this gateway hears may use."""
+        """Return the fraction of a limit that the gateways alive in this one's view may use."""
         heard = len(self._membership.live())
         staying = [item for item in self._membership.all() if item.phase is not MemberPhase.LEAVING]
         return heard / max(1, heard, len(staying), self._registered())
--- a/src/lotushill/limits/denials.py
+++ b/src/lotushill/limits/denials.py
@@ -1,7 +1,7 @@
 """Upstreams with a limit for which this gateway has no permit now. Pure.
 
-The load that it answers: a gateway with hundreds of requests a second for an upstream that takes
-one. Each of them asking for a permit would cost a round trip and the counting gateway its time.
+Load case: a gateway has hundreds of requests a second for an upstream that accepts one. If each of
+them asked for a permit, it would cost a round trip and time of the limit owner.
 """
 
 from __future__ import annotations
@@ -12,54 +12,54 @@
 
 
 class Denials:
-    """Until when nothing is to be asked, by upstream and rank.
+    """Times until which no permit is requested, by upstream and rank.
 
-    The counting gateway ranks requests; those of a route are taken to rank as the last one did.
+    The limit owner ranks requests; those of a route are assumed to have the rank of its last one.
     """
 
     def __init__(self) -> None:
         self._until: dict[str, dict[int, float]] = {}
         self._ranks: dict[str, int] = {}
         self._asked: dict[str, float] = {}
-        """Upstreams for which an answer is awaited, by when it is given up."""
+        """Upstreams with a pending permit request, with the time at which it times out."""
 
     def note_asked(self, upstream_id: str, until: float) -> None:
-        """Note that a permit is asked for: one ask of a gateway is under way at a time."""
+        """Record a permit request: a gateway has at most one pending per upstream."""
         self._asked[upstream_id] = until
 
     def note_answered(self, upstream_id: str) -> None:
-        """Note that no answer is awaited any longer."""
+        """Record that the permit request is no longer pending."""
         self._asked.pop(upstream_id, None)
 
     def note_denied(self, upstream_id: str, route: str, rank: int, until: float) -> None:
-        """Note that a request was denied a permit; none of a later rank gets any meanwhile."""
+        """Record a denied permit; until then none of the same or a later rank is requested."""
         self._ranks[route] = rank
         self._until.setdefault(upstream_id, {})[rank] = until
 
     def clear(self, upstream_id: str) -> None:
-        """Forget what was denied, since the limit is another one."""
+        """Drop the denials of an upstream whose limit has changed."""
         self._until.pop(upstream_id, None)
 
     def left(self, upstream_id: str, route: str, now: float) -> float:
-        """Return for how many seconds nothing is to be asked for a route, 0 for not at all."""
+        """Return for how many seconds no permit is requested for a route, 0 if one may be now."""
         rank = self._ranks.get(route, -1)
         denied = self._until.get(upstream_id, {})
         ends = [until for other, until in denied.items() if other <= rank]
         return max(0.0, max([*ends, self._asked.get(upstream_id, -math.inf)]) - now)
 
     def bars(self, upstream_id: str, route: str, now: float) -> bool:
-        """Return whether nothing is to be asked for a route now."""
+        """Return whether no permit is requested for a route now."""
         return self.left(upstream_id, route, now) > 0.0
 
     def barred(self, route: str, now: float) -> frozenset[str]:
-        """Return all upstreams for which nothing is to be asked for a route now."""
+        """Return all upstreams for which no permit is requested for a route now."""
         if not self._until and not self._asked:
             return _NOBODY
         names = self._until.keys() | self._asked.keys()
         return frozenset(name for name in names if self.bars(name, route, now))
 
     def forget(self, limited: set[str], now: float) -> None:
-        """Drop what is over, and what was said of upstreams without a limit."""
+        """Drop expired denials, and those of upstreams that have no limit any more."""
         for upstream_id, ranks in list(self._until.items()):
             if upstream_id not in limited or max(ranks.values()) <= now:
                 del self._until[upstream_id]
--- a/src/lotushill/limits/fleet_limits.py
+++ b/src/lotushill/limits/fleet_limits.py
@@ -1,4 +1,4 @@
-"""One gateway's part in keeping to the limits that upstreams name for all gateways together."""
+"""A gateway's compliance with the limits that upstreams state for all gateways together."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
     from lotushill.views.upstream_view import UpstreamView
 
 _OTHERS_PAUSE = 0.3
-"""Until one that takes another gateway for the counting one asks again: by then they agree."""
+"""Seconds until a gateway that takes the wrong one for the limit owner asks again; their views
+agree by then."""
 _NEW_SECONDS = 1.0
-"""A limit that was named so lately was heard by all at about the same time."""
+"""Age below which a limit counts as new: all gateways learned of it at about the same time."""
 _SPREAD = (0.8, 1.25)
 
 
 class FleetLimits:
-    """What upstreams named, who counts for them, and for which there is no permit now."""
+    """Limits that upstreams stated, the permits under them, and the current denials."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Send asks to an address with `send`, and news to all other gateways with `tell`."""
+        """Create it; `send` sends a permit request to an address, `tell` gossip to all gateways."""
         self._upstreams = upstreams
         self._counting = counting
         self._ranks = ranks
@@ -62,16 +63,16 @@
         )
         self._desk = PermitDesk()
         self.denied = 0
-        """Requests that were denied a permit so far, the ones of other gateways included."""
+        """Number of permits denied so far, including those for other gateways."""
 
     def is_limited(self, upstream_id: str) -> bool:
-        """Return whether an upstream names a limit."""
+        """Return whether an upstream states a limit."""
         return self.stated.rate(upstream_id) < NO_LIMIT
 
     async def admit(self, request: PermitRequest) -> bool:
         """Return whether a request may be sent to its upstream now.
 
-        What may be is counted as sent, whether it is or not.
+        A granted request counts as sent, whether it is or not.
         """
         upstream_id = request.upstream.id
         if not self.is_limited(upstream_id):
@@ -85,7 +86,7 @@
         return answer.granted
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer another gateway that takes this one for the counting one."""
+        """Answer a permit request of a gateway that takes this one for the limit owner."""
         self.keeper.take(ask.limit, ask.sender)
         upstream = self._upstreams.find(ask.limit.upstream)
         if upstream is None or not self._counting.is_own(upstream):
@@ -94,7 +95,7 @@
         return self._decide(request, ask.sender, ask.number)
 
     def forget(self, known: set[str]) -> None:
-        """Drop what is of no more use, with the ids of all upstreams that are known."""
+        """Drop obsolete state; `known` holds the ids of all known upstreams."""
         now = self._clock()
         self.stated.forget(known, now)
         limited = set(self.stated.limited())
@@ -102,7 +103,7 @@
         self._desk.forget(limited)
 
     def _note_changed(self, upstream_id: str) -> None:
-        """Begin anew with an upstream that has named another limit, its first one or its end."""
+        """Reset the state of an upstream that stated a first or different limit, or its end."""
         self.denials.clear(upstream_id)
         upstream = self._upstreams.find(upstream_id)
         word, now = self.stated.word(upstream_id), self._clock()
@@ -124,7 +125,7 @@
 
     def _state(self, upstream_id: str) -> LimitState:
         word = self.stated.word(upstream_id)
-        assert word is not None, "only for an upstream with a limit is a permit asked for"
+        assert word is not None, "a permit is requested only for an upstream with a limit"
         return self.keeper.state(upstream_id, word)
 
     def _decide(self, request: PermitRequest, asker: str, number: int = 0) -> PermitAnswer:
--- a/src/lotushill/limits/limit_keeper.py
+++ b/src/lotushill/limits/limit_keeper.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of the limits that upstreams name in their answers."""
+"""Gossip between gateways about the limits that upstreams state in their answers."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from lotushill.event_log import EventLog
 
 _WAY_SECONDS = 0.05
-"""What news take on their way at most, as a rule. Taken for sent so much earlier, the word that
-they bring is never held for later than one which it crossed."""
+"""Usual upper bound of the delay of gossip. The sending time of a received report is dated back by
+it, so that the report is never taken to be later than one that it crossed on the way."""
 
 
 class LimitKeeper:
-    """Passes on the newest word of each limit, its end included, to all other gateways.
+    """Sends the newest report of each limit, including its end, to all other gateways.
 
-    An engine names its limit to the few gateways that it answers, and means all of them.
+    An engine states its limit only to the few gateways that it answers, but it applies to all.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Tell as the gateway `name`; `on_change` hears of each upstream with another limit."""
+        """Create it for the gateway `name`; `on_change` gets each upstream whose limit changed."""
         self._name = name
         self._limits = limits
         self._tell = tell
@@ -48,18 +48,18 @@
         self._telling = Telling(rng)
 
     def hear(self, upstream_id: str, word: Word) -> None:
-        """Take in what an answer to a request of this gateway said."""
+        """Merge the limit stated in an answer to a request of this gateway."""
         self._take(upstream_id, word, "answer")
 
     def take(self, state: LimitState, source: str) -> None:
-        """Take in what another gateway was told."""
+        """Merge a limit that another gateway received."""
         now = self._clock()
         word = Word(state.rate, now - state.asked_age - _WAY_SECONDS, now - state.heard_age)
         if word.rate > 0.0 and word.asked <= word.heard <= now:
             self._take(state.upstream, word, source)
 
     def receive(self, news: LimitNews) -> None:
-        """Take in news, and see whether their sender lacks any."""
+        """Merge gossip, and record whether its sender lacks limits known here."""
         for state in news.limits:
             self.take(state, news.sender)
         agrees = all(self._limits.rate(item.upstream) == item.rate for item in news.limits)
@@ -68,12 +68,12 @@
         self._telling.hear(told, news.complete, lacks or not agrees, self._clock())
 
     def state(self, upstream_id: str, word: Word) -> LimitState:
-        """Return a word as it is told."""
+        """Return a report in the form in which it is sent."""
         now = self._clock()
         return LimitState(upstream_id, word.rate, now - word.asked, now - word.heard)
 
     def tell_due(self) -> None:
-        """Tell the others, if that is due."""
+        """Send reports to the other gateways if an announcement is due."""
         words = self._limits.words()
         told = self._telling.due(words, self._clock())
         if told:
--- a/src/lotushill/limits/permit_client.py
+++ b/src/lotushill/limits/permit_client.py
@@ -1,4 +1,4 @@
-"""Asks the gateway that counts for an upstream whether a request may be sent there."""
+"""Client that requests permits for an upstream from the owner of its limit."""
 
 from __future__ import annotations
 
@@ -16,25 +16,27 @@
     from lotushill.links.limit_messages import LimitState
 
 ANSWER_SECONDS = 0.15
-"""Some round trips between regions; a gateway that takes longer is frozen, lost or cut off."""
+"""Time-out of a permit request, some round trips between regions; a gateway that takes longer is
+frozen, lost or cut off."""
 _SILENT_PAUSE = 0.3
-"""Until one that did not answer is asked again: by then the members have likely lost it."""
+"""Seconds until an owner that did not answer is asked again: by then membership has likely dropped
+it."""
 
 
 class PermitClient:
-    """Sends asks and hands over their answers."""
+    """Sends permit requests and returns their answers."""
 
     def __init__(self, name: str, send: Callable[[PermitAsk, str], None]) -> None:
-        """Ask as the gateway `name`; `send` sends to an address."""
+        """Create it for the gateway `name`; `send` sends to an address."""
         self._name = name
         self._send = send
         self._numbers = itertools.count(1)
         self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
         self.unanswered = 0
-        """Asks that were not answered in time."""
+        """Number of permit requests that timed out."""
 
     async def ask(self, limit: LimitState, request: PermitRequest, address: str) -> PermitAnswer:
-        """Return the answer of the gateway at an address, a denial if there is none in time."""
+        """Return the answer of the gateway at an address, or a denial after a time-out."""
         number = next(self._numbers)
         waiting: asyncio.Future[PermitAnswer] = asyncio.get_running_loop().create_future()
         self._waiting[number] = waiting
@@ -52,7 +54,7 @@
             del self._waiting[number]
 
     def receive(self, answer: PermitAnswer) -> None:
-        """Take in an answer; a permit that nobody waits for any longer is not used."""
+        """Deliver an answer; a permit that is no longer waited for is not used."""
         waiting = self._waiting.get(answer.number)
         if waiting is not None and not waiting.done():
             waiting.set_result(answer)
--- a/src/lotushill/limits/permit_desk.py
+++ b/src/lotushill/limits/permit_desk.py
@@ -1,8 +1,8 @@
-"""Hands out what upstreams with a limit take, for all gateways. Pure, with the clock passed in.
+"""Grants permits for upstreams with a limit to all gateways. Pure, with the clock passed in.
 
-The load that it answers: an engine in need takes one request a second, and hundreds of gateways
-have one for it at the same moment. Shares of its limit that each gateway spends by itself either
-add up to many times as much at once, or lie unused where nobody asks. So one gateway counts.
+Load case: an overloaded engine accepts one request a second, and hundreds of gateways have one for
+it at the same moment. If each gateway spent its own part of the limit, the parts would either add
+up to many times as much at once, or lie unused at gateways without requests. So one gateway counts.
 """
 
 from __future__ import annotations
@@ -12,27 +12,30 @@
 from dataclasses import field
 
 DEPTH = 2.0
-"""Permits that are kept while nobody asks."""
+"""Most permits that accumulate while none is requested."""
 _RANK_LEVEL = 0.45
-"""What has to be left for each rank before that asks as well: those that ask often never let it
-rise so far."""
+"""Additional permits that have to be in the bucket for each earlier rank that is requested as well:
+an earlier rank with frequent requests never lets the level rise so far."""
 _RANKS = 2
-"""So many earlier ranks count at most, so that what the others need is less than the depth."""
+"""Most earlier ranks that count, so that the level needed by the others stays below the depth."""
 _PRESENT_TURNS = 2.0
-"""A rank asks for as long as so many permits take after its last ask."""
+"""Time for which a rank counts as requested after its last request, as a number of permits at the
+current rate."""
 _ASKS_FOR_ONE = 8.0
-"""Asks for each permit. With fewer, permits run out while all who want one wait to ask again."""
+"""Requests per permit. With fewer, permits would lie unused while all that want one wait to ask
+again."""
 _LEAST_PAUSE = 0.02
 _LONGEST_PAUSE = 5.0
-"""Seconds; a limit of one in many seconds may end meanwhile, but that is told to all."""
+"""Longest pause in seconds until the next request. A limit of one in many seconds may end in the
+meantime, but all gateways are notified of that."""
 _BEFORE_SECONDS = 0.5
-"""A limit that is new counts as if it had held for so long, with nothing sent."""
+"""Time for which a new limit counts as having been in effect with no request sent."""
 _ASKER_SECONDS = 2 * _LONGEST_PAUSE
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """Whether a request may be sent, and if not, after how many seconds to ask again."""
+    """Answer to a permit request: whether it is granted, else in how many seconds to ask again."""
 
     granted: bool
     again_in: float = 0.0
@@ -40,38 +43,39 @@
 
 @dataclass
 class _Bucket:
-    """A token bucket; empty at first where another gateway may have counted until now."""
+    """Token bucket of an upstream, initially empty if another gateway may have counted before."""
 
     at: float
     level: float = 0.0
     askers: dict[str, float] = field(default_factory=dict)
-    """When each gateway last asked."""
+    """Time of the last request of each gateway."""
     ranks: dict[int, float] = field(default_factory=dict)
-    """When a request of each rank was last asked for."""
+    """Time of the last request of each rank."""
 
     def wanted(self, rank: int, rate: float, now: float) -> float:
-        """Return how many permits have to be there for a request of a rank to get one."""
+        """Return the level of the bucket that a request of a rank needs to get a permit."""
         since = now - _PRESENT_TURNS / rate if rate > 0.0 else -math.inf
         before = sum(other < rank and at >= since for other, at in self.ranks.items())
         return 1.0 + _RANK_LEVEL * min(_RANKS, before)
 
 
 class PermitDesk:
-    """One token bucket for each upstream that this gateway counts."""
+    """Token buckets of the upstreams whose limits this gateway owns."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, _Bucket] = {}
 
     def begin(self, upstream_id: str, rate: float, now: float) -> None:
-        """Count for an upstream that has just named its first limit, and so been counted by nobody.
+        """Add a bucket for an upstream whose first limit is new, so that no gateway counted before.
 
-        Where all engines name limits at once, what comes in the next moments is not all refused.
+        It starts with permits, so that if all engines state limits at once, not all requests of the
+        next moments are refused.
         """
         level = min(DEPTH, rate * _BEFORE_SECONDS)
         self._buckets.setdefault(upstream_id, _Bucket(now, level))
 
     def ask(self, upstream_id: str, rate: float, rank: int, asker: str, now: float) -> Verdict:
-        """Return whether `asker` may send a request of a rank, at so many a second for all."""
+        """Return whether `asker` may send a request of a rank; `rate` is per second for all."""
         bucket = self._buckets.setdefault(upstream_id, _Bucket(now))
         bucket.level = min(DEPTH, bucket.level + rate * max(0.0, now - bucket.at))
         bucket.at = max(bucket.at, now)
@@ -83,12 +87,12 @@
         return Verdict(False, self._pause(bucket, rate, wanted, now))
 
     def forget(self, limited: set[str]) -> None:
-        """Drop the buckets of upstreams without a limit."""
+        """Drop the buckets of upstreams that have no limit any more."""
         for upstream_id in self._buckets.keys() - limited:
             del self._buckets[upstream_id]
 
     def _pause(self, bucket: _Bucket, rate: float, wanted: float, now: float) -> float:
-        """Return when to ask again, so that all who ask together do so a few times a permit."""
+        """Return when to ask again, so that all askers together ask a few times per permit."""
         for asker, at in list(bucket.askers.items()):
             if now - at > _ASKER_SECONDS:
                 del bucket.askers[asker]
--- a/src/lotushill/limits/permit_rank.py
+++ b/src/lotushill/limits/permit_rank.py
@@ -1,9 +1,9 @@
-"""Which requests come first where an upstream takes only some a second. Pure.
+"""Ranks the requests for an upstream that accepts only some per second. Pure.
 
-The load that it answers: half of the engines of a service take one request a second each, and the
-others have to serve the rest. A permit is for one request, whatever its size: given to those with
-the longest prompts, it takes most work from the others. Where these are full as well, or all have
-limits, there is nobody whom that would help, and the most urgent come first.
+Load case: half of the engines of a service accept one request a second each, and the others have to
+serve the rest. A permit is for one request, whatever its size: granted to those with the longest
+prompts, it takes the most work off the others. If these are full as well, or all have limits, that
+helps no engine, and the most urgent requests come first.
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
     from lotushill.routing.upstream import Upstream
 
 FULL_SHARE = 0.9
-"""Of the slots of upstreams without a limit; with more held, what is long is better refused than
-put before what is urgent."""
+"""Fraction of the slots of upstreams without a limit from which they count as full. Above it, long
+requests are better refused than ranked before urgent ones."""
 
 
 _LOOK_SECONDS = 0.05
-"""Between two looks at all upstreams of a service: of hundreds with limits each is asked for often,
-and what runs on all the others changes little meanwhile."""
+"""Interval between two scans of all upstreams of a service: permits are requested often for each of
+hundreds with limits, and the load of all the others changes little meanwhile."""
 
 
 @dataclass(frozen=True)
 class _Room:
-    """Whether upstreams without a limit had slots to spare when they were looked at."""
+    """Whether upstreams without a limit had free slots at the time of the last scan."""
 
     found: bool
     at: float
@@ -42,8 +42,8 @@
 def permit_rank(tier: int, is_long: bool, others_have_room: bool) -> int:
     """Return the rank of a request of a tier, 0 for the first.
 
-    `is_long` tells whether its route has the longest prompts of the service, and
-    `others_have_room` whether upstreams without a limit have slots to spare.
+    `is_long` states whether its route has the longest prompts of the service, and
+    `others_have_room` whether upstreams without a limit have free slots.
     """
     if others_have_room:
         return 0 if is_long else 1
@@ -51,7 +51,7 @@
 
 
 class PermitRanks:
-    """Ranks by the model of all upstreams."""
+    """Computes ranks from the modelled load of all upstreams."""
 
     def __init__(
         self,
--- a/src/lotushill/limits/permit_request.py
+++ b/src/lotushill/limits/permit_request.py
@@ -1,4 +1,4 @@
-"""What is told of a request for which a permit is asked."""
+"""Request for a permit, as the limit owner needs it."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     upstream: Upstream
     route: str
     tier: int
-    """0 is the most urgent."""
+    """Tier, 0 for the most urgent."""
     prompt_tokens: int = 0
 
 
 def permit_request(upstream: Upstream, need: Need) -> PermitRequest:
-    """Return what is told of a request with a need."""
+    """Return the permit request for a request with a need."""
     return PermitRequest(upstream, need.route, need.tier, need.prompt_tokens)
--- a/src/lotushill/limits/team_limits.py
+++ b/src/lotushill/limits/team_limits.py
@@ -1,8 +1,8 @@
-"""One gateway's part in keeping to the limits that the settings tree sets for teams.
+"""A gateway's enforcement of the limits that the settings tree sets for teams.
 
-The load that it answers: a team sends what its limit allows many times over, at all gateways of
-the fleet at once. One scheduler counts for each limit, as for an upstream that names one, and
-while gateways disagree who that is, each hands out no more than its part.
+Load case: a team sends many times what its limit allows, at all gateways of the fleet at once. One
+scheduler counts for each limit, as for an upstream that states one, and while gateways disagree
+about the owner, each one hands out no more than its fraction.
 """
 
 from __future__ import annotations
@@ -27,19 +27,21 @@
     from lotushill.routing.rate_limit import RateLimit
 
 _PREFIX = "limit of "
-"""Of the names under which limits are counted: no upstream's id has a space."""
+"""Prefix of the keys of team limits; it is no prefix of an upstream's id, which has no space."""
 _OTHERS_PAUSE = 0.3
-"""Until one that takes another gateway for the counting one asks again: by then they agree."""
+"""Seconds until a gateway that takes the wrong one for the limit owner asks again; their views
+agree by then."""
 _SPREAD = (0.8, 1.25)
 _LOOK_SECONDS = 0.03
-"""Between two looks whether what bars a request is over: an answer takes some milliseconds."""
+"""Interval between two checks whether a request is still barred; an answer takes some
+milliseconds."""
 _LEAST_PAUSE = 0.02
 _IDLE_SECONDS = 600.0
-"""Until a count is dropped; by then it is full again."""
+"""Time after which an unused bucket is dropped; it is full again by then."""
 
 
 class TeamLimits:
-    """Lets requests of teams with a limit through, or tells when to ask again."""
+    """Admits requests of teams with a limit, or returns when to ask again."""
 
     def __init__(
         self,
@@ -48,7 +50,7 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Ask whoever counts with `client`."""
+        """Create it; `client` sends permit requests to the limit owners."""
         self._counting = counting
         self._client = client
         self._rng = rng
@@ -56,14 +58,14 @@
         self._denials = Denials()
         self._desk = PermitDesk()
         self._used: dict[str, float] = {}
-        """When each limit was last asked for here."""
+        """Time at which a permit for each limit was last requested here."""
         self.held_back = 0
-        """Requests of this gateway that were not let through at once, so far."""
+        """Number of requests of this gateway that were not admitted at once, so far."""
 
     async def wait(self, limit: RateLimit, tier: int) -> float:
-        """Return 0 for a request that may go on now, and counts; else seconds until it may ask.
+        """Return 0 if a request is admitted, and count it; else the seconds until it may ask again.
 
-        The more urgent go first, as far as permits are left.
+        More urgent requests go first, as far as permits are left.
         """
         name, kind, now = counted_name(limit), str(tier), self._clock()
         left = self._denials.left(name, kind, now)
@@ -78,18 +80,18 @@
         return min(pause, _LOOK_SECONDS)
 
     def counts(self, ask: PermitAsk) -> bool:
-        """Return whether an ask is for a limit of a team, and not for one of an upstream."""
+        """Return whether a permit request is for the limit of a team, not of an upstream."""
         return ask.limit.upstream.startswith(_PREFIX)
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer another gateway that takes this one for the counting one."""
+        """Answer a permit request of a gateway that takes this one for the limit owner."""
         name = ask.limit.upstream
         if not self._counting.is_own(_counted(name)):
             return PermitAnswer(ask.number, False, _OTHERS_PAUSE, ask.tier)
         return self._decide(name, ask.limit.rate, ask.tier, ask.sender, ask.number)
 
     def forget(self) -> None:
-        """Drop limits for which nobody has asked for long."""
+        """Drop limits for which no permit was requested for long."""
         now = self._clock()
         for name in [item for item, at in self._used.items() if now - at > _IDLE_SECONDS]:
             del self._used[name]
@@ -115,22 +117,22 @@
         now = self._clock()
         self._used[name] = now
         own_rate = rate * self._counting.part()
-        # Whoever begins to count hands out little at once: another one may have counted until now.
+        # A new owner starts with few permits: another one may have counted until now.
         self._desk.begin(name, own_rate, now)
         verdict = self._desk.ask(name, own_rate, tier, asker, now)
         return PermitAnswer(number, verdict.granted, verdict.again_in, tier)
 
 
 def counted_name(limit: RateLimit) -> str:
-    """Return the name under which a limit is counted."""
+    """Return the key under which a limit is counted."""
     return f"{_PREFIX}{limit.scope}"
 
 
 def _counted(name: str) -> Upstream:
-    """Return what stands for a limit where gateways work out who counts for it: in no hall."""
+    """Return an upstream in no hall that represents a limit when its owner is determined."""
     return Upstream(name, "", "", "", 0, False)
 
 
 def counted_as(limit: RateLimit) -> Upstream:
-    """Return what stands for a limit where gateways work out who counts for it."""
+    """Return an upstream that represents a limit when its owner is determined."""
     return _counted(counted_name(limit))
--- a/tests/limits/test_counting.py
+++ b/tests/limits/test_counting.py
@@ -1,4 +1,5 @@
-"""All gateways find the same one that counts, and both sides of a cut are no more than all."""
+"""Tests that all gateways determine the same limit owner, and that the fractions on both sides of a
+network partition add up to no more than one."""
 
 from __future__ import annotations
 
--- a/tests/limits/test_denials.py
+++ b/tests/limits/test_denials.py
@@ -1,4 +1,4 @@
-"""What was denied is not asked for again too soon."""
+"""Tests that no permit is requested again too soon after a denial."""
 
 from __future__ import annotations
 
--- a/tests/limits/test_limit_keeper.py
+++ b/tests/limits/test_limit_keeper.py
@@ -1,4 +1,4 @@
-"""One answer tells one gateway of a limit, and all are to know soon; so with its end.
+"""Tests that a limit stated to one gateway soon reaches all of them, and so does its end.
 
 In virtual time, over a network that loses and delays datagrams.
 """
@@ -29,7 +29,7 @@
 
 @dataclass
 class Gateway:
-    """One gateway: what it believes, its keeper, and when it last looked."""
+    """One gateway: its known limits, its gossip, and the time of its next tick."""
 
     limits: StatedLimits
     keeper: LimitKeeper
@@ -37,7 +37,7 @@
 
 
 class Gateways:
-    """Gateways that tell each other of limits."""
+    """Gateways that exchange limits by gossip."""
 
     def __init__(self, count: int) -> None:
         self.now = 1000.0
@@ -73,7 +73,7 @@
                 self._under_way.append((arrives, lambda receive=receive: receive(news)))  # type: ignore[misc]
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         ends = self.now + seconds
         while self.now < ends:
             self.now += STEP
@@ -87,12 +87,12 @@
                     gateway.keeper.tell_due()
 
     def answer(self, number: int, rate: float, engine: str = "e1") -> None:
-        """Let one gateway have an answer that names a limit, or none."""
+        """Deliver an answer to one gateway that states a limit, or none."""
         word = Word(rate, self.now - 0.01, self.now)
         self.all[number].keeper.hear(engine, word)
 
     def rates(self, engine: str = "e1") -> set[float]:
-        """Return what the gateways believe."""
+        """Return the rates known to the gateways."""
         return {gateway.limits.rate(engine) for gateway in self.all}
 
 
@@ -114,7 +114,9 @@
         self.assertLess(fleet.datagrams / 81, 0.15 * 81 + 60)
 
     def test_among_hundreds_of_limits_what_is_new_is_told_soon_by_few(self) -> None:
-        """Each told sixteen drawn of all, whatever it heard: 81 gateways without end."""
+        """None of 81 gateways may send sixteen sampled limits per interval without end, whatever it
+        received.
+        """
         fleet = Gateways(81)
         for engine in range(300):
             for number in range(81):
--- a/tests/limits/test_permit_desk.py
+++ b/tests/limits/test_permit_desk.py
@@ -1,4 +1,4 @@
-"""One gateway counts what an upstream takes, whoever asks and however often."""
+"""Tests that one gateway counts the requests to an upstream, whoever asks and however often."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         self.desk = PermitDesk()
 
     def granted(self, rate: float, rank: int, since: float, until: float, every: float) -> int:
-        """Ask every so often; return how many were granted."""
+        """Request permits every `every` seconds; return how many were granted."""
         count, now = 0, since
         while now < until:
             count += self.desk.ask("e1", rate, rank, "gw", now).granted
--- a/tests/limits/test_permit_rank.py
+++ b/tests/limits/test_permit_rank.py
@@ -1,4 +1,4 @@
-"""Who gets what an upstream with a limit takes."""
+"""Tests which requests get the permits of an upstream with a limit."""
 
 from __future__ import annotations
 
--- a/tests/limits/test_team_limits.py
+++ b/tests/limits/test_team_limits.py
@@ -1,4 +1,4 @@
-"""The whole fleet keeps to the limit of a team, whoever counts, and uses it while there is demand.
+"""Tests that the whole fleet complies with a team's limit, and uses it while there is demand.
 
 In virtual time, over a network that loses one datagram in fifty, with four times the demand.
 """
@@ -46,7 +46,7 @@
                     self.assertLessEqual(outcome.most, allowed(rate))
 
     def test_while_two_are_held_for_the_counting_one_it_is_at_most_doubled(self) -> None:
-        """Half of the gateways hold one for lost that goes on, for as long as that lasts."""
+        """Half of the gateways hold one for lost that is alive, throughout the test."""
         for rate in (4, 50):
             with self.subTest(rate=rate):
                 outcome = play(9, rate, Fault.DISAGREE, seconds=16.0)
