--- a/src/lotushill/availability/telling.py
+++ b/src/lotushill/availability/announcement_schedule.py
@@ -5,18 +5,18 @@
 from typing import TYPE_CHECKING
 
 from lotushill.availability.newest_first import NewestFirst
-from lotushill.availability.trickle import Trickle
+from lotushill.availability.trickle import TrickleTimer
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Collection
 
 
-class Telling:
+class AnnouncementSchedule:
     """Announces new facts first, and nothing while other gateways announce the same."""
 
     def __init__(self, rng: random.Random) -> None:
-        self._timer = Trickle(rng)
+        self._timer = TrickleTimer(rng)
         self._order = NewestFirst(rng)
 
     def note(self, name: str, now: float) -> None:
@@ -24,7 +24,9 @@
         self._order.note(name, now)
         self._timer.reset(now)
 
-    def hear(self, told: Collection[str], complete: bool, differs: bool, now: float) -> None:
+    def note_received(
+        self, told: Collection[str], complete: bool, differs: bool, now: float
+    ) -> None:
         """Record an announcement of another gateway.
 
         `told` holds the names in it, and `complete` states whether these are all that the sender
@@ -32,10 +34,10 @@
         """
         if differs:
             self._timer.reset(now)
-        elif complete or self._order.is_told(told):
-            self._timer.hear()
+        elif complete or self._order.covers_newest(told):
+            self._timer.note_consistent()
 
-    def due(self, names: Collection[str], now: float) -> list[str]:
+    def due_names(self, names: Collection[str], now: float) -> list[str]:
         """Return the names to announce now, an empty list while nothing is due."""
         if not names:
             self._timer.stop()
--- a/src/lotushill/availability/rests.py
+++ b/src/lotushill/availability/cooldowns.py
@@ -40,21 +40,21 @@
         return self.until if self.trial_at is None else self.trial_at + _TRIAL_SECONDS
 
 
-class Rests:
+class Cooldowns:
     """Cooldowns by the id of an upstream's incarnation, so that a restart ends them at once."""
 
     def __init__(self) -> None:
         self._rests: dict[str, _Rest] = {}
-        self.asked = 0
+        self.requested_count = 0
         """Number of cooldowns requested so far."""
 
-    def note_asked(self, upstream_id: str, seconds: float, now: float) -> None:
+    def note_requested(self, upstream_id: str, seconds: float, now: float) -> None:
         """Record that an upstream asked for a cooldown; of several the one that ends last applies.
 
         Requests that were in flight together are rejected one after the other, and a shorter
         cooldown in a later rejection does not shorten an earlier one.
         """
-        self.asked += 1
+        self.requested_count += 1
         until = now + seconds
         known = self._rests.get(upstream_id)
         self._rests[upstream_id] = _Rest(max(until, known.until if known else until))
@@ -69,13 +69,13 @@
         elif rest.trial_at is None:
             rest.trial_at = now
 
-    def note_taken(self, upstream_id: str, now: float) -> None:
+    def note_accepted(self, upstream_id: str, now: float) -> None:
         """Record an answer without a cooldown; it does not end a cooldown that still lasts."""
         rest = self._rests.get(upstream_id)
         if rest is not None and now >= rest.until:
             del self._rests[upstream_id]
 
-    def bars(self, upstream_id: str, now: float) -> bool:
+    def is_barred(self, upstream_id: str, now: float) -> bool:
         """Return whether no request may be sent to an upstream now."""
         rest = self._rests.get(upstream_id)
         return rest is not None and rest.bars(now)
@@ -86,7 +86,7 @@
             return _NOBODY
         return frozenset(name for name, rest in self._rests.items() if rest.bars(now))
 
-    def first_end(self, upstream_ids: Iterable[str], now: float) -> float:
+    def seconds_to_first_end(self, upstream_ids: Iterable[str], now: float) -> float:
         """Return the seconds until the first of some upstreams in cooldown accepts requests."""
         ends = [self._rests[name].ends() for name in upstream_ids if name in self._rests]
         return max(0.0, min(ends, default=now) - now)
--- a/src/lotushill/availability/retry_budget.py
+++ b/src/lotushill/availability/retry_budget.py
@@ -20,9 +20,9 @@
         self._started = started
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
-        self.change(ratio, slack, window)
+        self.set_bounds(ratio, slack, window)
 
-    def change(self, ratio: float, slack: float, window: float) -> None:
+    def set_bounds(self, ratio: float, slack: float, window: float) -> None:
         """Replace the bounds; `window` is in seconds."""
         self._ratio = ratio * _RATIO_SHARE
         self._slack = slack * _SLACK_SHARE
@@ -32,7 +32,7 @@
         """Record a client's request."""
         self._requests.append(now)
 
-    def spend(self, gateways: int, now: float) -> bool:
+    def try_spend(self, gateways: int, now: float) -> bool:
         """Take one retry and return True if this gateway's part of the budget has one left.
 
         `gateways` is the number of gateways that share the budget, 0 while it is unknown.
--- a/src/lotushill/availability/stated_limits.py
+++ b/src/lotushill/availability/stated_limits.py
@@ -12,14 +12,14 @@
 
 
 @dataclass(frozen=True)
-class Word:
+class LimitReport:
     """The limit that an upstream stated in one answer, at some moment between two times."""
 
     rate: float
     """Requests per second from all gateways together, `NO_LIMIT` if the answer stated none."""
-    asked: float
+    sent_at: float
     """When the request was sent: the earliest time of the statement."""
-    heard: float
+    received_at: float
     """When its answer was received: the latest time of the statement."""
 
 
@@ -31,9 +31,9 @@
     """
 
     def __init__(self) -> None:
-        self._words: dict[str, Word] = {}
+        self._words: dict[str, LimitReport] = {}
 
-    def take(self, upstream_id: str, word: Word) -> bool:
+    def merge(self, upstream_id: str, word: LimitReport) -> bool:
         """Merge a report of this or another gateway; return whether the known rate changed.
 
         Nothing is stored for an upstream that never stated a limit.
@@ -54,15 +54,15 @@
         known = self._words.get(upstream_id)
         return known.rate if known is not None else NO_LIMIT
 
-    def word(self, upstream_id: str) -> Word | None:
+    def report(self, upstream_id: str) -> LimitReport | None:
         """Return the newest report of an upstream, None if it never stated a limit."""
         return self._words.get(upstream_id)
 
-    def words(self) -> dict[str, Word]:
+    def reports(self) -> dict[str, LimitReport]:
         """Return all stored reports, including those that ended a limit."""
         return dict(self._words)
 
-    def limited(self) -> dict[str, float]:
+    def limited_rates(self) -> dict[str, float]:
         """Return the rates of all upstreams that have a limit."""
         return {name: word.rate for name, word in self._words.items() if word.rate < NO_LIMIT}
 
@@ -75,20 +75,20 @@
         """Drop ended limits, and limits of upstreams that are in no view, once they are old."""
         for upstream_id, word in list(self._words.items()):
             over = word.rate == NO_LIMIT or upstream_id not in known
-            if over and now - word.heard > _KEPT_SECONDS:
+            if over and now - word.received_at > _KEPT_SECONDS:
                 del self._words[upstream_id]
 
 
-def finite(rate: float | None) -> float | None:
+def finite_or_none(rate: float | None) -> float | None:
     """Return a rate in the form that log lines can hold: None if there is no limit."""
     return rate if rate is not None and rate < NO_LIMIT else None
 
 
-def _replaces(word: Word, known: Word) -> bool:
+def _replaces(word: LimitReport, known: LimitReport) -> bool:
     """Return whether a report replaces the known one."""
     if word.rate == known.rate:
-        return word.heard > known.heard
-    if word.asked >= known.heard:
+        return word.received_at > known.received_at
+    if word.sent_at >= known.received_at:
         return True
-    overlap = known.asked < word.heard
+    overlap = known.sent_at < word.received_at
     return overlap and word.rate < known.rate
--- a/src/lotushill/availability/statement.py
+++ b/src/lotushill/availability/statement.py
@@ -8,13 +8,13 @@
 
 from lotushill.availability.stated_limits import NO_LIMIT
 
-LONGEST_REST_SECONDS = 300.0
+MAX_COOLDOWN_SECONDS = 300.0
 """Longest cooldown; longer ones are cut to this. An upstream that wants no requests for minutes
 states that it is leaving, and an absurd value sent by mistake must not remove it for hours."""
-LEAST_LIMIT = 0.1
+MIN_REQUESTS_PER_SECOND = 0.1
 """Lowest limit in requests per second; lower ones are raised to this. If no request were sent, no
 answer could state that the limit ended."""
-MOST_LIMIT = 100_000.0
+MAX_REQUESTS_PER_SECOND = 100_000.0
 """Highest limit in requests per second; higher ones are cut to this. No fleet sends one upstream as
 much."""
 _MOST_LOGGED = 60
@@ -28,11 +28,11 @@
 
     not_executed: bool = False
     """Whether the upstream did not run the request and never will."""
-    rest: float = 0.0
+    cooldown: float = 0.0
     """Seconds from now for which the upstream wants no request from this gateway; 0 for none."""
     leaving: bool = False
     """Whether the upstream is about to shut down and wants no new request from any gateway."""
-    unreadable: str = ""
+    unreadable_cooldown: str = ""
     """Text of a cooldown that could not be parsed, and so is ignored."""
     limit: float | None = NO_LIMIT
     """Requests per second that it accepts from all gateways together, `NO_LIMIT` if it states none.
@@ -43,11 +43,11 @@
     """Text of a limit that could not be parsed."""
 
 
-NOTHING_SAID = Statement()
+EMPTY_STATEMENT = Statement()
 
 
 @dataclass(frozen=True)
-class Rest:
+class ParsedCooldown:
     """Cooldown that an upstream asked for, as far as it can be parsed."""
 
     seconds: float = 0.0
@@ -55,17 +55,17 @@
 
 
 @dataclass(frozen=True)
-class Limit:
+class ParsedLimit:
     """Limit that an upstream stated for all gateways together, as far as it can be parsed."""
 
     rate: float | None = NO_LIMIT
     unreadable: str = ""
 
 
-_NONE_NAMED = Limit()
+_NONE_NAMED = ParsedLimit()
 
 
-def read_rest(values: list[bytes]) -> Rest:
+def parse_cooldown(values: list[bytes]) -> ParsedCooldown:
     """Return the longest of several cooldowns in seconds; dates are not among the forms in use."""
     longest, unreadable = 0.0, ""
     for value in values:
@@ -73,8 +73,8 @@
         if seconds is None:
             unreadable = _shown(value)
         else:
-            longest = max(longest, min(LONGEST_REST_SECONDS, seconds))
-    return Rest(longest, unreadable)
+            longest = max(longest, min(MAX_COOLDOWN_SECONDS, seconds))
+    return ParsedCooldown(longest, unreadable)
 
 
 def _seconds(value: bytes) -> float | None:
@@ -85,16 +85,20 @@
     return seconds if 0.0 <= seconds < math.inf else None
 
 
-def read_limit(values: list[bytes]) -> Limit:
+def parse_limit(values: list[bytes]) -> ParsedLimit:
     """Return the lowest of several limits; its rate is None if none of them can be parsed."""
     if not values:
         return _NONE_NAMED
     read = [_decimal(value) for value in values]
-    rates = [max(LEAST_LIMIT, min(MOST_LIMIT, rate)) for rate in read if rate is not None]
+    rates = [
+        max(MIN_REQUESTS_PER_SECOND, min(MAX_REQUESTS_PER_SECOND, rate))
+        for rate in read
+        if rate is not None
+    ]
     odd = [_shown(value) for value, rate in zip(values, read) if rate is None]
     if rates:
-        return Limit(min(rates), *odd[-1:])
-    return Limit(None, odd[-1] or _EMPTY)
+        return ParsedLimit(min(rates), *odd[-1:])
+    return ParsedLimit(None, odd[-1] or _EMPTY)
 
 
 def _decimal(value: bytes) -> float | None:
--- a/src/lotushill/availability/trickle.py
+++ b/src/lotushill/availability/trickle.py
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     import random
 
-SHORTEST_SECONDS = 0.1
+MIN_INTERVAL_SECONDS = 0.1
 """First interval; short against the seconds for which a leaving upstream goes on serving."""
-LONGEST_SECONDS = 3.2
+MAX_INTERVAL_SECONDS = 3.2
 """Longest interval. While nothing is new, all gateways together announce about once per interval,
 for those that joined since."""
 _ENOUGH = 2
@@ -23,13 +23,13 @@
 datagram would leave a gateway without the fact for long."""
 
 
-class Trickle:
+class TrickleTimer:
     """Fires once per interval unless others announced the same; intervals double up to a limit."""
 
     def __init__(self, rng: random.Random) -> None:
         """Create a stopped timer."""
         self._rng = rng
-        self._interval = SHORTEST_SECONDS
+        self._interval = MIN_INTERVAL_SECONDS
         self._tells = math.inf
         self._ends = math.inf
         self._heard = 0
@@ -46,15 +46,15 @@
 
     def reset(self, now: float) -> None:
         """Restart with the shortest interval, since a fact is new here or to another gateway."""
-        if self.running and self._interval == SHORTEST_SECONDS:
+        if self.running and self._interval == MIN_INTERVAL_SECONDS:
             return
-        self._begin(SHORTEST_SECONDS, now)
+        self._begin(MIN_INTERVAL_SECONDS, now)
 
     def stop(self) -> None:
         """Stop until the next `reset`."""
         self._tells = self._ends = math.inf
 
-    def hear(self) -> None:
+    def note_consistent(self) -> None:
         """Record that another gateway announced all that this one would."""
         self._heard += 1
 
@@ -64,7 +64,7 @@
         if now >= self._tells:
             self._tells = math.inf
         if now >= self._ends:
-            self._begin(min(LONGEST_SECONDS, 2.0 * self._interval), now)
+            self._begin(min(MAX_INTERVAL_SECONDS, 2.0 * self._interval), now)
         return due
 
     def _begin(self, interval: float, now: float) -> None:
--- a/src/lotushill/availability/patience.py
+++ b/src/lotushill/availability/wait_policy.py
@@ -9,12 +9,12 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.returns.promise import KEPT_SECONDS
+from lotushill.returns.promise import GRACE_SECONDS
 
 if TYPE_CHECKING:
     from lotushill.placement.need import Need
 
-WAIT_SHARE = 1.0
+MAX_WAIT_FRACTION = 1.0
 """Fraction of its target for which a request waits for a cooldown to end; it can still be served in
 time then."""
 _TIER_SECONDS = 0.01
@@ -23,29 +23,29 @@
 _LIMITED_RETRY_SECONDS = 1.0
 """Shortest Retry-After time of a request that got no permit within its whole target. If its caller
 returned at once, it would mostly use up its last try in vain."""
-RETURN_SHARE = 0.6
+MAX_RETURN_WAIT_FRACTION = 0.6
 """Fraction of its target for which a returned request waits for the slot promised to it."""
 _RETURN_POLL_SECONDS = 0.06
 """Interval between two checks for the promised slot: about as often as a slot becomes free."""
 
 
-def limited_retry(first_end: float) -> float:
+def limited_retry_after_seconds(first_end: float) -> float:
     """Return the Retry-After time in seconds for a request that got no permit."""
     return max(_LIMITED_RETRY_SECONDS, first_end)
 
 
-def rest_pause(rest_ends_in: float, waited: float, need: Need) -> float | None:
+def cooldown_wait(rest_ends_in: float, waited: float, need: Need) -> float | None:
     """Return for how many seconds a request that has waited so far waits on, None to refuse it."""
     pause = rest_ends_in + need.tier * _TIER_SECONDS
-    return pause if waited + pause <= WAIT_SHARE * need.target else None
+    return pause if waited + pause <= MAX_WAIT_FRACTION * need.target else None
 
 
-def return_pause(waited: float, need: Need) -> float | None:
+def returned_request_wait(waited: float, need: Need) -> float | None:
     """Return how many seconds a returned request waits until the next check, or None to refuse it.
 
     Its client has no further try, and a slot is about to become free: it waits here longer than a
     new request does, while its promise is kept. With longer waits, requests that are late already
     would take the slots of many that are not.
     """
-    longest = min(KEPT_SECONDS, RETURN_SHARE * need.target)
+    longest = min(GRACE_SECONDS, MAX_RETURN_WAIT_FRACTION * need.target)
     return _RETURN_POLL_SECONDS if waited + _RETURN_POLL_SECONDS <= longest else None
--- a/src/lotushill/limits/counting.py
+++ b/src/lotushill/limits/limit_owners.py
@@ -16,7 +16,7 @@
     from lotushill.routing.upstream import Upstream
 
 
-class CountingGateways:
+class LimitOwners:
     """Limit owners: one scheduler per upstream, computed in the same way by all live members.
 
     Schedulers know which requests run, and so which ones should come first.
@@ -39,7 +39,7 @@
         """Name of this gateway."""
         return self._membership.own.name
 
-    def of(self, upstream: Upstream) -> MemberState:
+    def owner_of(self, upstream: Upstream) -> MemberState:
         """Return the owner for an upstream, in its hall if possible: both are cut off together."""
         halls = self._schedulers.halls()
         near = halls.get(upstream.hall)
@@ -50,9 +50,9 @@
 
     def is_own(self, upstream: Upstream) -> bool:
         """Return whether this gateway is the owner for an upstream."""
-        return self.of(upstream).name == self.own_name
+        return self.owner_of(upstream).name == self.own_name
 
-    def part(self) -> float:
+    def usable_fraction(self) -> float:
         """Return the fraction of a limit that the gateways alive in this one's view may use."""
         heard = len(self._membership.live())
         staying = [item for item in self._membership.all() if item.phase is not MemberPhase.LEAVING]
--- a/src/lotushill/limits/permit_desk.py
+++ b/src/lotushill/limits/permit_buckets.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-DEPTH = 2.0
+BUCKET_DEPTH = 2.0
 """Most permits that accumulate while none is requested."""
 _RANK_LEVEL = 0.45
 """Additional permits that have to be in the bucket for each earlier rank that is requested as well:
@@ -59,25 +59,27 @@
         return 1.0 + _RANK_LEVEL * min(_RANKS, before)
 
 
-class PermitDesk:
+class PermitBuckets:
     """Token buckets of the upstreams whose limits this gateway owns."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, _Bucket] = {}
 
-    def begin(self, upstream_id: str, rate: float, now: float) -> None:
+    def add_bucket(self, upstream_id: str, rate: float, now: float) -> None:
         """Add a bucket for an upstream whose first limit is new, so that no gateway counted before.
 
         It starts with permits, so that if all engines state limits at once, not all requests of the
         next moments are refused.
         """
-        level = min(DEPTH, rate * _BEFORE_SECONDS)
+        level = min(BUCKET_DEPTH, rate * _BEFORE_SECONDS)
         self._buckets.setdefault(upstream_id, _Bucket(now, level))
 
-    def ask(self, upstream_id: str, rate: float, rank: int, asker: str, now: float) -> Verdict:
+    def request_permit(
+        self, upstream_id: str, rate: float, rank: int, asker: str, now: float
+    ) -> Verdict:
         """Return whether `asker` may send a request of a rank; `rate` is per second for all."""
         bucket = self._buckets.setdefault(upstream_id, _Bucket(now))
-        bucket.level = min(DEPTH, bucket.level + rate * max(0.0, now - bucket.at))
+        bucket.level = min(BUCKET_DEPTH, bucket.level + rate * max(0.0, now - bucket.at))
         bucket.at = max(bucket.at, now)
         bucket.askers[asker] = bucket.ranks[rank] = now
         wanted = bucket.wanted(rank, rate, now)
--- a/src/lotushill/moves/move_links.py
+++ b/src/lotushill/moves/move_links.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._due: dict[str, list[float]] = {}
 
-    def take(self, upstream_id: str, seconds: float, within: float) -> bool:
+    def try_reserve(self, upstream_id: str, seconds: float, within: float) -> bool:
         """Reserve the link for a copy that takes `seconds`.
 
         Return False if the upstream has too many moves in flight, or if the copy would not be done
@@ -30,13 +30,13 @@
         self._due.setdefault(upstream_id, []).append(seconds)
         return True
 
-    def give_back(self, upstream_id: str, seconds: float) -> None:
+    def release(self, upstream_id: str, seconds: float) -> None:
         """Release the reservation of a copy that is done or was given up."""
         due = self._due[upstream_id]
         due.remove(seconds)
         if not due:
             del self._due[upstream_id]
 
-    def busy(self, upstream_id: str) -> bool:
+    def is_full(self, upstream_id: str) -> bool:
         """Return whether an upstream has as many moves in flight as are allowed."""
         return len(self._due.get(upstream_id, ())) >= _MOST_AT_ONCE
--- a/src/lotushill/moves/notices.py
+++ b/src/lotushill/moves/notices.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-USUAL_SECONDS = 2.0
+DEFAULT_NOTICE_SECONDS = 2.0
 """Notice assumed for an upstream that states no time: the shortest notice that upstreams give."""
 _MOST_REMEMBERED = 4096
 """Most incarnations remembered: several times the number of upstreams in the largest fleet."""
@@ -28,11 +28,11 @@
         if known is None:
             while len(self._ends) >= _MOST_REMEMBERED:
                 del self._ends[next(iter(self._ends))]
-            self._ends[upstream_id] = now + (USUAL_SECONDS if seconds is None else seconds)
+            self._ends[upstream_id] = now + (DEFAULT_NOTICE_SECONDS if seconds is None else seconds)
         elif seconds is not None:
             self._ends[upstream_id] = min(known, now + seconds)
 
-    def left(self, upstream_id: str, now: float) -> float | None:
+    def seconds_left(self, upstream_id: str, now: float) -> float | None:
         """Return the seconds until an upstream shuts down, 0 past its end, None if it stays."""
         ends = self._ends.get(upstream_id)
         return None if ends is None else max(0.0, ends - now)
--- a/src/lotushill/moves/stalls.py
+++ b/src/lotushill/moves/stalls.py
@@ -24,7 +24,7 @@
 _MULTIPLE = 4.0
 """Multiple of the long pause that counts as a stall: one stream in some thousands pauses for that
 long and goes on by itself."""
-LEAST_SECONDS = 0.5
+MIN_THRESHOLD_SECONDS = 0.5
 """Shortest threshold. Upstreams recover from shorter disturbances, and resuming elsewhere takes as
 long."""
 _MOST_PAUSES_ALLOWED = 4.0
@@ -33,7 +33,7 @@
 """The same bound if a route sets no such pause."""
 
 
-class Stalls:
+class StallThresholds:
     """Long pause of each service, estimated from the pauses of this gateway's own streams."""
 
     def __init__(self) -> None:
@@ -60,22 +60,22 @@
         """Return the pause that one event in a hundred exceeds, in seconds."""
         return self._long.get(service, _FIRST_SECONDS)
 
-    def shown(self) -> dict[str, float]:
+    def long_pauses_ms(self) -> dict[str, float]:
         """Return the long pause of each service, in milliseconds."""
         return {service: round(1000 * long, 1) for service, long in self._long.items()}
 
-    def after(self, service: str, gap: float) -> float:
+    def threshold(self, service: str, gap: float) -> float:
         """Return the seconds after which a stream counts as stalled; `gap` is the pause in time."""
-        return min(latest(gap), self._bound(service))
+        return min(max_threshold(gap), self._bound(service))
 
-    def after_if_known(self, service: str) -> float | None:
+    def threshold_if_known(self, service: str) -> float | None:
         """Return the threshold if no pause counts as in time, None until enough were observed."""
         return self._bound(service) if self._seen[service] >= _KNOWN_FROM else None
 
     def _bound(self, service: str) -> float:
-        return max(LEAST_SECONDS, _MULTIPLE * self.long_pause(service))
+        return max(MIN_THRESHOLD_SECONDS, _MULTIPLE * self.long_pause(service))
 
 
-def latest(gap: float) -> float:
+def max_threshold(gap: float) -> float:
     """Return the longest pause, in seconds, to wait for any stream that can resume elsewhere."""
     return max(_MOST_SECONDS, _MOST_PAUSES_ALLOWED * gap)
