--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -148,7 +148,7 @@
     Break(
         "gateway: repeats come out of the budget",
         "availability/retry_budget.py",
-        "        if len(self._repeats) + 1 > allowed:\n            return False\n",
+        "        if len(self._retries) + 1 > allowed:\n            return False\n",
         "",
         "tests.requests.test_retry_budget",
     ),
@@ -351,8 +351,8 @@
     Break(
         "moves: none costs more than it saves",
         "moves/move_plan.py",
-        "return Move(cause, worth, bound) if worth > 0.0 else None",
-        "return Move(cause, worth, bound)",
+        "return Move(cause, worth, time_limit) if worth > 0.0 else None",
+        "return Move(cause, worth, time_limit)",
         "tests.moves.test_move_plan",
     ),
     Break(
@@ -767,14 +767,14 @@
     Break(
         "after a rest one request goes first",
         "availability/cooldowns.py",
-        "rest.trial_at = now",
-        "rest.trial_at = now - 1.0",
+        "cooldown.probe_at = now",
+        "cooldown.probe_at = now - 1.0",
         "tests.availability.test_cooldowns",
     ),
     Break(
         "a rest is kept while the entry is away",
         "availability/cooldowns.py",
-        "if now >= self._rests[upstream_id].until:",
+        "if now >= self._cooldowns[upstream_id].until:",
         "if True:",
         "tests.availability.test_cooldowns",
     ),
@@ -802,15 +802,15 @@
     Break(
         "all gateways hear which upstreams leave",
         "availability/announcement_schedule.py",
-        "return self._order.choose(names) if self._timer.is_due(now) else []",
+        "return self._selector.choose(names) if self._timer.is_due(now) else []",
         "return []",
         "tests.peering.test_leaving_keeper",
     ),
     Break(
         "a telling that was heard is not repeated by all",
         "availability/trickle.py",
-        "self._heard += 1",
-        "self._heard += 0",
+        "self._consistent_count += 1",
+        "self._consistent_count += 0",
         "tests.peering.test_leaving_keeper",
     ),
     Break(
@@ -837,7 +837,7 @@
     Break(
         "both sides of a cut hand out no more than all",
         "limits/limit_owners.py",
-        "return heard / max(1, heard, len(staying), self._registered())",
+        "return live / max(1, live, len(staying), self._registered())",
         "return 1.0",
         "tests.limits.test_limit_owners",
     ),
@@ -845,7 +845,7 @@
         "a gateway that begins to count has nothing to hand out",
         "limits/permit_buckets.py",
         "level: float = 0.0",
-        "level: float = DEPTH",
+        "level: float = BUCKET_DEPTH",
         "tests.limits.test_permit_buckets",
     ),
     Break(
@@ -879,7 +879,7 @@
     Break(
         "one gateway counts for the limit of a team",
         "limits/team_limits.py",
-        "if counting.name == self._counting.own_name:",
+        "if owner.name == self._owners.own_name:",
         "if True:",
         "tests.limits.test_team_limits",
     ),
@@ -900,14 +900,14 @@
     Break(
         "all gateways hear of limits and their ends",
         "availability/announcement_schedule.py",
-        "return self._order.choose(names) if self._timer.is_due(now) else []",
+        "return self._selector.choose(names) if self._timer.is_due(now) else []",
         "return []",
         "tests.limits.test_limit_gossip",
     ),
     Break(
         "the newest word of a limit holds",
         "availability/stated_limits.py",
-        "if word.sent_at >= known.received_at:",
+        "if report.sent_at >= known.received_at:",
         "if True:",
         "tests.availability.test_stated_limits",
     ),
@@ -921,7 +921,7 @@
     Break(
         "permits go where they relieve the others most",
         "limits/permit_rank.py",
-        "if others_have_room:",
+        "if others_have_free_slots:",
         "if False:",
         "tests.limits.test_permit_rank",
     ),
--- a/src/lotushill/availability/announcement_schedule.py
+++ b/src/lotushill/availability/announcement_schedule.py
@@ -17,24 +17,24 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._timer = TrickleTimer(rng)
-        self._order = NewestFirst(rng)
+        self._selector = NewestFirst(rng)
 
     def note(self, name: str, now: float) -> None:
         """Record that the fact stored under a name changed here."""
-        self._order.note(name, now)
+        self._selector.note(name, now)
         self._timer.reset(now)
 
     def note_received(
-        self, told: Collection[str], complete: bool, differs: bool, now: float
+        self, names: Collection[str], complete: bool, differs: bool, now: float
     ) -> None:
         """Record an announcement of another gateway.
 
-        `told` holds the names in it, and `complete` states whether these are all that the sender
+        `names` are those in it, and `complete` states whether these are all that the sender
         knows. `differs` states that the sender lacks a fact, or holds a different one.
         """
         if differs:
             self._timer.reset(now)
-        elif complete or self._order.covers_newest(told):
+        elif complete or self._selector.covers_newest(names):
             self._timer.note_consistent()
 
     def due_names(self, names: Collection[str], now: float) -> list[str]:
@@ -44,4 +44,4 @@
             return []
         if not self._timer.running:
             self._timer.reset(now)
-        return self._order.choose(names) if self._timer.is_due(now) else []
+        return self._selector.choose(names) if self._timer.is_due(now) else []
--- a/src/lotushill/availability/cooldowns.py
+++ b/src/lotushill/availability/cooldowns.py
@@ -15,36 +15,36 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-_TRIAL_SECONDS = 0.1
+_PROBE_SECONDS = 0.1
 """Time after which a probe request counts as accepted.
 
 After a cooldown one request is sent as a probe. An upstream that still wants none rejects it within
 a round trip of some milliseconds; if it has not done so after ten times as long, it accepted it.
 """
-_NOBODY: frozenset[str] = frozenset()
+_NO_UPSTREAMS: frozenset[str] = frozenset()
 
 
 @dataclass
-class _Rest:
+class _Cooldown:
     until: float
-    trial_at: float | None = None
+    probe_at: float | None = None
     """When the first request after the cooldown was sent, None before that."""
 
     def is_over(self, now: float) -> bool:
-        return self.trial_at is not None and now >= self.trial_at + _TRIAL_SECONDS
+        return self.probe_at is not None and now >= self.probe_at + _PROBE_SECONDS
 
-    def bars(self, now: float) -> bool:
-        return now < self.until or (self.trial_at is not None and not self.is_over(now))
+    def is_barring(self, now: float) -> bool:
+        return now < self.until or (self.probe_at is not None and not self.is_over(now))
 
-    def ends(self) -> float:
-        return self.until if self.trial_at is None else self.trial_at + _TRIAL_SECONDS
+    def ends_at(self) -> float:
+        return self.until if self.probe_at is None else self.probe_at + _PROBE_SECONDS
 
 
 class Cooldowns:
     """Cooldowns by the id of an upstream's incarnation, so that a restart ends them at once."""
 
     def __init__(self) -> None:
-        self._rests: dict[str, _Rest] = {}
+        self._cooldowns: dict[str, _Cooldown] = {}
         self.requested_count = 0
         """Number of cooldowns requested so far."""
 
@@ -56,39 +56,39 @@
         """
         self.requested_count += 1
         until = now + seconds
-        known = self._rests.get(upstream_id)
-        self._rests[upstream_id] = _Rest(max(until, known.until if known else until))
+        known = self._cooldowns.get(upstream_id)
+        self._cooldowns[upstream_id] = _Cooldown(max(until, known.until if known else until))
 
     def note_sent(self, upstream_id: str, now: float) -> None:
         """Record that a request is sent; the first one after a cooldown is the probe."""
-        rest = self._rests.get(upstream_id)
-        if rest is None:
+        cooldown = self._cooldowns.get(upstream_id)
+        if cooldown is None:
             return
-        if rest.is_over(now):
-            del self._rests[upstream_id]
-        elif rest.trial_at is None:
-            rest.trial_at = now
+        if cooldown.is_over(now):
+            del self._cooldowns[upstream_id]
+        elif cooldown.probe_at is None:
+            cooldown.probe_at = now
 
     def note_accepted(self, upstream_id: str, now: float) -> None:
         """Record an answer without a cooldown; it does not end a cooldown that still lasts."""
-        rest = self._rests.get(upstream_id)
-        if rest is not None and now >= rest.until:
-            del self._rests[upstream_id]
+        cooldown = self._cooldowns.get(upstream_id)
+        if cooldown is not None and now >= cooldown.until:
+            del self._cooldowns[upstream_id]
 
     def is_barred(self, upstream_id: str, now: float) -> bool:
         """Return whether no request may be sent to an upstream now."""
-        rest = self._rests.get(upstream_id)
-        return rest is not None and rest.bars(now)
+        cooldown = self._cooldowns.get(upstream_id)
+        return cooldown is not None and cooldown.is_barring(now)
 
     def barred(self, now: float) -> frozenset[str]:
         """Return all upstreams to which no request may be sent now."""
-        if not self._rests:
-            return _NOBODY
-        return frozenset(name for name, rest in self._rests.items() if rest.bars(now))
+        if not self._cooldowns:
+            return _NO_UPSTREAMS
+        return frozenset(name for name, item in self._cooldowns.items() if item.is_barring(now))
 
     def seconds_to_first_end(self, upstream_ids: Iterable[str], now: float) -> float:
         """Return the seconds until the first of some upstreams in cooldown accepts requests."""
-        ends = [self._rests[name].ends() for name in upstream_ids if name in self._rests]
+        ends = [self._cooldowns[name].ends_at() for name in upstream_ids if name in self._cooldowns]
         return max(0.0, min(ends, default=now) - now)
 
     def forget(self, known: set[str], now: float) -> None:
@@ -96,6 +96,6 @@
 
         An entry that expires or cannot be read for a while may reappear within the cooldown.
         """
-        for upstream_id in self._rests.keys() - known:
-            if now >= self._rests[upstream_id].until:
-                del self._rests[upstream_id]
+        for upstream_id in self._cooldowns.keys() - known:
+            if now >= self._cooldowns[upstream_id].until:
+                del self._cooldowns[upstream_id]
--- a/src/lotushill/availability/retry_budget.py
+++ b/src/lotushill/availability/retry_budget.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-_RATIO_SHARE = 0.8
-_SLACK_SHARE = 0.8
+_USED_RATIO_FRACTION = 0.8
+_USED_SLACK_FRACTION = 0.8
 """Fractions of ratio and slack that are used; the remainder covers counts that differ between
 gateways at the edges of a window."""
 
@@ -19,13 +19,13 @@
         """Create the budget; `started` is the time at which the process started."""
         self._started = started
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
         self.set_bounds(ratio, slack, window)
 
     def set_bounds(self, ratio: float, slack: float, window: float) -> None:
         """Replace the bounds; `window` is in seconds."""
-        self._ratio = ratio * _RATIO_SHARE
-        self._slack = slack * _SLACK_SHARE
+        self._ratio = ratio * _USED_RATIO_FRACTION
+        self._slack = slack * _USED_SLACK_FRACTION
         self._window = window
 
     def note_request(self, now: float) -> None:
@@ -37,12 +37,12 @@
 
         `gateways` is the number of gateways that share the budget, 0 while it is unknown.
         """
-        self._forget(self._requests, now)
-        self._forget(self._repeats, now)
+        self._drop_old(self._requests, now)
+        self._drop_old(self._retries, now)
         allowed = self._ratio * len(self._requests) + self._slack_part(gateways, now)
-        if len(self._repeats) + 1 > allowed:
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def _slack_part(self, gateways: int, now: float) -> float:
@@ -57,6 +57,6 @@
             return 0.0
         return self._slack / gateways
 
-    def _forget(self, times: deque[float], now: float) -> None:
+    def _drop_old(self, times: deque[float], now: float) -> None:
         while times and times[0] < now - self._window:
             times.popleft()
--- a/src/lotushill/availability/stated_limits.py
+++ b/src/lotushill/availability/stated_limits.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 NO_LIMIT = math.inf
-_KEPT_SECONDS = 30.0
+_RETENTION_SECONDS = 30.0
 """How long the end of a limit is kept, and a limit of an upstream that is in no view: longer than
 gossip is in flight, and than an entry is missing when it expires."""
 
@@ -31,52 +31,52 @@
     """
 
     def __init__(self) -> None:
-        self._words: dict[str, LimitReport] = {}
+        self._reports: dict[str, LimitReport] = {}
 
-    def merge(self, upstream_id: str, word: LimitReport) -> bool:
+    def merge(self, upstream_id: str, report: LimitReport) -> bool:
         """Merge a report of this or another gateway; return whether the known rate changed.
 
         Nothing is stored for an upstream that never stated a limit.
         """
-        known = self._words.get(upstream_id)
+        known = self._reports.get(upstream_id)
         if known is None:
-            if word.rate < NO_LIMIT:
-                self._words[upstream_id] = word
+            if report.rate < NO_LIMIT:
+                self._reports[upstream_id] = report
                 return True
             return False
-        if not _replaces(word, known):
+        if not _replaces(report, known):
             return False
-        self._words[upstream_id] = word
-        return word.rate != known.rate
+        self._reports[upstream_id] = report
+        return report.rate != known.rate
 
     def rate(self, upstream_id: str) -> float:
         """Return the requests per second that an upstream accepts, `NO_LIMIT` if unlimited."""
-        known = self._words.get(upstream_id)
+        known = self._reports.get(upstream_id)
         return known.rate if known is not None else NO_LIMIT
 
     def report(self, upstream_id: str) -> LimitReport | None:
         """Return the newest report of an upstream, None if it never stated a limit."""
-        return self._words.get(upstream_id)
+        return self._reports.get(upstream_id)
 
     def reports(self) -> dict[str, LimitReport]:
         """Return all stored reports, including those that ended a limit."""
-        return dict(self._words)
+        return dict(self._reports)
 
     def limited_rates(self) -> dict[str, float]:
         """Return the rates of all upstreams that have a limit."""
-        return {name: word.rate for name, word in self._words.items() if word.rate < NO_LIMIT}
+        return {name: item.rate for name, item in self._reports.items() if item.rate < NO_LIMIT}
 
     @property
     def empty(self) -> bool:
         """Whether no report is stored."""
-        return not self._words
+        return not self._reports
 
     def forget(self, known: set[str], now: float) -> None:
         """Drop ended limits, and limits of upstreams that are in no view, once they are old."""
-        for upstream_id, word in list(self._words.items()):
-            over = word.rate == NO_LIMIT or upstream_id not in known
-            if over and now - word.received_at > _KEPT_SECONDS:
-                del self._words[upstream_id]
+        for upstream_id, report in list(self._reports.items()):
+            is_obsolete = report.rate == NO_LIMIT or upstream_id not in known
+            if is_obsolete and now - report.received_at > _RETENTION_SECONDS:
+                del self._reports[upstream_id]
 
 
 def finite_or_none(rate: float | None) -> float | None:
@@ -84,11 +84,11 @@
     return rate if rate is not None and rate < NO_LIMIT else None
 
 
-def _replaces(word: LimitReport, known: LimitReport) -> bool:
+def _replaces(report: LimitReport, known: LimitReport) -> bool:
     """Return whether a report replaces the known one."""
-    if word.rate == known.rate:
-        return word.received_at > known.received_at
-    if word.sent_at >= known.received_at:
+    if report.rate == known.rate:
+        return report.received_at > known.received_at
+    if report.sent_at >= known.received_at:
         return True
-    overlap = known.sent_at < word.received_at
-    return overlap and word.rate < known.rate
+    overlap = known.sent_at < report.received_at
+    return overlap and report.rate < known.rate
--- a/src/lotushill/availability/statement.py
+++ b/src/lotushill/availability/statement.py
@@ -17,8 +17,8 @@
 MAX_REQUESTS_PER_SECOND = 100_000.0
 """Highest limit in requests per second; higher ones are cut to this. No fleet sends one upstream as
 much."""
-_MOST_LOGGED = 60
-_EMPTY = "(empty)"
+_MAX_LOGGED_CHARACTERS = 60
+_EMPTY_TEXT = "(empty)"
 _DECIMAL = re.compile(rb"[0-9]{1,30}(?:\.[0-9]{0,30})?|\.[0-9]{1,30}")
 
 
@@ -62,22 +62,22 @@
     unreadable: str = ""
 
 
-_NONE_NAMED = ParsedLimit()
+_NO_LIMIT_STATED = ParsedLimit()
 
 
 def parse_cooldown(values: list[bytes]) -> ParsedCooldown:
     """Return the longest of several cooldowns in seconds; dates are not among the forms in use."""
     longest, unreadable = 0.0, ""
     for value in values:
-        seconds = _seconds(value)
+        seconds = _parse_seconds(value)
         if seconds is None:
-            unreadable = _shown(value)
+            unreadable = _loggable_text(value)
         else:
             longest = max(longest, min(MAX_COOLDOWN_SECONDS, seconds))
     return ParsedCooldown(longest, unreadable)
 
 
-def _seconds(value: bytes) -> float | None:
+def _parse_seconds(value: bytes) -> float | None:
     try:
         seconds = float(value)
     except ValueError:
@@ -88,24 +88,24 @@
 def parse_limit(values: list[bytes]) -> ParsedLimit:
     """Return the lowest of several limits; its rate is None if none of them can be parsed."""
     if not values:
-        return _NONE_NAMED
-    read = [_decimal(value) for value in values]
+        return _NO_LIMIT_STATED
+    parsed = [_parse_decimal(value) for value in values]
     rates = [
         max(MIN_REQUESTS_PER_SECOND, min(MAX_REQUESTS_PER_SECOND, rate))
-        for rate in read
+        for rate in parsed
         if rate is not None
     ]
-    odd = [_shown(value) for value, rate in zip(values, read) if rate is None]
+    unreadable = [_loggable_text(value) for value, rate in zip(values, parsed) if rate is None]
     if rates:
-        return ParsedLimit(min(rates), *odd[-1:])
-    return ParsedLimit(None, odd[-1] or _EMPTY)
+        return ParsedLimit(min(rates), *unreadable[-1:])
+    return ParsedLimit(None, unreadable[-1] or _EMPTY_TEXT)
 
 
-def _decimal(value: bytes) -> float | None:
+def _parse_decimal(value: bytes) -> float | None:
     """Parse a decimal number of at least 0; return None for anything else."""
     text = value.strip()
     return float(text) if _DECIMAL.fullmatch(text) else None
 
 
-def _shown(value: bytes) -> str:
-    return value.decode("latin-1")[:_MOST_LOGGED]
+def _loggable_text(value: bytes) -> str:
+    return value.decode("latin-1")[:_MAX_LOGGED_CHARACTERS]
--- a/src/lotushill/availability/trickle.py
+++ b/src/lotushill/availability/trickle.py
@@ -18,7 +18,7 @@
 MAX_INTERVAL_SECONDS = 3.2
 """Longest interval. While nothing is new, all gateways together announce about once per interval,
 for those that joined since."""
-_ENOUGH = 2
+_REDUNDANCY_CONSTANT = 2
 """Consistent announcements in an interval that suppress the own one. With only one of them, a lost
 datagram would leave a gateway without the fact for long."""
 
@@ -30,19 +30,19 @@
         """Create a stopped timer."""
         self._rng = rng
         self._interval = MIN_INTERVAL_SECONDS
-        self._tells = math.inf
-        self._ends = math.inf
-        self._heard = 0
+        self._fires_at = math.inf
+        self._interval_ends_at = math.inf
+        self._consistent_count = 0
 
     @property
     def running(self) -> bool:
         """Whether there is anything to announce."""
-        return self._ends < math.inf
+        return self._interval_ends_at < math.inf
 
     @property
     def next_due(self) -> float:
         """Time at which to call `is_due` next, infinity for never."""
-        return min(self._tells, self._ends)
+        return min(self._fires_at, self._interval_ends_at)
 
     def reset(self, now: float) -> None:
         """Restart with the shortest interval, since a fact is new here or to another gateway."""
@@ -52,18 +52,18 @@
 
     def stop(self) -> None:
         """Stop until the next `reset`."""
-        self._tells = self._ends = math.inf
+        self._fires_at = self._interval_ends_at = math.inf
 
     def note_consistent(self) -> None:
         """Record that another gateway announced all that this one would."""
-        self._heard += 1
+        self._consistent_count += 1
 
     def is_due(self, now: float) -> bool:
         """Return whether to announce now; begin the next interval when the current one is over."""
-        due = now >= self._tells and self._heard < _ENOUGH
-        if now >= self._tells:
-            self._tells = math.inf
-        if now >= self._ends:
+        due = now >= self._fires_at and self._consistent_count < _REDUNDANCY_CONSTANT
+        if now >= self._fires_at:
+            self._fires_at = math.inf
+        if now >= self._interval_ends_at:
             self._begin(min(MAX_INTERVAL_SECONDS, 2.0 * self._interval), now)
         return due
 
@@ -72,6 +72,6 @@
         # The first half of an interval only receives (RFC 6206, listen-only period). Without it a
         # gateway whose interval began earlier would always announce before it has received the
         # announcements of others.
-        self._tells = now + self._rng.uniform(0.5, 1.0) * interval
-        self._ends = now + interval
-        self._heard = 0
+        self._fires_at = now + self._rng.uniform(0.5, 1.0) * interval
+        self._interval_ends_at = now + interval
+        self._consistent_count = 0
--- a/src/lotushill/availability/wait_policy.py
+++ b/src/lotushill/availability/wait_policy.py
@@ -17,26 +17,26 @@
 MAX_WAIT_FRACTION = 1.0
 """Fraction of its target for which a request waits for a cooldown to end; it can still be served in
 time then."""
-_TIER_SECONDS = 0.01
+_TIER_DELAY_SECONDS = 0.01
 """Additional delay per tier until a request checks again: one probe request goes first at the end
 of a cooldown, and it has to be one of the most urgent."""
-_LIMITED_RETRY_SECONDS = 1.0
+_MIN_LIMITED_RETRY_AFTER_SECONDS = 1.0
 """Shortest Retry-After time of a request that got no permit within its whole target. If its caller
 returned at once, it would mostly use up its last try in vain."""
 MAX_RETURN_WAIT_FRACTION = 0.6
 """Fraction of its target for which a returned request waits for the slot promised to it."""
-_RETURN_POLL_SECONDS = 0.06
+_RETURN_POLL_INTERVAL_SECONDS = 0.06
 """Interval between two checks for the promised slot: about as often as a slot becomes free."""
 
 
-def limited_retry_after_seconds(first_end: float) -> float:
+def limited_retry_after_seconds(seconds_to_first_end: float) -> float:
     """Return the Retry-After time in seconds for a request that got no permit."""
-    return max(_LIMITED_RETRY_SECONDS, first_end)
+    return max(_MIN_LIMITED_RETRY_AFTER_SECONDS, seconds_to_first_end)
 
 
-def cooldown_wait(rest_ends_in: float, waited: float, need: Need) -> float | None:
+def cooldown_wait(cooldown_ends_in: float, waited: float, need: Need) -> float | None:
     """Return for how many seconds a request that has waited so far waits on, None to refuse it."""
-    pause = rest_ends_in + need.tier * _TIER_SECONDS
+    pause = cooldown_ends_in + need.tier * _TIER_DELAY_SECONDS
     return pause if waited + pause <= MAX_WAIT_FRACTION * need.target else None
 
 
@@ -48,4 +48,6 @@
     would take the slots of many that are not.
     """
     longest = min(GRACE_SECONDS, MAX_RETURN_WAIT_FRACTION * need.target)
-    return _RETURN_POLL_SECONDS if waited + _RETURN_POLL_SECONDS <= longest else None
+    return (
+        _RETURN_POLL_INTERVAL_SECONDS if waited + _RETURN_POLL_INTERVAL_SECONDS <= longest else None
+    )
--- a/src/lotushill/limits/barred_upstreams.py
+++ b/src/lotushill/limits/barred_upstreams.py
@@ -28,9 +28,9 @@
 
     def seconds_to_first_end(self, upstream_ids: Iterable[str], route: str, now: float) -> float:
         """Return the seconds until a request may be sent to the first of some upstreams."""
-        return min((self._end(name, route, now) for name in upstream_ids), default=0.0)
+        return min((self._seconds_to_end(name, route, now) for name in upstream_ids), default=0.0)
 
-    def _end(self, upstream_id: str, route: str, now: float) -> float:
+    def _seconds_to_end(self, upstream_id: str, route: str, now: float) -> float:
         return max(
             self._rests.seconds_to_first_end((upstream_id,), now),
             self._denials.seconds_left(upstream_id, route, now),
--- a/src/lotushill/limits/fleet_limits.py
+++ b/src/lotushill/limits/fleet_limits.py
@@ -26,12 +26,12 @@
     from lotushill.links.limit_messages import PermitAsk
     from lotushill.views.upstream_view import UpstreamView
 
-_OTHERS_PAUSE = 0.3
+_WRONG_OWNER_PAUSE_SECONDS = 0.3
 """Seconds until a gateway that takes the wrong one for the limit owner asks again; their views
 agree by then."""
-_NEW_SECONDS = 1.0
+_NEW_LIMIT_SECONDS = 1.0
 """Age below which a limit counts as new: all gateways learned of it at about the same time."""
-_SPREAD = (0.8, 1.25)
+_PAUSE_JITTER = (0.8, 1.25)
 
 
 class FleetLimits:
@@ -40,28 +40,28 @@
     def __init__(
         self,
         upstreams: UpstreamView,
-        counting: LimitOwners,
+        owners: LimitOwners,
         stated: StatedLimits,
         ranks: PermitRanks,
         send: Callable[[PermitAsk, str], None],
-        tell: Callable[[LimitNews], None],
+        broadcast: Callable[[LimitNews], None],
         log: EventLog,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Create it; `send` sends a permit request to an address, `tell` gossip to all gateways."""
+        """Create it; `send` sends a permit request to an address, `broadcast` gossip to all."""
         self._upstreams = upstreams
-        self._counting = counting
+        self._owners = owners
         self._ranks = ranks
         self._rng = rng
         self._clock = clock
         self.stated = stated
         self.denials = Denials()
-        self.client = PermitClient(counting.own_name, send)
+        self.client = PermitClient(owners.own_name, send)
         self.gossip = LimitGossip(
-            counting.own_name, self.stated, tell, self._note_changed, log, rng, clock
+            owners.own_name, self.stated, broadcast, self._handle_change, log, rng, clock
         )
-        self._desk = PermitBuckets()
+        self._buckets = PermitBuckets()
         self.denied = 0
         """Number of permits denied so far, including those for other gateways."""
 
@@ -79,9 +79,9 @@
             return True
         if self.denials.is_barred(upstream_id, request.route, self._clock()):
             return False
-        answer = await self._ask(request)
+        answer = await self._request_permit(request)
         if not answer.granted:
-            until = self._clock() + answer.again_in * self._rng.uniform(*_SPREAD)
+            until = self._clock() + answer.again_in * self._rng.uniform(*_PAUSE_JITTER)
             self.denials.note_denied(upstream_id, request.route, answer.rank, until)
         return answer.granted
 
@@ -89,8 +89,8 @@
         """Answer a permit request of a gateway that takes this one for the limit owner."""
         self.gossip.merge(ask.limit, ask.sender)
         upstream = self._upstreams.find(ask.limit.upstream)
-        if upstream is None or not self._counting.is_own(upstream):
-            return PermitAnswer(ask.number, False, _OTHERS_PAUSE, 0)
+        if upstream is None or not self._owners.is_own(upstream):
+            return PermitAnswer(ask.number, False, _WRONG_OWNER_PAUSE_SECONDS, 0)
         request = PermitRequest(upstream, ask.route, ask.tier, ask.prompt_tokens)
         return self._decide(request, ask.sender, ask.number)
 
@@ -100,43 +100,47 @@
         self.stated.forget(known, now)
         limited = set(self.stated.limited_rates())
         self.denials.forget(limited, now)
-        self._desk.forget(limited)
+        self._buckets.forget(limited)
 
-    def _note_changed(self, upstream_id: str) -> None:
+    def _handle_change(self, upstream_id: str) -> None:
         """Reset the state of an upstream that stated a first or different limit, or its end."""
         self.denials.clear(upstream_id)
         upstream = self._upstreams.find(upstream_id)
-        word, now = self.stated.report(upstream_id), self._clock()
-        if word is None or word.rate == NO_LIMIT or now - word.received_at >= _NEW_SECONDS:
+        report, now = self.stated.report(upstream_id), self._clock()
+        if (
+            report is None
+            or report.rate == NO_LIMIT
+            or now - report.received_at >= _NEW_LIMIT_SECONDS
+        ):
             return
-        if upstream is not None and self._counting.is_own(upstream):
-            self._desk.add_bucket(upstream_id, word.rate, now)
+        if upstream is not None and self._owners.is_own(upstream):
+            self._buckets.add_bucket(upstream_id, report.rate, now)
 
-    async def _ask(self, request: PermitRequest) -> PermitAnswer:
+    async def _request_permit(self, request: PermitRequest) -> PermitAnswer:
         upstream_id = request.upstream.id
-        counting = self._counting.owner_of(request.upstream)
-        if counting.name == self._counting.own_name:
-            return self._decide(request, counting.name)
+        owner = self._owners.owner_of(request.upstream)
+        if owner.name == self._owners.own_name:
+            return self._decide(request, owner.name)
         self.denials.note_pending(upstream_id, self._clock() + ANSWER_TIMEOUT_SECONDS)
         try:
-            return await self.client.ask(self._state(upstream_id), request, counting.address)
+            return await self.client.ask(self._limit_state(upstream_id), request, owner.address)
         finally:
             self.denials.note_answered(upstream_id)
 
-    def _state(self, upstream_id: str) -> LimitState:
-        word = self.stated.report(upstream_id)
-        assert word is not None, "a permit is requested only for an upstream with a limit"
-        return self.gossip.state(upstream_id, word)
+    def _limit_state(self, upstream_id: str) -> LimitState:
+        report = self.stated.report(upstream_id)
+        assert report is not None, "a permit is requested only for an upstream with a limit"
+        return self.gossip.state(upstream_id, report)
 
     def _decide(self, request: PermitRequest, asker: str, number: int = 0) -> PermitAnswer:
         upstream = request.upstream
         if not self.is_limited(upstream.id):
             return PermitAnswer(number, True, 0.0, 0)
         now = self._clock()
-        rate = self.stated.rate(upstream.id) * self._counting.usable_fraction()
+        rate = self.stated.rate(upstream.id) * self._owners.usable_fraction()
         rank = self._ranks.rank(
             upstream.service, request.route, request.tier, request.prompt_tokens, now
         )
-        verdict = self._desk.request_permit(upstream.id, rate, rank, asker, now)
+        verdict = self._buckets.request_permit(upstream.id, rate, rank, asker, now)
         self.denied += not verdict.granted
         return PermitAnswer(number, verdict.granted, verdict.again_in, rank)
--- a/src/lotushill/limits/limit_gossip.py
+++ b/src/lotushill/limits/limit_gossip.py
@@ -17,7 +17,7 @@
     from lotushill.availability.stated_limits import StatedLimits
     from lotushill.event_log import EventLog
 
-_WAY_SECONDS = 0.05
+_GOSSIP_DELAY_SECONDS = 0.05
 """Usual upper bound of the delay of gossip. The sending time of a received report is dated back by
 it, so that the report is never taken to be later than one that it crossed on the way."""
 
@@ -32,7 +32,7 @@
         self,
         name: str,
         limits: StatedLimits,
-        tell: Callable[[LimitNews], None],
+        broadcast: Callable[[LimitNews], None],
         on_change: Callable[[str], None],
         log: EventLog,
         rng: random.Random,
@@ -41,49 +41,53 @@
         """Create it for the gateway `name`; `on_change` gets each upstream whose limit changed."""
         self._name = name
         self._limits = limits
-        self._tell = tell
+        self._broadcast = broadcast
         self._on_change = on_change
         self._log = log
         self._clock = clock
-        self._telling = AnnouncementSchedule(rng)
+        self._schedule = AnnouncementSchedule(rng)
 
-    def note_answer(self, upstream_id: str, word: LimitReport) -> None:
+    def note_answer(self, upstream_id: str, report: LimitReport) -> None:
         """Merge the limit stated in an answer to a request of this gateway."""
-        self._take(upstream_id, word, "answer")
+        self._merge(upstream_id, report, "answer")
 
     def merge(self, state: LimitState, source: str) -> None:
         """Merge a limit that another gateway received."""
         now = self._clock()
-        word = LimitReport(state.rate, now - state.asked_age - _WAY_SECONDS, now - state.heard_age)
-        if word.rate > 0.0 and word.sent_at <= word.received_at <= now:
-            self._take(state.upstream, word, source)
+        report = LimitReport(
+            state.rate, now - state.asked_age - _GOSSIP_DELAY_SECONDS, now - state.heard_age
+        )
+        if report.rate > 0.0 and report.sent_at <= report.received_at <= now:
+            self._merge(state.upstream, report, source)
 
-    def receive(self, news: LimitNews) -> None:
+    def receive(self, update: LimitNews) -> None:
         """Merge gossip, and record whether its sender lacks limits known here."""
-        for state in news.limits:
-            self.merge(state, news.sender)
-        agrees = all(self._limits.rate(item.upstream) == item.rate for item in news.limits)
-        lacks = news.complete and len(news.limits) < len(self._limits.reports())
-        told = [item.upstream for item in news.limits]
-        self._telling.note_received(told, news.complete, lacks or not agrees, self._clock())
-
-    def state(self, upstream_id: str, word: LimitReport) -> LimitState:
+        for state in update.limits:
+            self.merge(state, update.sender)
+        agrees = all(self._limits.rate(item.upstream) == item.rate for item in update.limits)
+        sender_lacks_limits = update.complete and len(update.limits) < len(self._limits.reports())
+        names = [item.upstream for item in update.limits]
+        self._schedule.note_received(
+            names, update.complete, sender_lacks_limits or not agrees, self._clock()
+        )
+
+    def state(self, upstream_id: str, report: LimitReport) -> LimitState:
         """Return a report in the form in which it is sent."""
         now = self._clock()
-        return LimitState(upstream_id, word.rate, now - word.sent_at, now - word.received_at)
+        return LimitState(upstream_id, report.rate, now - report.sent_at, now - report.received_at)
 
     def send_due(self) -> None:
         """Send reports to the other gateways if an announcement is due."""
-        words = self._limits.reports()
-        told = self._telling.due_names(words, self._clock())
-        if told:
-            states = tuple(self.state(name, words[name]) for name in told)
-            self._tell(LimitNews(self._name, states, len(told) == len(words)))
-
-    def _take(self, upstream_id: str, word: LimitReport, source: str) -> None:
-        if not self._limits.merge(upstream_id, word):
+        reports = self._limits.reports()
+        names = self._schedule.due_names(reports, self._clock())
+        if names:
+            states = tuple(self.state(name, reports[name]) for name in names)
+            self._broadcast(LimitNews(self._name, states, len(names) == len(reports)))
+
+    def _merge(self, upstream_id: str, report: LimitReport, source: str) -> None:
+        if not self._limits.merge(upstream_id, report):
             return
-        rate = finite_or_none(word.rate)
+        rate = finite_or_none(report.rate)
         self._log.note("upstream.limits", upstream=upstream_id, rate=rate, source=source)
         self._on_change(upstream_id)
-        self._telling.note(upstream_id, self._clock())
+        self._schedule.note(upstream_id, self._clock())
--- a/src/lotushill/limits/limit_owners.py
+++ b/src/lotushill/limits/limit_owners.py
@@ -42,11 +42,11 @@
     def owner_of(self, upstream: Upstream) -> MemberState:
         """Return the owner for an upstream, in its hall if possible: both are cut off together."""
         halls = self._schedulers.halls()
-        near = halls.get(upstream.hall)
-        names = near or [name for hall in halls.values() for name in hall]
+        in_hall = halls.get(upstream.hall)
+        names = in_hall or [name for hall in halls.values() for name in hall]
         name = owner(upstream.id, names)
-        found = self._membership.find(name) if name is not None else None
-        return found if found is not None else self._membership.own
+        member = self._membership.find(name) if name is not None else None
+        return member if member is not None else self._membership.own
 
     def is_own(self, upstream: Upstream) -> bool:
         """Return whether this gateway is the owner for an upstream."""
@@ -54,6 +54,6 @@
 
     def usable_fraction(self) -> float:
         """Return the fraction of a limit that the gateways alive in this one's view may use."""
-        heard = len(self._membership.live())
+        live = len(self._membership.live())
         staying = [item for item in self._membership.all() if item.phase is not MemberPhase.LEAVING]
-        return heard / max(1, heard, len(staying), self._registered())
+        return live / max(1, live, len(staying), self._registered())
--- a/src/lotushill/limits/permit_client.py
+++ b/src/lotushill/limits/permit_client.py
@@ -18,7 +18,7 @@
 ANSWER_TIMEOUT_SECONDS = 0.15
 """Time-out of a permit request, some round trips between regions; a gateway that takes longer is
 frozen, lost or cut off."""
-_SILENT_PAUSE = 0.3
+_TIMEOUT_PAUSE_SECONDS = 0.3
 """Seconds until an owner that did not answer is asked again: by then membership has likely dropped
 it."""
 
@@ -31,30 +31,30 @@
         self._name = name
         self._send = send
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[PermitAnswer]] = {}
+        self._pending: dict[int, asyncio.Future[PermitAnswer]] = {}
         self.unanswered = 0
         """Number of permit requests that timed out."""
 
     async def ask(self, limit: LimitState, request: PermitRequest, address: str) -> PermitAnswer:
         """Return the answer of the gateway at an address, or a denial after a time-out."""
         number = next(self._numbers)
-        waiting: asyncio.Future[PermitAnswer] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = waiting
+        future: asyncio.Future[PermitAnswer] = asyncio.get_running_loop().create_future()
+        self._pending[number] = future
         ask = PermitAsk(
             self._name, number, limit, request.tier, request.route, request.prompt_tokens
         )
         self._send(ask, address)
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
-                return await waiting
+                return await future
         except TimeoutError:
             self.unanswered += 1
-            return PermitAnswer(number, False, _SILENT_PAUSE, 0)
+            return PermitAnswer(number, False, _TIMEOUT_PAUSE_SECONDS, 0)
         finally:
-            del self._waiting[number]
+            del self._pending[number]
 
     def receive(self, answer: PermitAnswer) -> None:
         """Deliver an answer; a permit that is no longer waited for is not used."""
-        waiting = self._waiting.get(answer.number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(answer)
+        future = self._pending.get(answer.number)
+        if future is not None and not future.done():
+            future.set_result(answer)
--- a/src/lotushill/limits/team_limits.py
+++ b/src/lotushill/limits/team_limits.py
@@ -26,17 +26,17 @@
     from lotushill.links.limit_messages import PermitAsk
     from lotushill.routing.rate_limit import RateLimit
 
-_PREFIX = "limit of "
+_KEY_PREFIX = "limit of "
 """Prefix of the keys of team limits; it is no prefix of an upstream's id, which has no space."""
-_OTHERS_PAUSE = 0.3
+_WRONG_OWNER_PAUSE_SECONDS = 0.3
 """Seconds until a gateway that takes the wrong one for the limit owner asks again; their views
 agree by then."""
-_SPREAD = (0.8, 1.25)
-_LOOK_SECONDS = 0.03
+_PAUSE_JITTER = (0.8, 1.25)
+_CHECK_INTERVAL_SECONDS = 0.03
 """Interval between two checks whether a request is still barred; an answer takes some
 milliseconds."""
-_LEAST_PAUSE = 0.02
-_IDLE_SECONDS = 600.0
+_MIN_PAUSE_SECONDS = 0.02
+_IDLE_TIMEOUT_SECONDS = 600.0
 """Time after which an unused bucket is dropped; it is full again by then."""
 
 
@@ -45,19 +45,19 @@
 
     def __init__(
         self,
-        counting: LimitOwners,
+        owners: LimitOwners,
         client: PermitClient,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
         """Create it; `client` sends permit requests to the limit owners."""
-        self._counting = counting
+        self._owners = owners
         self._client = client
         self._rng = rng
         self._clock = clock
         self._denials = Denials()
-        self._desk = PermitBuckets()
-        self._used: dict[str, float] = {}
+        self._buckets = PermitBuckets()
+        self._last_requested: dict[str, float] = {}
         """Time at which a permit for each limit was last requested here."""
         self.delayed_count = 0
         """Number of requests of this gateway that were not admitted at once, so far."""
@@ -67,72 +67,74 @@
 
         More urgent requests go first, as far as permits are left.
         """
-        name, kind, now = limit_key(limit), str(tier), self._clock()
-        left = self._denials.seconds_left(name, kind, now)
-        if left > 0.0:
-            return min(left, _LOOK_SECONDS)
-        answer = await self._ask(limit, name, tier)
+        key, route, now = limit_key(limit), str(tier), self._clock()
+        seconds_left = self._denials.seconds_left(key, route, now)
+        if seconds_left > 0.0:
+            return min(seconds_left, _CHECK_INTERVAL_SECONDS)
+        answer = await self._request_from_owner(limit, key, tier)
         if answer.granted:
             return 0.0
         self.delayed_count += 1
-        pause = max(_LEAST_PAUSE, answer.again_in * self._rng.uniform(*_SPREAD))
-        self._denials.note_denied(name, kind, answer.rank, self._clock() + pause)
-        return min(pause, _LOOK_SECONDS)
+        pause = max(_MIN_PAUSE_SECONDS, answer.again_in * self._rng.uniform(*_PAUSE_JITTER))
+        self._denials.note_denied(key, route, answer.rank, self._clock() + pause)
+        return min(pause, _CHECK_INTERVAL_SECONDS)
 
     def is_team_limit(self, ask: PermitAsk) -> bool:
         """Return whether a permit request is for the limit of a team, not of an upstream."""
-        return ask.limit.upstream.startswith(_PREFIX)
+        return ask.limit.upstream.startswith(_KEY_PREFIX)
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
         """Answer a permit request of a gateway that takes this one for the limit owner."""
-        name = ask.limit.upstream
-        if not self._counting.is_own(_counted(name)):
-            return PermitAnswer(ask.number, False, _OTHERS_PAUSE, ask.tier)
-        return self._decide(name, ask.limit.rate, ask.tier, ask.sender, ask.number)
+        key = ask.limit.upstream
+        if not self._owners.is_own(_key_as_upstream(key)):
+            return PermitAnswer(ask.number, False, _WRONG_OWNER_PAUSE_SECONDS, ask.tier)
+        return self._decide(key, ask.limit.rate, ask.tier, ask.sender, ask.number)
 
     def forget(self) -> None:
         """Drop limits for which no permit was requested for long."""
         now = self._clock()
-        for name in [item for item, at in self._used.items() if now - at > _IDLE_SECONDS]:
-            del self._used[name]
-        self._desk.forget(set(self._used))
-        self._denials.forget(set(self._used), now)
-
-    async def _ask(self, limit: RateLimit, name: str, tier: int) -> PermitAnswer:
-        counting = self._counting.owner_of(_counted(name))
-        self._used[name] = self._clock()
-        if counting.name == self._counting.own_name:
-            return self._decide(name, limit.rate, tier, counting.name)
-        request = PermitRequest(_counted(name), str(tier), tier)
-        state = LimitState(name, limit.rate, 0.0, 0.0)
-        self._denials.note_pending(name, self._clock() + ANSWER_TIMEOUT_SECONDS)
+        for key in [
+            item for item, at in self._last_requested.items() if now - at > _IDLE_TIMEOUT_SECONDS
+        ]:
+            del self._last_requested[key]
+        self._buckets.forget(set(self._last_requested))
+        self._denials.forget(set(self._last_requested), now)
+
+    async def _request_from_owner(self, limit: RateLimit, key: str, tier: int) -> PermitAnswer:
+        owner = self._owners.owner_of(_key_as_upstream(key))
+        self._last_requested[key] = self._clock()
+        if owner.name == self._owners.own_name:
+            return self._decide(key, limit.rate, tier, owner.name)
+        request = PermitRequest(_key_as_upstream(key), str(tier), tier)
+        state = LimitState(key, limit.rate, 0.0, 0.0)
+        self._denials.note_pending(key, self._clock() + ANSWER_TIMEOUT_SECONDS)
         try:
-            return await self._client.ask(state, request, counting.address)
+            return await self._client.ask(state, request, owner.address)
         finally:
-            self._denials.note_answered(name)
+            self._denials.note_answered(key)
 
     def _decide(
-        self, name: str, rate: float, tier: int, asker: str, number: int = 0
+        self, key: str, rate: float, tier: int, asker: str, number: int = 0
     ) -> PermitAnswer:
         now = self._clock()
-        self._used[name] = now
-        own_rate = rate * self._counting.usable_fraction()
+        self._last_requested[key] = now
+        own_rate = rate * self._owners.usable_fraction()
         # A new owner starts with few permits: another one may have counted until now.
-        self._desk.add_bucket(name, own_rate, now)
-        verdict = self._desk.request_permit(name, own_rate, tier, asker, now)
+        self._buckets.add_bucket(key, own_rate, now)
+        verdict = self._buckets.request_permit(key, own_rate, tier, asker, now)
         return PermitAnswer(number, verdict.granted, verdict.again_in, tier)
 
 
 def limit_key(limit: RateLimit) -> str:
     """Return the key under which a limit is counted."""
-    return f"{_PREFIX}{limit.scope}"
+    return f"{_KEY_PREFIX}{limit.scope}"
 
 
-def _counted(name: str) -> Upstream:
+def _key_as_upstream(key: str) -> Upstream:
     """Return an upstream in no hall that represents a limit when its owner is determined."""
-    return Upstream(name, "", "", "", 0, False)
+    return Upstream(key, "", "", "", 0, False)
 
 
 def limit_as_upstream(limit: RateLimit) -> Upstream:
     """Return an upstream that represents a limit when its owner is determined."""
-    return _counted(limit_key(limit))
+    return _key_as_upstream(limit_key(limit))
--- a/src/lotushill/moves/memory_copy.py
+++ b/src/lotushill/moves/memory_copy.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-_MOST_HANDLE = 200
+_MAX_HANDLE_CHARACTERS = 200
 """Longest handle in characters."""
-_NOT_IN_HANDLES = " /?#%,"
+_RESERVED_CHARACTERS = " /?#%,"
 
 
 class NoCopyReason(Enum):
@@ -40,5 +40,5 @@
 
 def is_handle(text: str) -> bool:
     """Return whether a text can serve as a memory handle in a path and in a header."""
-    plain = text.isascii() and text.isprintable() and 0 < len(text) <= _MOST_HANDLE
-    return plain and not any(mark in text for mark in _NOT_IN_HANDLES)
+    plain = text.isascii() and text.isprintable() and 0 < len(text) <= _MAX_HANDLE_CHARACTERS
+    return plain and not any(mark in text for mark in _RESERVED_CHARACTERS)
--- a/src/lotushill/moves/move_links.py
+++ b/src/lotushill/moves/move_links.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-_MOST_AT_ONCE = 4
+_MAX_MOVES_IN_FLIGHT = 4
 """Most moves of one gateway in flight from one upstream: enough to keep a link in use during the
 calls' round trips."""
 
@@ -16,27 +16,27 @@
     """Seconds of the copies that this gateway has in flight from each upstream."""
 
     def __init__(self) -> None:
-        self._due: dict[str, list[float]] = {}
+        self._reserved: dict[str, list[float]] = {}
 
-    def try_reserve(self, upstream_id: str, seconds: float, within: float) -> bool:
+    def try_reserve(self, upstream_id: str, seconds: float, time_limit: float) -> bool:
         """Reserve the link for a copy that takes `seconds`.
 
         Return False if the upstream has too many moves in flight, or if the copy would not be done
-        `within` so many seconds behind them.
+        within `time_limit` seconds behind them.
         """
-        due = self._due.get(upstream_id, [])
-        if len(due) >= _MOST_AT_ONCE or sum(due) + seconds > within:
+        reserved = self._reserved.get(upstream_id, [])
+        if len(reserved) >= _MAX_MOVES_IN_FLIGHT or sum(reserved) + seconds > time_limit:
             return False
-        self._due.setdefault(upstream_id, []).append(seconds)
+        self._reserved.setdefault(upstream_id, []).append(seconds)
         return True
 
     def release(self, upstream_id: str, seconds: float) -> None:
         """Release the reservation of a copy that is done or was given up."""
-        due = self._due[upstream_id]
-        due.remove(seconds)
-        if not due:
-            del self._due[upstream_id]
+        reserved = self._reserved[upstream_id]
+        reserved.remove(seconds)
+        if not reserved:
+            del self._reserved[upstream_id]
 
     def is_full(self, upstream_id: str) -> bool:
         """Return whether an upstream has as many moves in flight as are allowed."""
-        return len(self._due.get(upstream_id, ())) >= _MOST_AT_ONCE
+        return len(self._reserved.get(upstream_id, ())) >= _MAX_MOVES_IN_FLIGHT
--- a/src/lotushill/moves/move_plan.py
+++ b/src/lotushill/moves/move_plan.py
@@ -31,17 +31,17 @@
 again, provided that the copy is still there."""
 _GAP_LOSS = 0.6
 """Fraction that a stream loses by one pause that is too long."""
-_WAY_LOSS = 0.05
+_MOVE_OVERHEAD_LOSS = 0.05
 """Cost of a move in addition to its memory: one of the few retries left, and the chance that the
 run does not resume."""
-_LENGTH_SPREAD = 3.0
+_LENGTH_STEEPNESS = 3.0
 """Steepness of the distribution of run lengths around the expected one: at half of the expected
 length one run in nine has ended, at twice of it eight in nine."""
-_LEAST_REST_SHARE = 0.3
+_MIN_REMAINING_FRACTION = 0.3
 """Fraction of the events produced that is expected to remain of a run longer than its estimate."""
-_FARTHER = 2.0
+_OTHER_HALL_FACTOR = 2.0
 """Factor by which a copy to another hall takes longer."""
-_CALL_SECONDS = 0.02
+_CALL_OVERHEAD_SECONDS = 0.02
 """Overhead of a move beyond the copy: a round trip to the source, one to the target, and one decode
 step there."""
 _SLOW_RATIO = 2.0
@@ -104,19 +104,23 @@
 
 def plan_move(run: RunState, engine: EngineProfile) -> Move | None:
     """Return why and within which time to move a run, None if it is better not moved."""
-    cause, bound = _cause(run)
-    copying = copy_seconds(run.tokens, engine, near=False)
-    slower = run.pause >= _SLOW_RATIO * run.usual_pause
-    if copying > bound or (cause is Cause.SLOW and not slower):
+    cause, time_limit = _most_urgent_cause(run)
+    move_seconds = copy_seconds(run.tokens, engine, near=False)
+    is_slow = run.pause >= _SLOW_RATIO * run.usual_pause
+    if move_seconds > time_limit or (cause is Cause.SLOW and not is_slow):
         return None
-    rest = _rest_events(run)
-    here = 1.0 if cause is Cause.STALLED else outlast_probability(rest * run.pause, bound)
-    there = outlast_probability(rest * run.usual_pause + copying, run.time_left)
-    worth = (here - there) * _loss(run, cause) - _price(run, copying)
-    return Move(cause, worth, bound) if worth > 0.0 else None
-
-
-def _cause(run: RunState) -> tuple[Cause, float]:
+    events_left = _remaining_events(run)
+    risk_here = (
+        1.0 if cause is Cause.STALLED else outlast_probability(events_left * run.pause, time_limit)
+    )
+    risk_elsewhere = outlast_probability(
+        events_left * run.usual_pause + move_seconds, run.time_left
+    )
+    worth = (risk_here - risk_elsewhere) * _loss(run, cause) - _move_cost(run, move_seconds)
+    return Move(cause, worth, time_limit) if worth > 0.0 else None
+
+
+def _most_urgent_cause(run: RunState) -> tuple[Cause, float]:
     """Return the most urgent threat to a run, and the seconds until it takes effect."""
     if run.leaves_in is not None and run.leaves_in < run.time_left:
         return Cause.LEAVING, run.leaves_in
@@ -132,33 +136,36 @@
     return _CUT_LOSS
 
 
-def _rest_events(run: RunState) -> float:
-    return max(run.expected - run.made, _LEAST_REST_SHARE * run.made, 1.0)
+def _remaining_events(run: RunState) -> float:
+    return max(run.expected - run.made, _MIN_REMAINING_FRACTION * run.made, 1.0)
 
 
-def _price(run: RunState, copying: float) -> float:
+def _move_cost(run: RunState, move_seconds: float) -> float:
     """Return the cost of the move itself: the memory, and a pause that may be too long."""
-    price = _WAY_LOSS + COPY_LOSS_PER_TOKEN * run.tokens
+    cost = _MOVE_OVERHEAD_LOSS + COPY_LOSS_PER_TOKEN * run.tokens
     if run.gap > 0.0 and not run.stalled:
-        price += _GAP_LOSS * exceed_probability(run.usual_pause + copying, run.gap)
-    return price
+        cost += _GAP_LOSS * exceed_probability(run.usual_pause + move_seconds, run.gap)
+    return cost
 
 
-def outlast_probability(rest: float, left: float) -> float:
-    """Return the probability that a run expected to last `rest` more seconds exceeds `left`."""
-    if left <= 0.0:
+def outlast_probability(expected_seconds: float, seconds_left: float) -> float:
+    """Return the probability that a run is not over in `seconds_left`.
+
+    `expected_seconds` is the time for which it is expected to go on.
+    """
+    if seconds_left <= 0.0:
         return 1.0
-    if rest <= 0.0:
+    if expected_seconds <= 0.0:
         return 0.0
-    return 1.0 / (1.0 + math.pow(left / rest, _LENGTH_SPREAD))
+    return 1.0 / (1.0 + math.pow(seconds_left / expected_seconds, _LENGTH_STEEPNESS))
 
 
 def copy_seconds(tokens: int, engine: EngineProfile, near: bool) -> float:
     """Return the seconds that a move of so many tokens takes; `near` means within one hall."""
     if engine.link_rate <= 0.0:
         return math.inf
-    way = 1.0 if near else _FARTHER
-    return _CALL_SECONDS + way * tokens * engine.token_bytes / engine.link_rate
+    factor = 1.0 if near else _OTHER_HALL_FACTOR
+    return _CALL_OVERHEAD_SECONDS + factor * tokens * engine.token_bytes / engine.link_rate
 
 
 def sort_by_urgency(moves: Iterable[tuple[str, Move]]) -> list[tuple[str, Move]]:
@@ -166,9 +173,9 @@
 
     Runs at leaving upstreams compete for the time left there, and go before others.
     """
-    return sorted(moves, key=_rank)
+    return sorted(moves, key=_urgency)
 
 
-def _rank(named: tuple[str, Move]) -> tuple[bool, float, str]:
+def _urgency(named: tuple[str, Move]) -> tuple[bool, float, str]:
     name, move = named
     return move.cause is not Cause.LEAVING, -move.worth, name
--- a/src/lotushill/moves/notices.py
+++ b/src/lotushill/moves/notices.py
@@ -8,7 +8,7 @@
 
 DEFAULT_NOTICE_SECONDS = 2.0
 """Notice assumed for an upstream that states no time: the shortest notice that upstreams give."""
-_MOST_REMEMBERED = 4096
+_MAX_INCARNATIONS = 4096
 """Most incarnations remembered: several times the number of upstreams in the largest fleet."""
 
 
@@ -26,7 +26,7 @@
         """
         known = self._ends.get(upstream_id)
         if known is None:
-            while len(self._ends) >= _MOST_REMEMBERED:
+            while len(self._ends) >= _MAX_INCARNATIONS:
                 del self._ends[next(iter(self._ends))]
             self._ends[upstream_id] = now + (DEFAULT_NOTICE_SECONDS if seconds is None else seconds)
         elif seconds is not None:
--- a/tests/availability/test_announcement_schedule.py
+++ b/tests/availability/test_announcement_schedule.py
@@ -5,46 +5,46 @@
 
 from lotushill.availability.announcement_schedule import AnnouncementSchedule
 
-TURN = 0.1
+INTERVAL_SECONDS = 0.1
 """First interval of the timer."""
 
 
-class TestTelling(unittest.TestCase):
+class TestAnnouncementSchedule(unittest.TestCase):
     def setUp(self) -> None:
-        self.telling = AnnouncementSchedule(random.Random(1))
+        self.schedule = AnnouncementSchedule(random.Random(1))
         self.now = 0.0
 
-    def told(self, names: list[str], seconds: float = TURN) -> list[list[str]]:
+    def announcements(self, names: list[str], seconds: float = INTERVAL_SECONDS) -> list[list[str]]:
         """Advance the clock; return the announcements."""
-        found = []
+        announced = []
         ends = self.now + seconds
         while self.now < ends:
             self.now += 0.01
-            found.append(self.telling.due_names(names, self.now))
-        return [names for names in found if names]
+            announced.append(self.schedule.due_names(names, self.now))
+        return [names for names in announced if names]
 
-    def test_nothing_is_told_where_nothing_is_known(self) -> None:
-        self.assertEqual([], self.told([], 10.0))
+    def test_nothing_is_announced_while_nothing_is_known(self) -> None:
+        self.assertEqual([], self.announcements([], 10.0))
 
-    def test_what_is_new_is_told_within_a_turn(self) -> None:
-        self.telling.note("e1", self.now)
-        self.assertEqual([["e1"]], self.told(["e1"]))
+    def test_a_new_fact_is_announced_within_an_interval(self) -> None:
+        self.schedule.note("e1", self.now)
+        self.assertEqual([["e1"]], self.announcements(["e1"]))
 
-    def test_who_hears_it_told_twice_is_silent_in_that_turn(self) -> None:
-        self.telling.note("e1", self.now)
-        self.telling.due_names(["e1"], self.now)
+    def test_two_consistent_announcements_suppress_the_own_one_in_that_interval(self) -> None:
+        self.schedule.note("e1", self.now)
+        self.schedule.due_names(["e1"], self.now)
         for _ in range(2):
-            self.telling.note_received(["e1"], complete=True, differs=False, now=self.now)
-        self.assertEqual([], self.told(["e1"], 0.09))
+            self.schedule.note_received(["e1"], complete=True, differs=False, now=self.now)
+        self.assertEqual([], self.announcements(["e1"], 0.09))
 
-    def test_a_part_without_what_is_new_here_is_no_reason_to_be_silent(self) -> None:
-        self.telling.note("e1", self.now)
+    def test_a_partial_announcement_without_the_new_fact_suppresses_nothing(self) -> None:
+        self.schedule.note("e1", self.now)
         for _ in range(2):
-            self.telling.note_received(["e2"], complete=False, differs=False, now=self.now)
-        self.assertEqual([["e1", "e2"]], self.told(["e1", "e2"]))
-
-    def test_who_lacks_something_is_told_soon_again(self) -> None:
-        self.telling.note("e1", self.now)
-        self.told(["e1"], 20.0)
-        self.telling.note_received([], complete=True, differs=True, now=self.now)
-        self.assertEqual([["e1"]], self.told(["e1"]))
+            self.schedule.note_received(["e2"], complete=False, differs=False, now=self.now)
+        self.assertEqual([["e1", "e2"]], self.announcements(["e1", "e2"]))
+
+    def test_a_gateway_that_lacks_a_fact_causes_an_early_announcement(self) -> None:
+        self.schedule.note("e1", self.now)
+        self.announcements(["e1"], 20.0)
+        self.schedule.note_received([], complete=True, differs=True, now=self.now)
+        self.assertEqual([["e1"]], self.announcements(["e1"]))
--- a/tests/availability/test_wait_policy.py
+++ b/tests/availability/test_wait_policy.py
@@ -18,14 +18,14 @@
     return Need("s", "r", target, 0.2, 10.0, True, 100, 20, (), tier)
 
 
-class TestRestPause(unittest.TestCase):
-    def test_it_waits_for_an_end_within_its_target(self) -> None:
+class TestCooldownWait(unittest.TestCase):
+    def test_a_request_waits_for_an_end_within_its_target(self) -> None:
         self.assertAlmostEqual(0.3, cooldown_wait(0.3, 0.1, need(0.5)) or 0.0)
 
-    def test_it_is_refused_at_once_where_the_end_is_later(self) -> None:
+    def test_a_request_is_refused_at_once_if_the_end_is_later(self) -> None:
         self.assertIsNone(cooldown_wait(0.5, 0.1, need(0.5)))
 
-    def test_the_more_urgent_look_first(self) -> None:
+    def test_more_urgent_requests_check_first(self) -> None:
         pauses = [cooldown_wait(0.3, 0.0, need(2.0, tier)) or 0.0 for tier in range(3)]
         self.assertEqual(sorted(pauses), pauses)
         self.assertEqual(3, len(set(pauses)))
@@ -43,7 +43,7 @@
         result = Replay(scenario, 1).play()
         self.assertGreater(result.credit, 0.84)
 
-    def test_engines_are_sent_few_requests_that_they_turn_away(self) -> None:
+    def test_engines_get_few_requests_that_they_reject(self) -> None:
         scenario = parse_scenario(parse_file(SCENARIOS / "all-rest-long.yaml"))
         result = Replay(scenario, 1).play()
         # Each of nine gateways may be rejected once by each of ten engines, and by three earlier.
--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -306,27 +306,29 @@
             Case(
                 "wishes overlap, are shorter, or cannot be read",
                 (
-                    f"{_RESTS}.TestRests.test_however_wishes_overlap_none_is_broken_and_none_kept_long_after",
+                    f"{_RESTS}.TestCooldowns.test_overlapping_cooldowns_are_all_observed_and_end_with_the_last",
                     f"{_REST}.TestOneGateway.test_odd_wishes_change_nothing",
                     "tests.platform.test_upstream_answer.TestRest.test_any_bytes_give_a_rest_within_bounds",
                 ),
             ),
             Case(
                 "its entry lapses meanwhile",
-                (f"{_RESTS}.TestRests.test_what_no_view_knows_is_kept_until_its_end",),
+                (
+                    f"{_RESTS}.TestCooldowns.test_the_cooldown_of_an_unknown_upstream_is_kept_until_its_end",
+                ),
             ),
             Case(
                 "it ends at many gateways at once",
                 (
-                    f"{_RESTS}.TestRests.test_after_it_one_goes_first_and_the_others_with_its_answer",
-                    f"{_RESTS}.TestGateways.test_none_sends_more_than_one_into_a_rest_or_at_its_end",
+                    f"{_RESTS}.TestCooldowns.test_after_a_cooldown_one_probe_is_sent_and_the_others_after_its_answer",
+                    f"{_RESTS}.TestGateways.test_no_gateway_sends_more_than_one_request_per_cooldown",
                 ),
             ),
             Case(
                 "all rest, and callers wait",
                 (
                     "tests.availability.test_wait_policy.TestReplay.test_waiting_for_the_first_end_serves_more_than_refusing",
-                    "tests.availability.test_wait_policy.TestRestPause.test_the_more_urgent_look_first",
+                    "tests.availability.test_wait_policy.TestCooldownWait.test_more_urgent_requests_check_first",
                 ),
             ),
         ),
@@ -347,8 +349,8 @@
             Case(
                 "its limit: gateways are killed, frozen, cut off, join, restart, or disagree",
                 (
-                    f"{_TEAM_LIMITS}.test_kills_cuts_freezes_and_joins_do_not_break_it",
-                    f"{_TEAM_LIMITS}.test_while_two_are_held_for_the_counting_one_it_is_at_most_doubled",
+                    f"{_TEAM_LIMITS}.test_kills_partitions_freezes_and_joins_do_not_break_the_limit",
+                    f"{_TEAM_LIMITS}.test_with_two_limit_owners_at_once_the_limit_is_at_most_doubled",
                 ),
             ),
         ),
@@ -389,7 +391,7 @@
                 (
                     f"{_LIMITS}.TestFaults.test_whatever_happens_to_the_gateways_it_holds",
                     f"{_LIMITS}.TestFaults.test_also_where_the_limit_is_high",
-                    "tests.limits.test_limit_owners.TestCountingGateways.test_the_parts_of_both_sides_of_a_cut_are_no_more_than_all",
+                    "tests.limits.test_limit_owners.TestLimitOwners.test_the_fractions_of_both_sides_of_a_partition_are_at_most_one",
                 ),
             ),
             Case(
@@ -400,7 +402,7 @@
                     f"{_LIMITS}.TestChanges.test_after_its_end_nobody_asks_any_more",
                     f"{_LIMIT}.test_a_word_that_cannot_be_read_ends_no_limit",
                     f"{_LIMIT}.test_a_later_life_has_none",
-                    "tests.availability.test_stated_limits.TestStatedLimits.test_words_of_one_after_the_other_lead_to_the_last_in_any_order",
+                    "tests.availability.test_stated_limits.TestStatedLimits.test_successive_reports_lead_to_the_last_one_in_any_order",
                 ),
             ),
         ),
@@ -467,7 +469,7 @@
                 "it leaves under many runs",
                 (
                     "tests.requests.test_moves.TestReclaim.test_runs_are_moved_before_it_ends",
-                    "tests.moves.test_move_plan.TestReclaim.test_under_one_in_twenty_is_cut_of_those_that_could_be_moved",
+                    "tests.moves.test_move_plan.TestReclaim.test_fewer_than_one_in_twenty_movable_runs_are_cut_off",
                 ),
             ),
             Case(
--- a/tests/limits/test_denials.py
+++ b/tests/limits/test_denials.py
@@ -11,7 +11,7 @@
     def setUp(self) -> None:
         self.denials = Denials()
 
-    def test_a_route_that_was_denied_waits_and_later_ranks_with_it(self) -> None:
+    def test_a_denied_route_waits_and_so_do_later_ranks(self) -> None:
         self.denials.note_denied("e1", "letters", 1, 12.0)
         self.denials.note_denied("e2", "queries", 0, 11.0)
         self.assertEqual({"e1", "e2"}, self.denials.barred("letters", 10.0))
@@ -19,22 +19,22 @@
         self.assertEqual(frozenset(), self.denials.barred("letters", 12.0))
         self.assertEqual(2.0, self.denials.seconds_left("e1", "letters", 10.0))
 
-    def test_a_route_whose_rank_is_not_known_asks(self) -> None:
+    def test_a_route_of_unknown_rank_may_ask(self) -> None:
         self.denials.note_denied("e1", "letters", 0, 12.0)
         self.assertFalse(self.denials.is_barred("e1", "new", 10.0))
 
-    def test_while_one_asks_the_others_of_the_gateway_do_not(self) -> None:
+    def test_only_one_permit_request_per_upstream_is_pending(self) -> None:
         self.denials.note_pending("e1", 10.2)
         self.assertTrue(self.denials.is_barred("e1", "any", 10.1))
         self.denials.note_answered("e1")
         self.assertFalse(self.denials.is_barred("e1", "any", 10.1))
 
-    def test_another_limit_takes_it_back(self) -> None:
+    def test_a_changed_limit_clears_the_denials(self) -> None:
         self.denials.note_denied("e1", "letters", 0, 99.0)
         self.denials.clear("e1")
         self.assertFalse(self.denials.is_barred("e1", "letters", 10.0))
 
-    def test_what_is_over_is_dropped(self) -> None:
+    def test_expired_denials_are_dropped(self) -> None:
         self.denials.note_denied("e1", "letters", 0, 12.0)
         self.denials.note_denied("gone", "letters", 0, 99.0)
         self.denials.forget({"e1"}, 11.0)
--- a/tests/limits/test_limit_owners.py
+++ b/tests/limits/test_limit_owners.py
@@ -22,43 +22,43 @@
     ]
 
 
-def seen_by(known: list[MemberState], number: int) -> tuple[EmulatedMembers, LimitOwners]:
+def view_of(known: list[MemberState], number: int) -> tuple[EmulatedMembers, LimitOwners]:
     members = EmulatedMembers(known[number], [item for item in known if item != known[number]])
     return members, LimitOwners(members, Schedulers(members), lambda: 0)
 
 
-class TestCountingGateways(unittest.TestCase):
-    def test_all_find_the_same_one_in_the_hall_of_the_engine(self) -> None:
+class TestLimitOwners(unittest.TestCase):
+    def test_all_gateways_determine_the_same_owner_in_the_hall_of_the_engine(self) -> None:
         for count in (9, 81):
             with self.subTest(gateways=count):
                 known = states(count)
-                views = [seen_by(known, number)[1] for number in range(count)]
+                views = [view_of(known, number)[1] for number in range(count)]
                 for engine in ENGINES:
-                    (found,) = {view.owner_of(engine).name for view in views}
+                    (owner,) = {view.owner_of(engine).name for view in views}
                     self.assertEqual(engine.hall, views[0].owner_of(engine).hall)
                     own = [view.own_name for view in views if view.is_own(engine)]
-                    self.assertEqual([found], own)
+                    self.assertEqual([owner], own)
 
-    def test_where_its_hall_has_none_any_other_counts(self) -> None:
+    def test_without_a_gateway_in_its_hall_any_other_one_is_the_owner(self) -> None:
         known = [item for item in states(9) if item.hall != "h1"]
-        views = [seen_by(known, number)[1] for number in range(len(known))]
+        views = [view_of(known, number)[1] for number in range(len(known))]
         self.assertEqual(1, len({view.owner_of(ENGINES[1]).name for view in views}))
 
-    def test_alone_it_counts_itself(self) -> None:
-        self.assertTrue(seen_by(states(1), 0)[1].is_own(ENGINES[3]))
+    def test_a_single_gateway_is_the_owner(self) -> None:
+        self.assertTrue(view_of(states(1), 0)[1].is_own(ENGINES[3]))
 
-    def test_the_parts_of_both_sides_of_a_cut_are_no_more_than_all(self) -> None:
+    def test_the_fractions_of_both_sides_of_a_partition_are_at_most_one(self) -> None:
         known = states(9)
-        parts = []
+        fractions = []
         for number, side in ((0, known[:4]), (5, known[4:])):
-            members, counting = seen_by(known, number)
+            members, owners = view_of(known, number)
             for item in known:
                 if item not in side:
                     members.lose(item.name)
-            parts.append(counting.usable_fraction())
-        self.assertLessEqual(sum(parts), 1.0 + 1e-9)
+            fractions.append(owners.usable_fraction())
+        self.assertLessEqual(sum(fractions), 1.0 + 1e-9)
 
-    def test_those_that_are_registered_and_never_heard_count_as_lost(self) -> None:
+    def test_registered_gateways_that_are_never_seen_count_as_lost(self) -> None:
         members = EmulatedMembers(states(1)[0], [])
         self.assertEqual(
             0.25, LimitOwners(members, Schedulers(members), lambda: 4).usable_fraction()
--- a/tests/limits/test_permit_rank.py
+++ b/tests/limits/test_permit_rank.py
@@ -27,36 +27,36 @@
             self.fleet.shedding.usual.note_prompt("llm", route_number(route), prompt, prompt)
         self.limits.merge("e0", LimitReport(1.0, 0.0, 0.1))
 
-    def ranked(self) -> tuple[int, int]:
+    def ranks_of_both_routes(self) -> tuple[int, int]:
         self.now += 1.0
         letters = self.ranks.rank("llm", "letters", 2, 6000, self.now)
         return letters, self.ranks.rank("llm", "queries", 0, 600, self.now)
 
-    def hold(self, count: int) -> None:
+    def occupy_slots(self, count: int) -> None:
         for number in range(count):
             placed = Placed(number, "e1", 10, 20, 0.0, 1.0, 0.0)
             self.fleet.start(placed, SERVICE, 0.0)
 
-    def test_the_long_ones_first_where_they_relieve_the_others_most(self) -> None:
-        self.hold(3)
-        self.assertEqual((0, 1), self.ranked())
+    def test_long_requests_rank_first_while_they_relieve_the_other_engines(self) -> None:
+        self.occupy_slots(3)
+        self.assertEqual((0, 1), self.ranks_of_both_routes())
 
-    def test_the_urgent_ones_first_where_the_others_are_full(self) -> None:
-        self.hold(4)
-        self.assertEqual((2, 0), self.ranked())
+    def test_urgent_requests_rank_first_if_the_other_engines_are_full(self) -> None:
+        self.occupy_slots(4)
+        self.assertEqual((2, 0), self.ranks_of_both_routes())
 
-    def test_and_where_all_have_limits(self) -> None:
+    def test_urgent_requests_rank_first_if_all_engines_have_limits(self) -> None:
         self.limits.merge("e1", LimitReport(1.0, 0.0, 0.1))
-        self.assertEqual((2, 0), self.ranked())
+        self.assertEqual((2, 0), self.ranks_of_both_routes())
 
-    def test_many_asks_at_one_moment_look_at_the_upstreams_once(self) -> None:
-        looks = []
+    def test_many_permit_requests_at_one_moment_scan_the_upstreams_once(self) -> None:
+        scans = []
 
         def upstreams(service: str) -> list[Upstream]:
-            looks.append(service)
+            scans.append(service)
             return UPSTREAMS
 
         ranks = PermitRanks(self.fleet, self.limits, upstreams)
         for number in range(100):
             ranks.rank("llm", "queries", 0, 600, 100.0 + number * 0.001)
-        self.assertEqual(["llm", "llm"], looks)
+        self.assertEqual(["llm", "llm"], scans)
--- a/tests/limits/test_team_limits.py
+++ b/tests/limits/test_team_limits.py
@@ -14,10 +14,10 @@
 from lotushill.load.limits.emulated_fleet import allowed
 from lotushill.load.limits.ways import TEAM
 
-LEAST_USED = 0.8
+MIN_USED_FRACTION = 0.8
 
 
-def play(
+def simulate(
     gateways: int,
     rate: float,
     fault: Fault = Fault.NONE,
@@ -25,36 +25,36 @@
     seconds: float = 24.0,
     demand: float = 4.0,
 ) -> Outcome:
-    found = Play(gateways, rate, TEAM, fault, seed, demand, seconds)
-    return EmulatedFleet(found).run()
+    scenario = Play(gateways, rate, TEAM, fault, seed, demand, seconds)
+    return EmulatedFleet(scenario).run()
 
 
 class TestTeamLimits(unittest.TestCase):
-    def test_in_calm_the_limit_holds_and_most_of_it_is_used(self) -> None:
+    def test_without_faults_the_limit_holds_and_most_of_it_is_used(self) -> None:
         for gateways, rate in ((1, 4), (9, 4), (81, 4), (9, 50)):
             with self.subTest(gateways=gateways, rate=rate):
-                outcome = play(gateways, rate)
+                outcome = simulate(gateways, rate)
                 self.assertLessEqual(outcome.most, 4 * rate + 3)
-                self.assertGreater(outcome.used, LEAST_USED)
+                self.assertGreater(outcome.used, MIN_USED_FRACTION)
 
-    def test_kills_cuts_freezes_and_joins_do_not_break_it(self) -> None:
+    def test_kills_partitions_freezes_and_joins_do_not_break_the_limit(self) -> None:
         faults = (Fault.KILL, Fault.FREEZE, Fault.CUT, Fault.JOIN, Fault.ROLL)
         for fault in faults:
             for gateways, rate, seed in ((9, 1, 1), (9, 4, 2), (9, 50, 1), (81, 4, 3)):
                 with self.subTest(fault=fault, gateways=gateways, rate=rate):
-                    outcome = play(gateways, rate, fault, seed, 16.0)
+                    outcome = simulate(gateways, rate, fault, seed, 16.0)
                     self.assertLessEqual(outcome.most, allowed(rate))
 
-    def test_while_two_are_held_for_the_counting_one_it_is_at_most_doubled(self) -> None:
+    def test_with_two_limit_owners_at_once_the_limit_is_at_most_doubled(self) -> None:
         """Half of the gateways hold one for lost that is alive, throughout the test."""
         for rate in (4, 50):
             with self.subTest(rate=rate):
-                outcome = play(9, rate, Fault.DISAGREE, seconds=16.0)
+                outcome = simulate(9, rate, Fault.DISAGREE, seconds=16.0)
                 self.assertLessEqual(outcome.most, 2 * 4 * rate + 5)
 
-    def test_a_team_within_its_limit_is_hardly_ever_held_back(self) -> None:
-        self.assertGreater(play(9, 20, demand=0.5).used, 0.9 * 0.5)
+    def test_a_team_within_its_limit_is_hardly_ever_delayed(self) -> None:
+        self.assertGreater(simulate(9, 20, demand=0.5).used, 0.9 * 0.5)
 
-    def test_asks_are_bounded_whatever_the_demand(self) -> None:
-        calm, pressed = (play(9, 4, demand=demand) for demand in (4.0, 100.0))
+    def test_permit_requests_are_bounded_whatever_the_demand(self) -> None:
+        calm, pressed = (simulate(9, 4, demand=demand) for demand in (4.0, 100.0))
         self.assertLess(pressed.datagrams, 4 * calm.datagrams + 50)
--- a/tests/moves/reclaim.py
+++ b/tests/moves/reclaim.py
@@ -20,26 +20,26 @@
 from lotushill.routing.service import EngineProfile
 
 ENGINE = EngineProfile(16, 200_000, 6, token_bytes=160_000, link_rate=6e10)
-RUN = RunState(
+BASE_RUN = RunState(
     tokens=1_000, made=10, expected=50, pause=0.08, usual_pause=0.08, time_left=12.0, gap=0.3,
     repeatable=False, leaves_in=2.0,
 )  # fmt: skip
-NOTICE = 2.0
-RECLAIMED = 12
+NOTICE_SECONDS = 2.0
+RECLAIMED_UPSTREAMS = 12
 """Number of upstreams that leave at once, each with a full batch."""
-_TICK = 0.05
-_PROMPT = 900
+_TICK_SECONDS = 0.05
+_PROMPT_TOKENS = 900
 _CUT_LOSS = 0.9
-_GOES_ON_LOSS = 0.05
+_RESUMED_FROM_COPY_LOSS = 0.05
 """Loss of a run that resumes from a copy after its upstream shut down unexpectedly."""
-_RUNS_A_RECLAIM = 40
+_RUNS_PER_RECLAIM = 40
 """Number of runs that end normally for each one that is running when its upstream leaves."""
 
 
-class Way(Enum):
+class Strategy(Enum):
     """Ways to keep runs from being lost."""
 
-    NOTHING = "nothing"
+    NONE = "nothing"
     COPIES = "copies from the start"
     MOVES = "moves on notice"
     BOTH = "moves beside copies"
@@ -52,7 +52,7 @@
     outlast: int = 0
     cut: int = 0
     moved: int = 0
-    moved_in_vain: int = 0
+    moved_needlessly: int = 0
     """Number of moved runs that would have ended in time."""
     tokens: int = 0
     """Tokens copied between upstreams."""
@@ -69,30 +69,30 @@
     done_at: float = 0.0
 
     def state(self, now: float, copied: bool) -> RunState:
-        made = self.made + int(now / RUN.pause)
-        tokens = _PROMPT + ENGINE.tokens_per_event * made
-        left = NOTICE - now
+        made = self.made + int(now / BASE_RUN.pause)
+        tokens = _PROMPT_TOKENS + ENGINE.tokens_per_event * made
+        left = NOTICE_SECONDS - now
         return replace(
-            RUN, made=made, expected=self.hint, tokens=tokens, leaves_in=left, copied=copied
+            BASE_RUN, made=made, expected=self.hint, tokens=tokens, leaves_in=left, copied=copied
         )
 
     @property
-    def rest(self) -> float:
-        return (self.length - self.made) * RUN.pause
+    def remaining_seconds(self) -> float:
+        return (self.length - self.made) * BASE_RUN.pause
 
 
-def play(way: Way, engine: EngineProfile, seed: int) -> Result:
+def simulate(strategy: Strategy, engine: EngineProfile, seed: int) -> Result:
     """Simulate a reclaim and return its outcome."""
     rng, result = random.Random(seed), Result()
-    for _ in range(RECLAIMED):
+    for _ in range(RECLAIMED_UPSTREAMS):
         runs = [_run(rng) for _ in range(engine.slots)]
-        if way in (Way.MOVES, Way.BOTH):
-            _move(runs, engine, way is Way.BOTH)
+        if strategy in (Strategy.MOVES, Strategy.BOTH):
+            _move(runs, engine, strategy is Strategy.BOTH)
         for run in runs:
-            _settle(run, way, result)
-    if way in (Way.COPIES, Way.BOTH):
-        usual = RECLAIMED * engine.slots * _RUNS_A_RECLAIM
-        _pay(usual * (_PROMPT + ENGINE.tokens_per_event * 40), result)
+            _count(run, strategy, result)
+    if strategy in (Strategy.COPIES, Strategy.BOTH):
+        usual = RECLAIMED_UPSTREAMS * engine.slots * _RUNS_PER_RECLAIM
+        _charge(usual * (_PROMPT_TOKENS + ENGINE.tokens_per_event * 40), result)
     return result
 
 
@@ -103,44 +103,46 @@
 
 def _move(runs: list[_Run], engine: EngineProfile, copied: bool) -> None:
     """Move the runs of one upstream in ticks of a gateway."""
-    links, under_way = MoveLinks(), list[tuple[float, float]]()
-    now, free = 0.0, 0.0
-    while now < NOTICE:
-        for ends, seconds in [item for item in under_way if item[0] <= now]:
+    links, in_flight = MoveLinks(), list[tuple[float, float]]()
+    now, link_free_at = 0.0, 0.0
+    while now < NOTICE_SECONDS:
+        for ends, seconds in [item for item in in_flight if item[0] <= now]:
             links.release("source", seconds)
-            under_way.remove((ends, seconds))
+            in_flight.remove((ends, seconds))
         for run in runs:
             move = (
-                None if run.moved or run.rest <= now else plan_move(run.state(now, copied), engine)
+                None
+                if run.moved or run.remaining_seconds <= now
+                else plan_move(run.state(now, copied), engine)
             )
             seconds = copy_seconds(run.state(now, copied).tokens, engine, near=False)
             if move is None or not links.try_reserve("source", seconds, move.time_limit):
                 continue
-            free = max(now, free) + seconds
-            run.moved, run.done_at = True, free
-            under_way.append((free, seconds))
-        now += _TICK
+            link_free_at = max(now, link_free_at) + seconds
+            run.moved, run.done_at = True, link_free_at
+            in_flight.append((link_free_at, seconds))
+        now += _TICK_SECONDS
 
 
-def _settle(run: _Run, way: Way, result: Result) -> None:
-    in_time = run.moved and run.done_at <= NOTICE
+def _count(run: _Run, strategy: Strategy, result: Result) -> None:
+    in_time = run.moved and run.done_at <= NOTICE_SECONDS
     if run.moved:
         result.moved += 1
-        result.moved_in_vain += run.rest <= NOTICE
-        _pay(_PROMPT + ENGINE.tokens_per_event * run.made, result)
-    if run.rest <= NOTICE:
+        result.moved_needlessly += run.remaining_seconds <= NOTICE_SECONDS
+        _charge(_PROMPT_TOKENS + ENGINE.tokens_per_event * run.made, result)
+    if run.remaining_seconds <= NOTICE_SECONDS:
         return
     result.outlast += 1
     if in_time:
         return
-    if way in (Way.COPIES, Way.BOTH):
-        result.loss += _GOES_ON_LOSS
+    if strategy in (Strategy.COPIES, Strategy.BOTH):
+        result.loss += _RESUMED_FROM_COPY_LOSS
         return
     result.cut += 1
     result.loss += _CUT_LOSS
 
 
-def _pay(tokens: int, result: Result) -> None:
+def _charge(tokens: int, result: Result) -> None:
     result.tokens += tokens
     result.loss += COPY_LOSS_PER_TOKEN * tokens
 
@@ -150,13 +152,13 @@
     print("| way | outlast | cut | moved | in vain | tokens copied | loss in requests |")
     print("|---|---|---|---|---|---|---|")
     seeds = range(int(sys.argv[1]) if len(sys.argv) > 1 else 20)
-    for way in Way:
-        all_of = [play(way, ENGINE, seed) for seed in seeds]
+    for strategy in Strategy:
+        all_of = [simulate(strategy, ENGINE, seed) for seed in seeds]
         sums = [
             sum(getattr(item, name) for item in all_of) / len(all_of)
-            for name in ("outlast", "cut", "moved", "moved_in_vain", "tokens", "loss")
+            for name in ("outlast", "cut", "moved", "moved_needlessly", "tokens", "loss")
         ]
-        print(f"| {way.value} | " + " | ".join(f"{item:,.1f}" for item in sums) + " |")
+        print(f"| {strategy.value} | " + " | ".join(f"{item:,.1f}" for item in sums) + " |")
 
 
 if __name__ == "__main__":
--- a/tests/moves/test_move_plan.py
+++ b/tests/moves/test_move_plan.py
@@ -14,76 +14,83 @@
 from lotushill.moves.move_plan import sort_by_urgency
 from lotushill.moves.notices import DEFAULT_NOTICE_SECONDS
 from lotushill.moves.notices import Notices
+from tests.moves.reclaim import BASE_RUN
 from tests.moves.reclaim import ENGINE
-from tests.moves.reclaim import NOTICE
-from tests.moves.reclaim import RUN
-from tests.moves.reclaim import Way
-from tests.moves.reclaim import play
+from tests.moves.reclaim import NOTICE_SECONDS
+from tests.moves.reclaim import Strategy
+from tests.moves.reclaim import simulate
 
 
 class TestMovePlan(unittest.TestCase):
     def test_a_run_that_outlasts_its_upstream_is_moved(self) -> None:
-        move = plan_move(RUN, ENGINE)
+        move = plan_move(BASE_RUN, ENGINE)
         assert move is not None
         self.assertEqual(Cause.LEAVING, move.cause)
-        self.assertEqual(NOTICE, move.time_limit)
+        self.assertEqual(NOTICE_SECONDS, move.time_limit)
 
-    def test_one_that_ends_long_before_stays(self) -> None:
-        self.assertIsNone(plan_move(replace(RUN, expected=12, made=8), ENGINE))
+    def test_a_run_that_ends_long_before_its_upstream_is_not_moved(self) -> None:
+        self.assertIsNone(plan_move(replace(BASE_RUN, expected=12, made=8), ENGINE))
 
     def test_no_move_costs_more_than_it_saves(self) -> None:
         for tokens in (1_000, 10_000, 40_000, 60_000, 150_000):
             for made in (0, 25, 49):
-                move = plan_move(replace(RUN, tokens=tokens, made=made), ENGINE)
+                move = plan_move(replace(BASE_RUN, tokens=tokens, made=made), ENGINE)
                 if move is not None:
-                    rest = max(RUN.expected - made, 0.3 * made, 1) * RUN.pause
-                    self.assertGreater(0.9 * outlast_probability(rest, NOTICE), 2e-5 * tokens)
-        self.assertIsNone(plan_move(replace(RUN, tokens=60_000), ENGINE))
+                    rest = max(BASE_RUN.expected - made, 0.3 * made, 1) * BASE_RUN.pause
+                    self.assertGreater(
+                        0.9 * outlast_probability(rest, NOTICE_SECONDS), 2e-5 * tokens
+                    )
+        self.assertIsNone(plan_move(replace(BASE_RUN, tokens=60_000), ENGINE))
 
-    def test_a_copy_that_is_not_done_in_time_is_not_begun(self) -> None:
+    def test_a_copy_that_would_not_be_done_in_time_is_not_started(self) -> None:
         slow = replace(ENGINE, link_rate=1e8)
-        self.assertGreater(copy_seconds(RUN.tokens, slow, near=False), NOTICE)
-        self.assertIsNone(plan_move(RUN, slow))
+        self.assertGreater(copy_seconds(BASE_RUN.tokens, slow, near=False), NOTICE_SECONDS)
+        self.assertIsNone(plan_move(BASE_RUN, slow))
 
-    def test_past_its_notice_nothing_is_begun_since_it_could_not_go_back(self) -> None:
-        self.assertIsNone(plan_move(replace(RUN, leaves_in=0.0), ENGINE))
+    def test_after_the_notice_no_move_is_started_since_the_run_could_not_return(self) -> None:
+        self.assertIsNone(plan_move(replace(BASE_RUN, leaves_in=0.0), ENGINE))
 
-    def test_a_run_of_which_a_copy_grows_is_moved_only_at_a_lower_price(self) -> None:
-        copied = replace(RUN, copied=True)
+    def test_a_run_with_a_backup_copy_is_moved_only_at_a_lower_cost(self) -> None:
+        copied = replace(BASE_RUN, copied=True)
         self.assertIsNotNone(plan_move(copied, ENGINE))
         self.assertIsNone(plan_move(replace(copied, tokens=9_000), ENGINE))
-        self.assertIsNotNone(plan_move(replace(RUN, tokens=9_000), ENGINE))
+        self.assertIsNotNone(plan_move(replace(BASE_RUN, tokens=9_000), ENGINE))
 
-    def test_one_whose_client_waits_no_longer_than_its_upstream_works_stays(self) -> None:
-        late = replace(RUN, leaves_in=20.0, time_left=2.0)
+    def test_a_run_whose_client_deadline_is_before_the_end_of_its_upstream_is_not_moved(
+        self,
+    ) -> None:
+        late = replace(BASE_RUN, leaves_in=20.0, time_left=2.0)
         self.assertIsNone(plan_move(late, ENGINE))
 
-    def test_where_memory_cannot_be_moved_nothing_is(self) -> None:
-        self.assertIsNone(plan_move(RUN, replace(ENGINE, link_rate=0.0)))
+    def test_without_a_link_between_engines_nothing_is_moved(self) -> None:
+        self.assertIsNone(plan_move(BASE_RUN, replace(ENGINE, link_rate=0.0)))
 
-    def test_a_run_that_may_be_repeated_loses_less(self) -> None:
-        once, often = plan_move(RUN, ENGINE), plan_move(replace(RUN, repeatable=True), ENGINE)
+    def test_a_repeatable_run_has_less_to_gain_from_a_move(self) -> None:
+        once, often = (
+            plan_move(BASE_RUN, ENGINE),
+            plan_move(replace(BASE_RUN, repeatable=True), ENGINE),
+        )
         assert once is not None
         assert often is not None
         self.assertLess(often.worth, once.worth)
 
-    def test_a_run_that_stands_still_is_moved_from_an_upstream_that_stays(self) -> None:
-        stands = replace(RUN, leaves_in=None, stalled=True)
-        move = plan_move(stands, ENGINE)
+    def test_a_stalled_run_is_moved_from_an_upstream_that_stays(self) -> None:
+        stalled = replace(BASE_RUN, leaves_in=None, stalled=True)
+        move = plan_move(stalled, ENGINE)
         assert move is not None
         self.assertEqual(Cause.STALLED, move.cause)
-        self.assertIsNone(plan_move(replace(stands, stalled=False), ENGINE))
+        self.assertIsNone(plan_move(replace(stalled, stalled=False), ENGINE))
 
-    def test_one_too_slow_to_end_in_time_is_moved_and_a_slow_one_that_does_is_not(self) -> None:
-        slow = replace(RUN, leaves_in=None, pause=0.5, gap=0.0)
+    def test_a_run_too_slow_to_end_in_time_is_moved_and_a_slow_one_in_time_is_not(self) -> None:
+        slow = replace(BASE_RUN, leaves_in=None, pause=0.5, gap=0.0)
         move = plan_move(slow, ENGINE)
         assert move is not None
         self.assertEqual(Cause.SLOW, move.cause)
         self.assertIsNone(plan_move(replace(slow, expected=12, made=8), ENGINE))
-        little_slower = replace(slow, pause=0.14, time_left=5.0)
-        self.assertIsNone(plan_move(little_slower, ENGINE))
+        slightly_slower = replace(slow, pause=0.14, time_left=5.0)
+        self.assertIsNone(plan_move(slightly_slower, ENGINE))
 
-    def test_runs_of_upstreams_that_leave_go_first_and_those_worth_most_before_others(self) -> None:
+    def test_runs_of_leaving_upstreams_go_first_and_those_worth_most_before_others(self) -> None:
         moves = {
             "slow": Move(Cause.SLOW, 0.9, 5.0),
             "little": Move(Cause.LEAVING, 0.1, 2.0),
@@ -96,25 +103,25 @@
 class TestReclaim(unittest.TestCase):
     """The upstreams of a hall leave with two seconds of notice; copies go one after another."""
 
-    def test_under_one_in_twenty_is_cut_of_those_that_could_be_moved(self) -> None:
+    def test_fewer_than_one_in_twenty_movable_runs_are_cut_off(self) -> None:
         for seed in range(10):
             with self.subTest(seed=seed):
-                without = play(Way.NOTHING, ENGINE, seed)
-                result = play(Way.MOVES, ENGINE, seed)
-                self.assertEqual(without.outlast, without.cut)
+                without_moves = simulate(Strategy.NONE, ENGINE, seed)
+                result = simulate(Strategy.MOVES, ENGINE, seed)
+                self.assertEqual(without_moves.outlast, without_moves.cut)
                 self.assertLess(result.cut, 0.05 * result.outlast)
-                self.assertLess(result.loss, 0.2 * without.loss)
+                self.assertLess(result.loss, 0.2 * without_moves.loss)
 
-    def test_over_a_narrow_link_what_is_moved_is_moved_in_time(self) -> None:
-        narrow = replace(ENGINE, link_rate=ENGINE.link_rate / 100)
-        result = play(Way.MOVES, narrow, 1)
-        without = play(Way.NOTHING, narrow, 1)
-        self.assertLess(result.loss, without.loss)
+    def test_over_a_slow_link_moves_still_reduce_the_loss(self) -> None:
+        slow_link = replace(ENGINE, link_rate=ENGINE.link_rate / 100)
+        result = simulate(Strategy.MOVES, slow_link, 1)
+        without_moves = simulate(Strategy.NONE, slow_link, 1)
+        self.assertLess(result.loss, without_moves.loss)
         self.assertLess(0, result.moved)
 
 
 class TestNotices(unittest.TestCase):
-    def test_the_first_word_counts_and_a_named_time_only_shortens_it(self) -> None:
+    def test_the_first_notice_counts_and_a_stated_time_only_shortens_it(self) -> None:
         notices = Notices()
         self.assertIsNone(notices.seconds_left("a", 0.0))
         notices.note("a", None, 10.0)
@@ -126,7 +133,7 @@
         self.assertAlmostEqual(0.3, notices.seconds_left("a", 11.1) or 0.0)
         self.assertEqual(0.0, notices.seconds_left("a", 20.0))
 
-    def test_lives_that_are_gone_are_forgotten(self) -> None:
+    def test_unknown_incarnations_are_dropped(self) -> None:
         notices = Notices()
         notices.note("a", None, 0.0)
         notices.forget({"b"})
@@ -134,7 +141,7 @@
 
 
 class TestMoveLinks(unittest.TestCase):
-    def test_what_would_not_be_done_behind_the_others_is_not_begun(self) -> None:
+    def test_a_copy_that_would_not_be_done_behind_the_others_is_not_started(self) -> None:
         links = MoveLinks()
         self.assertTrue(links.try_reserve("a", 0.8, 2.0))
         self.assertTrue(links.try_reserve("a", 0.8, 2.0))
@@ -143,7 +150,7 @@
         links.release("a", 0.8)
         self.assertTrue(links.try_reserve("a", 0.8, 2.0))
 
-    def test_few_are_under_way_at_one_upstream(self) -> None:
+    def test_few_moves_are_in_flight_at_one_upstream(self) -> None:
         links = MoveLinks()
         taken = [links.try_reserve("a", 0.001, 2.0) for _ in range(20)]
         self.assertEqual(4, sum(taken))
--- a/tests/moves/test_stalls.py
+++ b/tests/moves/test_stalls.py
@@ -12,15 +12,15 @@
 GAP = 0.4
 
 
-class TestStalls(unittest.TestCase):
-    def test_short_pauses_make_a_stop_known_sooner_than_what_is_in_time_alone(self) -> None:
+class TestStallThresholds(unittest.TestCase):
+    def test_short_pauses_lower_the_threshold_below_its_maximum(self) -> None:
         stalls, rng = StallThresholds(), random.Random(4)
         for _ in range(3_000):
             stalls.note("s", rng.uniform(0.03, 0.09))
         self.assertEqual(MIN_THRESHOLD_SECONDS, stalls.threshold("s", GAP))
         self.assertLess(stalls.threshold("s", GAP), max_threshold(GAP))
 
-    def test_a_service_with_long_pauses_is_waited_for(self) -> None:
+    def test_long_pauses_raise_the_threshold(self) -> None:
         stalls, rng = StallThresholds(), random.Random(4)
         for number in range(6_000):
             reading = 0.25 if number % 20 == 0 else 0.0
@@ -28,7 +28,7 @@
         self.assertGreater(stalls.threshold("s", GAP), 1.0)
         self.assertLessEqual(stalls.threshold("s", GAP), max_threshold(GAP))
 
-    def test_disturbed_pauses_are_waited_out(self) -> None:
+    def test_pauses_of_a_disturbance_are_waited_out(self) -> None:
         """A seventh of the upstreams decode two and a half times slower for some hundred ms."""
         stalls, rng = StallThresholds(), random.Random(9)
         taken_for_stopped = 0
@@ -39,7 +39,7 @@
             stalls.note("s", pause)
         self.assertEqual(0, taken_for_stopped)
 
-    def test_a_usual_pause_is_known_from_the_first_on_and_little_moved_by_long_ones(self) -> None:
+    def test_the_usual_pause_is_known_from_the_first_one_on_and_robust_to_long_ones(self) -> None:
         stalls = StallThresholds()
         self.assertIsNone(stalls.usual_pause("s"))
         for _ in range(100):
@@ -47,14 +47,14 @@
         stalls.note("s", 30.0)
         self.assertAlmostEqual(0.05, stalls.usual_pause("s") or 0.0, delta=0.01)
 
-    def test_waits_for_a_first_event_are_known_once_enough_were_seen(self) -> None:
+    def test_the_threshold_for_a_first_event_is_known_after_enough_waits(self) -> None:
         waits, rng = StallThresholds(), random.Random(3)
         self.assertIsNone(waits.threshold_if_known("s"))
         for _ in range(2_000):
             waits.note("s", rng.uniform(0.1, 1.5))
         self.assertGreater(waits.threshold_if_known("s") or 0.0, 4.0)
 
-    def test_it_is_bounded_and_nonsense_teaches_nothing(self) -> None:
+    def test_the_threshold_is_bounded_and_invalid_pauses_are_ignored(self) -> None:
         stalls = StallThresholds()
         before = stalls.long_pause("s")
         for pause in (0.0, -1.0, float("inf"), float("nan")):
