--- a/src/lotushill/availability/statement.py
+++ b/src/lotushill/availability/statement.py
@@ -95,10 +95,12 @@
         for rate in parsed
         if rate is not None
     ]
-    unreadable = [_loggable_text(value) for value, rate in zip(values, parsed) if rate is None]
+    unreadable_texts = [
+        _loggable_text(value) for value, rate in zip(values, parsed) if rate is None
+    ]
     if rates:
-        return ParsedLimit(min(rates), *unreadable[-1:])
-    return ParsedLimit(None, unreadable[-1] or _EMPTY_TEXT)
+        return ParsedLimit(min(rates), *unreadable_texts[-1:])
+    return ParsedLimit(None, unreadable_texts[-1] or _EMPTY_TEXT)
 
 
 def _parse_decimal(value: bytes) -> float | None:
--- a/src/lotushill/limits/barred_upstreams.py
+++ b/src/lotushill/limits/barred_upstreams.py
@@ -14,13 +14,13 @@
 class BarredUpstreams:
     """Upstreams that placement has to leave out. Pure, with the clock passed in."""
 
-    def __init__(self, rests: Cooldowns, denials: Denials) -> None:
-        self._rests = rests
+    def __init__(self, cooldowns: Cooldowns, denials: Denials) -> None:
+        self._cooldowns = cooldowns
         self._denials = denials
 
     def names(self, route: str, now: float) -> frozenset[str]:
         """Return all upstreams to which no request of a route may be sent now."""
-        return self._rests.barred(now) | self._denials.barred(route, now)
+        return self._cooldowns.barred(now) | self._denials.barred(route, now)
 
     def any_limited(self, upstream_ids: Iterable[str], route: str, now: float) -> bool:
         """Return whether a permit is denied for any of some upstreams."""
@@ -32,6 +32,6 @@
 
     def _seconds_to_end(self, upstream_id: str, route: str, now: float) -> float:
         return max(
-            self._rests.seconds_to_first_end((upstream_id,), now),
+            self._cooldowns.seconds_to_first_end((upstream_id,), now),
             self._denials.seconds_left(upstream_id, route, now),
         )
--- a/src/lotushill/limits/team_limits.py
+++ b/src/lotushill/limits/team_limits.py
@@ -67,8 +67,8 @@
 
         More urgent requests go first, as far as permits are left.
         """
-        key, route, now = limit_key(limit), str(tier), self._clock()
-        seconds_left = self._denials.seconds_left(key, route, now)
+        key, tier_name, now = limit_key(limit), str(tier), self._clock()
+        seconds_left = self._denials.seconds_left(key, tier_name, now)
         if seconds_left > 0.0:
             return min(seconds_left, _CHECK_INTERVAL_SECONDS)
         answer = await self._request_from_owner(limit, key, tier)
@@ -76,7 +76,7 @@
             return 0.0
         self.delayed_count += 1
         pause = max(_MIN_PAUSE_SECONDS, answer.again_in * self._rng.uniform(*_PAUSE_JITTER))
-        self._denials.note_denied(key, route, answer.rank, self._clock() + pause)
+        self._denials.note_denied(key, tier_name, answer.rank, self._clock() + pause)
         return min(pause, _CHECK_INTERVAL_SECONDS)
 
     def is_team_limit(self, ask: PermitAsk) -> bool:
