--- a/src/lotushill/availability/statement.py
+++ b/src/lotushill/availability/statement.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself in one answer."""
+"""Statements of an upstream about itself in one answer."""
 
 from __future__ import annotations
 
@@ -9,36 +9,38 @@
 from lotushill.availability.stated_limits import NO_LIMIT
 
 MAX_COOLDOWN_SECONDS = 300.0
-"""A longer wish is cut to this: whoever wants nothing for minutes says that it leaves, and a figure
-that is absurd by mistake must not take an upstream away for hours."""
+"""Longest cooldown; longer ones are cut to this. An upstream that wants no requests for minutes
+states that it is leaving, and an absurd value sent by mistake must not remove it for hours."""
 MIN_REQUESTS_PER_SECOND = 0.1
-"""A lower limit is taken for this: with nothing sent, nobody would hear of its end."""
+"""Lowest limit in requests per second; lower ones are raised to this. If no request were sent, no
+answer could state that the limit ended."""
 MAX_REQUESTS_PER_SECOND = 100_000.0
-"""A higher limit is taken for this: no fleet sends one upstream as much."""
-_MOST_LOGGED = 60
-_EMPTY = "(empty)"
+"""Highest limit in requests per second; higher ones are cut to this. No fleet sends one upstream as
+much."""
+_MAX_LOGGED_CHARACTERS = 60
+_EMPTY_TEXT = "(empty)"
 _DECIMAL = re.compile(rb"[0-9]{1,30}(?:\.[0-9]{0,30})?|\.[0-9]{1,30}")
 
 
 @dataclass(frozen=True)
 class Statement:
-    """Facts that the upstream alone knows; what an answer does not say is left at its default."""
+    """Facts that only the upstream knows; those missing in an answer keep their default."""
 
     not_executed: bool = False
-    """Whether it did not run the request and never will."""
+    """Whether the upstream did not run the request and never will."""
     cooldown: float = 0.0
-    """Seconds from now in which it wants no request from this gateway; 0 for none."""
+    """Seconds from now for which the upstream wants no request from this gateway; 0 for none."""
     leaving: bool = False
-    """Whether it is about to end, and wants no new request from anybody."""
+    """Whether the upstream is about to shut down and wants no new request from any gateway."""
     unreadable_cooldown: str = ""
-    """A wish for rest that could not be read, and so is not followed."""
+    """Text of a cooldown that could not be parsed, and so is ignored."""
     limit: float | None = NO_LIMIT
-    """Requests a second that it takes from all gateways together, `NO_LIMIT` where it names none.
+    """Requests per second that it accepts from all gateways together, `NO_LIMIT` if it states none.
 
-    None where it names one that cannot be read: then what is known of it stays.
+    None if it states one that cannot be parsed: then the known limit stays.
     """
     unreadable_limit: str = ""
-    """What stands in the place of such a limit."""
+    """Text of a limit that could not be parsed."""
 
 
 EMPTY_STATEMENT = Statement()
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True)
 class ParsedCooldown:
-    """How long an upstream wants no requests, as far as that can be read."""
+    """Cooldown that an upstream asked for, as far as it can be parsed."""
 
     seconds: float = 0.0
     unreadable: str = ""
@@ -54,28 +56,28 @@
 
 @dataclass(frozen=True)
 class ParsedLimit:
-    """How much an upstream takes from all gateways together, as far as that can be read."""
+    """Limit that an upstream stated for all gateways together, as far as it can be parsed."""
 
     rate: float | None = NO_LIMIT
     unreadable: str = ""
 
 
-_NONE_NAMED = ParsedLimit()
+_NO_LIMIT_STATED = ParsedLimit()
 
 
 def parse_cooldown(values: list[bytes]) -> ParsedCooldown:
-    """Return the longest of several wishes in seconds; dates are not among the forms in use."""
+    """Return the longest of several cooldowns in seconds; dates are not among the forms in use."""
     longest, unreadable = 0.0, ""
     for value in values:
-        seconds = _seconds(value)
+        seconds = _parse_seconds(value)
         if seconds is None:
-            unreadable = _shown(value)
+            unreadable = _loggable_text(value)
         else:
             longest = max(longest, min(MAX_COOLDOWN_SECONDS, seconds))
     return ParsedCooldown(longest, unreadable)
 
 
-def _seconds(value: bytes) -> float | None:
+def _parse_seconds(value: bytes) -> float | None:
     try:
         seconds = float(value)
     except ValueError:
@@ -84,26 +86,28 @@
 
 
 def parse_limit(values: list[bytes]) -> ParsedLimit:
-    """Return the lowest of several limits; one alone that cannot be read leaves it open."""
+    """Return the lowest of several limits; its rate is None if none of them can be parsed."""
     if not values:
-        return _NONE_NAMED
-    read = [_decimal(value) for value in values]
+        return _NO_LIMIT_STATED
+    parsed = [_parse_decimal(value) for value in values]
     rates = [
         max(MIN_REQUESTS_PER_SECOND, min(MAX_REQUESTS_PER_SECOND, rate))
-        for rate in read
+        for rate in parsed
         if rate is not None
     ]
-    odd = [_shown(value) for value, rate in zip(values, read) if rate is None]
+    unreadable_texts = [
+        _loggable_text(value) for value, rate in zip(values, parsed) if rate is None
+    ]
     if rates:
-        return ParsedLimit(min(rates), *odd[-1:])
-    return ParsedLimit(None, odd[-1] or _EMPTY)
+        return ParsedLimit(min(rates), *unreadable_texts[-1:])
+    return ParsedLimit(None, unreadable_texts[-1] or _EMPTY_TEXT)
 
 
-def _decimal(value: bytes) -> float | None:
-    """Return a decimal number of at least 0, None for anything else."""
+def _parse_decimal(value: bytes) -> float | None:
+    """Parse a decimal number of at least 0; return None for anything else."""
     text = value.strip()
     return float(text) if _DECIMAL.fullmatch(text) else None
 
 
-def _shown(value: bytes) -> str:
-    return value.decode("latin-1")[:_MOST_LOGGED]
+def _loggable_text(value: bytes) -> str:
+    return value.decode("latin-1")[:_MAX_LOGGED_CHARACTERS]
