--- a/src/lotushill/requests/__init__.py
+++ b/src/lotushill/requests/__init__.py
@@ -1,3 +1,3 @@
-"""The life of one request: from a client's bytes to an upstream and back."""
+"""Request path: receives client requests, sends them to upstreams and relays the answers."""
 
 from __future__ import annotations
--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one upstream, and its answer passed on."""
+"""One attempt: sends a request to one upstream and relays the answer to the client."""
 
 from __future__ import annotations
 
@@ -32,12 +32,13 @@
 
 _SUCCESS = range(200, 300)
 _SILENCE_SECONDS = 0.8
+"""Least time to wait for the head of an answer before the upstream counts as silent."""
 _SILENCE_PREDICTED = 4.0
-"""An upstream that takes so many times longer than predicted is taken for silent."""
+"""Multiple of the predicted time to the first event after which the upstream counts as silent."""
 
 
 class Attempt:
-    """Runs to one of the ends of `EndKind`; a cancelled one closes its connection."""
+    """Sends one request to one upstream; ends with an `EndKind`, and closes if cancelled."""
 
     def __init__(
         self,
@@ -65,12 +66,12 @@
         self._pauses = AttemptPauses(parts, request, choice.upstream, news)
         engine = request.service.engine
         self._movable = engine is not None and engine.moves
-        """Whether runs of its service can be moved."""
+        """Whether runs of the request's service can be moved to other upstreams."""
         self._moving: MovingRun | None = None
-        """The run once its first event has come, where it can be moved."""
+        """Run of this attempt; None before its first event, or if it cannot be moved."""
 
     async def run(self) -> AttemptEnd:
-        """Send the request and pass the answer on."""
+        """Send the request and relay the answer to the client."""
         upstream = self._choice.upstream
         load = self._parts.fleet.load(upstream.id)
         try:
@@ -81,7 +82,7 @@
         if self._was_suspended():
             connection.close()
             return AttemptEnd(EndKind.NOT_SENT, "the host was suspended")
-        # Whoever chose it may not have known that it wants none, or chose before it said so.
+        # The placement may not know that the upstream takes no requests now, or be older than that.
         if not self._parts.gate.pass_on(self._permit):
             connection.close()
             return AttemptEnd(EndKind.BARRED)
@@ -99,7 +100,7 @@
         return end
 
     def _broken(self, error: UpstreamError) -> AttemptEnd:
-        """Return the end of an answer that was cut off: by a move, or by a fault."""
+        """Return the end of an attempt whose answer was truncated by a move or by a fault."""
         handover = self._moving.handover if self._moving is not None else None
         if handover is not None:
             handover.part()
@@ -112,7 +113,7 @@
         return AttemptEnd(EndKind.BROKEN, repr(error), lost=lost, begun=begun, handover=handover)
 
     def _leave(self) -> None:
-        """Let nobody move the run any longer."""
+        """Unregister the run from the mover, so that it is not moved after this attempt."""
         run = self._moving
         if run is None:
             return
@@ -122,7 +123,10 @@
             self._parts.mover.drop(run.handover)
 
     def _was_suspended(self) -> bool:
-        """Return whether the host was, since the upstream was chosen: it may have left."""
+        """Return whether the host was suspended since the upstream was chosen.
+
+        The upstream may have left the fleet in the meantime.
+        """
         self._parts.suspension.look()
         return self._parts.suspension.wakes != self._wakes
 
@@ -152,7 +156,11 @@
         return await self._pass_stream(connection, head)
 
     async def _read_head(self, connection: UpstreamConnection) -> AnswerHead:
-        """Return the head; a repeatable request does not wait for a silent upstream."""
+        """Return the head of the answer; raise SilentUpstreamError after a timeout.
+
+        Only a request of a repeatable route is given up; others wait on, since a second attempt
+        might run them twice.
+        """
         patience = max(_SILENCE_SECONDS, _SILENCE_PREDICTED * self._choice.first)
         try:
             async with asyncio.timeout(patience):
@@ -160,7 +168,7 @@
         except TimeoutError as error:
             self._news.silent()
             if self._request.route.repeatable:
-                raise SilentUpstreamError("no head") from error
+                raise SilentUpstreamError("no answer head within the timeout") from error
         return await connection.read_head()
 
     async def _read_all(self, connection: UpstreamConnection) -> bytes:
@@ -170,7 +178,7 @@
         return b"".join(pieces)
 
     async def _pass_whole(self, connection: UpstreamConnection, head: AnswerHead) -> AttemptEnd:
-        """Pass a plain answer on once it is whole, so that one cut off is never begun."""
+        """Relay a plain answer once it is complete, so that no truncated answer is started."""
         body = await self._read_all(connection)
         self._note_event()
         await self._answer.start(head.status, head.headers_for(body))
@@ -178,7 +186,7 @@
         return AttemptEnd(EndKind.WHOLE)
 
     async def _pass_stream(self, connection: UpstreamConnection, head: AnswerHead) -> AttemptEnd:
-        """Pass each piece on as it comes."""
+        """Relay a stream byte by byte, without splitting it into events."""
         while piece := await connection.read():
             self._note_event()
             if not self._answer.started:
@@ -190,11 +198,14 @@
         return AttemptEnd(EndKind.WHOLE)
 
     def _has_a_way_on(self) -> bool:
-        """Return whether the stream can go on after its connection to the upstream has ended."""
+        """Return whether the stream can continue after its connection to the upstream has ended."""
         return self._request.route.resumable or self._choice.backup is not None
 
     def _patience(self) -> float | None:
-        """Return after which pause the run is given up here, None where that helps nobody."""
+        """Return the longest pause, in seconds, after which the attempt is given up.
+
+        None if giving it up would not help, since the run cannot continue elsewhere.
+        """
         if not self.first_at:
             return self._first_patience()
         gap = self._request.route.target_gap
@@ -206,7 +217,7 @@
         return self._parts.mover.stalls.after(self._request.service.name, gap)
 
     async def _pass_events(self, connection: UpstreamConnection, head: AnswerHead) -> AttemptEnd:
-        """Pass whole events on, so that another upstream can go on after any of them."""
+        """Relay only complete events, so that another upstream can continue after any of them."""
         while piece := await connection.read(self._patience()):
             whole = self._splitter.feed(piece)
             if not whole:
@@ -222,7 +233,7 @@
         return AttemptEnd(EndKind.WHOLE)
 
     def _first_patience(self) -> float | None:
-        """Return how long the first event is waited for after the head."""
+        """Return the timeout for the first event after the head, None for no timeout."""
         if not self._movable or not self._request.route.repeatable:
             return None
         return self._parts.mover.first_waits.after_if_known(self._request.service.name)
@@ -243,13 +254,11 @@
         self._moving.note_event(self.last_at)
 
     async def _start_chunked(self, head: AnswerHead) -> None:
-        """Start without a length: what another upstream adds is not known."""
+        """Start the answer without a length, as another upstream may add to it."""
         if not self._answer.started:
             headers = [item for item in head.headers if item[0] != b"content-length"]
             await self._answer.start(head.status, headers)
 
-    # What is learned
-
     def _note_event(self) -> None:
         now = self._clock()
         if not self.first_at:
@@ -268,5 +277,5 @@
 
 
 def _came_back(choice: Choice) -> bool:
-    """Return whether a run goes on at the upstream that it was to be moved from."""
+    """Return whether the run continues at the upstream that it was to be moved from."""
     return choice.moved is not None and choice.moved.source == choice.upstream.address
--- a/src/lotushill/requests/attempt_end.py
+++ b/src/lotushill/requests/attempt_end.py
@@ -1,4 +1,4 @@
-"""How one attempt at an upstream ended."""
+"""Result of one attempt at an upstream."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 
 
 class EndKind(Enum):
-    """What is known of the run."""
+    """What is known of the run after an attempt has ended."""
 
     WHOLE = "whole"
-    """The client has the whole answer."""
+    """The client received the complete answer."""
     NOT_SENT = "not-sent"
-    """No byte was written."""
+    """No byte of the request was written."""
     BARRED = "barred"
-    """No byte was written, since the upstream wants no new request."""
+    """No byte was written, since the upstream accepts no new requests."""
     REJECTED = "rejected"
-    """The upstream says that it did not run the request."""
+    """The upstream stated that it did not run the request."""
     FAILED = "failed"
-    """The upstream answered with a failure of its own."""
+    """The upstream answered with an error of its own."""
     MOVED = "moved"
-    """The upstream stopped the run, which goes on where its memory is."""
+    """The upstream stopped the run, which continues where its memory is."""
     BROKEN = "broken"
-    """No whole answer came; it may have run."""
+    """No complete answer arrived; the request may have run."""
 
 
 @dataclass(frozen=True)
 class AttemptEnd:
-    """The end of an attempt, with the whole answer of one that failed."""
+    """Result of an attempt, including the complete answer if the upstream sent an error."""
 
     kind: EndKind
     detail: str = ""
     head: AnswerHead | None = None
     body: bytes = b""
     said: Statement = NOTHING_SAID
-    """What the upstream said of itself."""
+    """What the headers of the answer state about the upstream."""
     lost: bool = False
-    """Whether the connection ended under a request that had been sent."""
+    """Whether the connection ended after the request had been sent."""
     begun: bool = False
-    """Whether anything of the answer had come."""
+    """Whether any part of the answer had arrived."""
     handover: Handover | None = None
-    """The move that was under way, from which the run may go on."""
+    """Move that was in progress, through which the run may continue; None if there was none."""
--- a/src/lotushill/requests/attempt_news.py
+++ b/src/lotushill/requests/attempt_news.py
@@ -1,4 +1,4 @@
-"""What one attempt tells the fleet while it runs."""
+"""Reports of one attempt to the load that all gateways share."""
 
 from __future__ import annotations
 
@@ -14,8 +14,11 @@
     from lotushill.scheduling.shared_load import SharedLoad
 
 _PACE_RANK = 2
-"""Of the sorted pauses, the one that is told: two may be too short since events were read together,
-and five too long since prompts were read beside them."""
+"""Index of the reported pause among the sorted pauses of an attempt.
+
+Two pauses may be too short, because several events were read together, and five too long, because
+the engine made prefills of other requests in between.
+"""
 _OUTCOMES = {
     EndKind.WHOLE: Outcome.WHOLE,
     EndKind.FAILED: Outcome.FAILED,
@@ -27,10 +30,10 @@
 
 
 class AttemptNews:
-    """Tells of one attempt by its number."""
+    """Reports the progress and end of one attempt under the number of its request."""
 
     def __init__(self, shared_load: SharedLoad, request: int, on_ran: Callable[[], None]) -> None:
-        """Tell of the attempt `request`; `on_ran` hears that an upstream ran it."""
+        """Report the attempt numbered `request`; `on_ran` is called when an upstream has run it."""
         self._shared_load = shared_load
         self._request = request
         self._on_ran = on_ran
@@ -38,13 +41,13 @@
         self._began = False
 
     def began(self, seconds: float) -> None:
-        """Tell of the first event, so long after the request was sent."""
+        """Report the first event, `seconds` after the request was sent."""
         self._began = True
         self._on_ran()
         self._shared_load.begin(self._request, seconds)
 
     def paused(self, seconds: float) -> None:
-        """Take in a pause between two events; the first ones tell the pace of the upstream."""
+        """Record a pause between two events; the first few give the pace of the upstream."""
         if len(self._pauses) == PACED_EVENTS:
             return
         self._pauses.append(seconds)
@@ -52,11 +55,11 @@
             self._shared_load.note_paced(self._request, sorted(self._pauses)[_PACE_RANK])
 
     def silent(self) -> None:
-        """Tell that the upstream is silent, though an answer may still come."""
+        """Report that the upstream is silent, although an answer may still arrive."""
         self._shared_load.end(self._request, Outcome.FAILED)
 
     def ended(self, kind: EndKind | None, seconds: float) -> None:
-        """Tell the end of an attempt that ran for so long; None where it was given up."""
+        """Report the end after `seconds`; `kind` is None if the attempt was cancelled."""
         if kind is None:
             outcome = Outcome.UNKNOWN
         elif kind is EndKind.BROKEN:
--- a/src/lotushill/requests/attempt_pauses.py
+++ b/src/lotushill/requests/attempt_pauses.py
@@ -1,4 +1,4 @@
-"""What the pauses between the events of one attempt tell of its upstream and its service."""
+"""Pauses between the events of one attempt, as measurements of its upstream and service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AttemptPauses:
-    """Learns from the events of one stream."""
+    """Updates the pace of a service and an upstream from the event times of one stream."""
 
     def __init__(
         self, parts: GatewayParts, request: Request, upstream: Upstream, news: AttemptNews
@@ -22,13 +22,13 @@
         self._upstream = upstream
         self._news = news
         self._models_all = parts.placer.models_all()
-        """Whether all that runs at the upstream is known, so that its pauses can be explained."""
+        """Whether all requests at the upstream are known, so that its pauses can be explained."""
         self._last_at = 0.0
         self._waiting = 0.0
-        """Seconds of reading that were due at the upstream when the last event came."""
+        """Seconds of prefill that were due at the upstream when the last event arrived."""
 
     def note(self, now: float) -> None:
-        """Note that events have come."""
+        """Record the arrival of one or more events."""
         if self._last_at:
             pause = now - self._last_at
             self._news.paused(pause)
@@ -41,7 +41,10 @@
         self._last_at = now
 
     def _explain(self, now: float, due: float) -> None:
-        """Learn from the pause that ends now, while readings of `due` seconds are still due."""
+        """Update the models from the pause that ends now.
+
+        `due` is the time in seconds for prefills that are still due at the upstream.
+        """
         load = self._parts.fleet.load(self._upstream.id)
         pauses = self._parts.fleet.pace(self._service).pauses
         slowness = load.pace.step_slowness(now)
@@ -50,7 +53,7 @@
             load.pace.note_step(ratio, now)
 
     def _due_reading(self, now: float) -> float:
-        """Return the seconds of reading that are due at the upstream."""
+        """Return the seconds that the upstream needs for all prefills that are due there."""
         load = self._parts.fleet.load(self._upstream.id)
         rate = self._parts.fleet.pace(self._service).read_rate
         return load.unread.all(rate, now) / rate
--- a/src/lotushill/requests/caller_number.py
+++ b/src/lotushill/requests/caller_number.py
@@ -1,4 +1,4 @@
-"""Tells a request that comes again from a new one, at any gateway."""
+"""Hash by which every gateway recognizes a request that a client sends again."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def caller_number(team: str, target: bytes, body: bytes) -> int:
-    """Return a number that stays the same when a caller sends its request again; never 0."""
+    """Return a number that is the same each time a client sends the same request; never 0."""
     digest = xxhash.xxh64()
     for part in (team.encode(), target, body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/src/lotushill/requests/client_protocol.py
+++ b/src/lotushill/requests/client_protocol.py
@@ -1,4 +1,4 @@
-"""The server's side of a client connection: uvicorn's, with what it keeps to itself or lacks."""
+"""Client connections: uvicorn's HTTP protocol extended by disconnect callbacks and timeouts."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
     from collections.abc import Callable
 
 TARGET = "lotushill.target"
-"""Where a scope holds the request target as the client sent it, in bytes."""
+"""Key under which a scope holds the request target in bytes, as the client sent it."""
 CONNECTION = "lotushill.connection"
-"""Where a scope holds its connection."""
+"""Key under which a scope holds its client connection."""
 _TOO_SLOW = b"HTTP/1.1 408 Request Timeout\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
 
 
 class ClientProtocol(HttpToolsProtocol):
-    """Tells the request path when its client has gone, and bounds what a client may take."""
+    """Notifies the request path of a lost client, and limits idle time and time to send a head."""
 
     def __init__(
         self, *arguments: Any, limits: Callable[[], ClientLimits] = ClientLimits, **options: Any
     ) -> None:
-        """Make one connection; `limits` returns the bounds in force."""
+        """Create the protocol of one connection; `limits` returns the limits in force."""
         super().__init__(*arguments, **options)
         self.on_lost: Callable[[], None] | None = None
-        """Called when the connection is gone."""
+        """Callback for the end of the connection, None if there is none."""
         self._limits = limits
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a connection; one that never says anything is closed in the end."""
+        """Start the idle timeout, which closes a connection on which nothing is sent."""
         super().connection_made(transport)  # type: ignore[arg-type]
         self._set_timer(self._limits().idle_seconds, self.transport.close)
 
     def on_message_begin(self) -> None:
-        """Take the first byte of a request, whose head has to be whole in time."""
+        """Start the timeout within which the head of the request has to be complete."""
         super().on_message_begin()
         self._set_timer(self._limits().header_seconds, self._end_slow_head)
 
@@ -52,7 +52,7 @@
         super().on_headers_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the end of the connection."""
+        """Stop the timeout and call `on_lost`."""
         self._stop_timer()
         super().connection_lost(exc)
         if self.on_lost is not None:
@@ -60,7 +60,7 @@
 
     def _end_slow_head(self) -> None:
         if self.cycle is not None and not self.cycle.response_complete:
-            # An answer to the request before is still going out and comes first.
+            # The answer to the previous request is still being sent and has to be finished first.
             self._set_timer(self._limits().header_seconds, self._end_slow_head)
             return
         if not self.transport.is_closing():
--- a/src/lotushill/requests/continuation.py
+++ b/src/lotushill/requests/continuation.py
@@ -1,7 +1,7 @@
-"""Goes on with a run elsewhere, from the copy of its memory there.
+"""Continues an interrupted run at another upstream that holds a copy of its memory.
 
-It is the same run, so that it may go on also where a request must not run twice. Without its memory
-an upstream runs nothing, and the run has ended as it was cut.
+This is the same run, so it may continue even if the request must not run twice. An upstream that
+does not have the memory runs nothing, and the run ends as it was interrupted.
 """
 
 from __future__ import annotations
@@ -30,30 +30,28 @@
     Try = Callable[[Placement, Permit], Awaitable[AttemptEnd]]
 
 _CONTINUE_SECONDS = 0.1
-"""Predicted until a run goes on from its copy: a connection and a few steps."""
+"""Predicted time until a run continues from its copy: a new connection and a few engine steps."""
 _SOUND_RATE = 0.05
-"""A run goes on at no upstream with more failures: above it any of the last seconds shows."""
+"""Failure rate from which on a backup is not used; any failure in the last seconds exceeds it."""
 _NOT_TAKEN = (EndKind.NOT_SENT, EndKind.BARRED, EndKind.REJECTED)
-"""The memory has not been used: it can be where it was before."""
+"""Ends of attempts that did not use the memory, which can still be where it was before."""
 
 
 class Continuation:
-    """Sends one request on to upstreams that hold the memory of its run."""
+    """Sends an interrupted request to upstreams that hold the memory of its run."""
 
     def __init__(
         self, parts: GatewayParts, request: Request, splitter: EventSplitter, attempt: Try
     ) -> None:
-        """Go on after the events of `splitter`; `attempt` sends the request to an upstream."""
+        """Continue after the events of `splitter`; `attempt` sends the request to an upstream."""
         self._parts = parts
         self._request = request
         self._splitter = splitter
         self._attempt = attempt
         self._clock = parts.clock
 
-    # From a copy that grew with the run
-
     async def from_backup(self, backup: Upstream, cut: AttemptEnd) -> AttemptEnd:
-        """Go on at the upstream to which the run's memory was copied as it grew."""
+        """Continue at the upstream to which the run's memory was copied while it ran."""
         if not self._may_go_on_at(backup):
             return cut
         permit = await self._parts.gate.admit(backup, self._request.need)
@@ -63,10 +61,10 @@
         return end if end.kind is EndKind.WHOLE else cut
 
     def _may_go_on_at(self, backup: Upstream) -> bool:
-        """Return whether the copy can be trusted to be there, and its upstream to say if not.
+        """Return whether the upstream should have the copy, or will report that it has not.
 
-        Before the first event nothing was copied, and an upstream that loses answers may run what
-        it is sent without looking for the copy.
+        Before the first event nothing was copied, and an upstream whose answers get lost may run
+        the request without looking for the copy.
         """
         service = self._request.service.name
         known = any(item.id == backup.id for item in self._parts.upstreams.of(service))
@@ -75,12 +73,11 @@
         wanted = self._parts.gate.wants(backup.id)
         return known and sound and wanted and self._splitter.events > 0
 
-    # From a handover
-
     async def from_handover(self, handover: Handover, cut: AttemptEnd) -> AttemptEnd:
-        """Go on where a move has brought the run's memory, or where it was kept.
+        """Continue at the target of a move, or at the source, wherever the run's memory is held.
 
-        Return the end of the run there, which may have been moved once more, or that it was cut.
+        Return the end of the run there, which may have been moved once more, or else the end as
+        broken.
         """
         used = False
         try:
@@ -107,7 +104,7 @@
         return await self._go_on(replace(choice, moved=moved), permit)
 
     def _after(self, end: AttemptEnd | None, cut: AttemptEnd) -> AttemptEnd:
-        """Return how the run has ended: as it was cut, where it did not go on."""
+        """Return how the run has ended; as broken if it was not continued."""
         goes_on = end is not None and (end.kind is EndKind.WHOLE or end.handover is not None)
         if end is not None and goes_on:
             self._parts.metrics.note_moved_run("went on")
@@ -115,8 +112,6 @@
         self._parts.metrics.note_moved_run("cut")
         return replace(cut, kind=EndKind.BROKEN, handover=None)
 
-    # Both
-
     async def _go_on(self, choice: Choice, permit: Permit) -> AttemptEnd:
         self._splitter.drop_partial()
         return await self._attempt(self._parts.placer.continued(self._request, choice), permit)
--- a/src/lotushill/requests/engine_memory.py
+++ b/src/lotushill/requests/engine_memory.py
@@ -1,4 +1,7 @@
-"""Moves the memory of runs between engines, over connections beside those of requests."""
+"""Client for moving the memory of runs between engines.
+
+The calls use connections of their own, separate from those of requests.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 class EngineMemory:
-    """Client of the memory calls of all engines, by their addresses (IP:PORT)."""
+    """Calls the memory interface of engines, which are identified by their addresses (IP:PORT)."""
 
     def __init__(self) -> None:
         self._clients: dict[str, JsonClient] = {}
@@ -27,9 +30,10 @@
     async def copy(
         self, source: str, run: str, target: str, last: bool, patience: float
     ) -> Copied | NotCopied:
-        """Copy what a run at `source` holds to `target`, after stopping it where it is `last`.
+        """Copy the memory of a run from `source` to `target`; stop the run first if `last`.
 
-        Raise NoAnswerError without an answer within `patience` seconds: it may have been done.
+        Raise NoAnswerError if no answer arrives within `patience` seconds; the copy may have been
+        made nevertheless.
         """
         content = memory_calls.move_content(run, target, last)
         client = self._client(source)
@@ -37,7 +41,10 @@
         return memory_calls.read_move(answer)
 
     async def free(self, source: str, handle: str) -> None:
-        """Free what is held under a handle at both ends; unheard, it is freed when it is old."""
+        """Free the memory held under a handle at both engines.
+
+        If the call fails, the engines free the memory when it expires.
+        """
         try:
             await self._client(source).call(
                 "DELETE", memory_calls.FREE_PATH + handle, patience=_FREE_SECONDS
@@ -46,7 +53,7 @@
             return
 
     def forget(self, known: set[str]) -> None:
-        """Drop the clients of addresses at which no engine is known."""
+        """Drop the clients of all addresses that are not in `known`."""
         for address in self._clients.keys() - known:
             del self._clients[address]
 
--- a/src/lotushill/requests/event_stream.py
+++ b/src/lotushill/requests/event_stream.py
@@ -1,4 +1,4 @@
-"""Whole events of a `text/event-stream` body, and the place where it goes on."""
+"""Splits a `text/event-stream` body into events and tracks the position to resume it from."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 
 class EventSplitter:
-    """Cuts a stream's bytes into whole events; what is not whole is held back."""
+    """Splits the bytes of a stream into complete events and buffers an incomplete one."""
 
     def __init__(self) -> None:
         self._rest = b""
         self.last_id = ""
-        """Id of the last whole event, as text."""
+        """Id of the last complete event, as text."""
         self.events = 0
+        """Number of complete events with an id."""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes of the events that are whole by now."""
+        """Add received bytes and return those of all events that are complete now."""
         held = self._rest + data
         end = held.rfind(b"\n\n")
         crlf_end = held.rfind(b"\r\n\r\n")
@@ -26,12 +27,12 @@
         return whole
 
     def drop_partial(self) -> None:
-        """Forget the event that a broken run left unfinished: the next run sends it whole."""
+        """Discard the incomplete event of a broken run; the next run sends it in full."""
         self._rest = b""
 
     @property
     def partial(self) -> bytes:
-        """Return the bytes of an event that is not whole."""
+        """Return the bytes after the last complete event."""
         return self._rest
 
     def _note(self, whole: bytes) -> None:
--- a/src/lotushill/requests/exceptions.py
+++ b/src/lotushill/requests/exceptions.py
@@ -1,23 +1,23 @@
-"""Errors of the request path."""
+"""Exceptions of the request path."""
 
 from __future__ import annotations
 
 
 class UpstreamError(Exception):
-    """An attempt that brought no whole answer."""
+    """An attempt did not result in a complete answer."""
 
 
 class NotSentError(UpstreamError):
-    """No byte of the request was written, so that it was not run."""
+    """No byte of the request was written, so it was not run."""
 
 
 class BrokenAnswerError(UpstreamError):
-    """The connection ended or spoke nonsense after the request was written."""
+    """The connection ended or violated the protocol after the request was written."""
 
 
 class LostConnectionError(BrokenAnswerError):
-    """The connection ended before the answer was whole."""
+    """The connection ended before the answer was complete."""
 
 
 class SilentUpstreamError(UpstreamError):
-    """The upstream showed no sign of life for longer than allowed."""
+    """The upstream sent nothing within the timeout."""
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -1,4 +1,4 @@
-"""The life of one request: choose an upstream, run, and again where that is allowed."""
+"""Processing of one request: chooses an upstream, sends the request, and retries if allowed."""
 
 from __future__ import annotations
 
@@ -29,17 +29,21 @@
 _UNAVAILABLE = 503
 _TIMED_OUT = 504
 _MOST_UNSENT = 4
+"""Number of unsent attempts at which a request is given up."""
 _MOST_REJECTED = 3
+"""Number of rejections at which a request is given up."""
 _RETRY_SECONDS = 0.5
 _HELD_RETRY_SECONDS = 30.0
-"""Coming back sooner does not help a request that is held."""
+"""Retry-After of quarantined requests, which would be refused again if they came back sooner."""
 _CHECK_SECONDS = 0.05
-"""A request that was cut waits so long, before it is sent on, to hear whether its upstream ended:
-an address that nothing listens at any more refuses within a round trip."""
+"""Longest wait, before an interrupted request is sent on, for the check whether its upstream failed.
+
+An address at which nothing listens any more refuses connections within a round trip.
+"""
 
 
 class Exchange:
-    """Brings one request to its answer."""
+    """Sends one request to upstreams until the client has an answer."""
 
     def __init__(self, parts: GatewayParts, request: Request, answer: ClientAnswer) -> None:
         self._parts = parts
@@ -53,16 +57,16 @@
         self._search = UpstreamSearch(parts, request)
         self._continuation = Continuation(parts, request, self._splitter, self._attempt)
         self._counted = False
-        """Whether the request was counted as begun."""
+        """Whether the request was counted as started."""
         self.runs = 0
-        """Upstreams that may have run the request."""
+        """Number of attempts that may have run the request."""
         self.outcome = "open"
         self.upstream = ""
         self.first_ms = 0.0
-        """Milliseconds from sending to the first event of the last attempt; below 0 for none."""
+        """Milliseconds from sending to first event in the last attempt; negative if none came."""
 
     async def run(self) -> None:
-        """Try upstreams until there is an answer."""
+        """Try upstreams until the request is answered or given up."""
         request = self._request
         self._parts.budgets.note_request(request.service.name, self._clock())
         while True:
@@ -93,7 +97,7 @@
             self._splitter.drop_partial()
 
     async def time_out(self) -> None:
-        """Answer a request whose time is up."""
+        """Answer a request whose deadline has passed."""
         self.outcome = "timed-out"
         if self.runs:
             await self._answer.give(_TIMED_OUT)
@@ -101,26 +105,24 @@
             await self._answer.give(_UNAVAILABLE, _RETRY_SECONDS)
 
     async def _keep_back(self) -> None:
-        """Answer a request under which upstreams end, without sending it to one more."""
+        """Refuse a quarantined request, under which upstreams failed, without sending it on."""
         request = self._request
         self._parts.quarantine.note_held(request)
         self._parts.metrics.note_refused(request.service.name, request.need.tier, "quarantined")
         self._retry_after = _HELD_RETRY_SECONDS
         await self._give_up("quarantined", None)
 
-    # Upstreams
-
     def _check_upstream(self, upstream: Upstream, end: AttemptEnd) -> asyncio.Task[None] | None:
-        """Find out whether the upstream ended under the request, where its connection did."""
+        """Start a check whether the upstream itself failed, if its connection was lost."""
         if not end.lost:
             return None
         begun = end.begun or self._splitter.events > 0
         return self._parts.quarantine.note_cut(self._request, upstream, begun)
 
     async def _may_go_on(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
-        """Return whether a cut request may reach a further upstream, as far as is known now.
+        """Return whether an interrupted request may be sent to another upstream.
 
-        One that ended this upstream would end the next one as well.
+        A request that made this upstream fail would make the next one fail as well.
         """
         if end.kind is not EndKind.BROKEN:
             return False
@@ -131,7 +133,7 @@
     async def _go_on(
         self, choice: Choice, end: AttemptEnd, check: asyncio.Task[None] | None
     ) -> AttemptEnd:
-        """Go on with a run that was moved, or cut, from a copy of its memory."""
+        """Continue a moved or interrupted run from a copy of its memory."""
         while end.handover is not None:
             if end.kind is EndKind.BROKEN and not await self._may_go_on(end, check):
                 self._parts.mover.drop(end.handover)
@@ -142,7 +144,7 @@
         return end
 
     def _put_off(self, placement: Placement) -> None:
-        """Look for another upstream, as there is no permit for this one now."""
+        """Exclude an upstream for which there is no permit at present from the search."""
         upstream = placement.choice.upstream
         self._search.put_off(upstream.id)
         rate = self._parts.limits.stated.rate(upstream.id)
@@ -167,8 +169,8 @@
             end = await attempt.run()
             kind = end.kind
         except Exception:
-            # A fault of ours counts against the upstream it shows at: as an idle one that fails
-            # at once it would draw all requests.
+            # A fault of the gateway counts against the upstream at which it occurs. Otherwise that
+            # upstream, failing at once and always idle, would attract all requests.
             kind = EndKind.BROKEN
             raise
         finally:
@@ -195,7 +197,10 @@
         return end
 
     def _identity(self, end: AttemptEnd) -> str:
-        """Return what tells that another arrival of a cut request is the same, else nothing."""
+        """Return the identity by which a broken request is recognized when it arrives again.
+
+        Return an empty text for attempts that ended otherwise.
+        """
         return self._request.identity.hex() if end.kind is EndKind.BROKEN else ""
 
     def _note_ran(self) -> None:
@@ -236,12 +241,10 @@
         )
 
     def _pause_bound_ms(self) -> float | None:
-        """Return by how much a reading lengthens a pause at most, None while not known."""
+        """Return the most by which a prefill extends a pause, in ms; None if unknown."""
         pauses = self._parts.fleet.pace(self._request.service.name).pauses
         return round(pauses.bound * 1000, 1) if pauses.bound_known else None
 
-    # Repeats
-
     async def _may_repeat(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
         now = self._clock()
         service = self._request.service.name
@@ -265,7 +268,8 @@
     async def _give_up(self, why: str, end: AttemptEnd | None) -> None:
         self.outcome = f"given-up:{why}"
         if self._answer.started:
-            # What the client has is visibly cut off: the connection ends without its end.
+            # The connection closes before the end of the answer, so the client sees that it is
+            # truncated.
             return
         if end is not None and end.kind is EndKind.FAILED and end.head is not None:
             self.outcome = f"failed:{end.detail}"
--- a/src/lotushill/requests/front.py
+++ b/src/lotushill/requests/front.py
@@ -1,4 +1,4 @@
-"""The ASGI application that clients reach: checks a request and brings it to its answer."""
+"""ASGI application for clients: checks each request and has it answered."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 _BODY_SECONDS = 10.0
 _READY_POLL_SECONDS = 0.02
 _UNKNOWN_OUTPUT_SHARE = 0.5
-"""Of the most that an answer may have, what is expected when the client gives no hint."""
+"""Fraction of the largest allowed output that is expected if the client gives no hint."""
 
 
 class _TurnedAwayError(Exception):
-    """A request that is answered without an upstream."""
+    """A request is answered with an error status without being sent to an upstream."""
 
     def __init__(self, status: int, retry_after: float | None = None) -> None:
         super().__init__(status)
@@ -54,7 +54,7 @@
 
 
 class _Lost:
-    """Ends the work on a request whose client has gone, and remembers that this was why."""
+    """Cancels the work on a request when its client disconnects, and records that it did."""
 
     def __init__(self, scope: anyio.CancelScope) -> None:
         self._scope = scope
@@ -66,28 +66,28 @@
 
 
 class Front:
-    """Takes in requests."""
+    """Handles the requests of clients."""
 
     def __init__(self, parts: GatewayParts) -> None:
         self._parts = parts
         self._numbers = itertools.count()
         self._scopes: set[anyio.CancelScope] = set()
-        """Of the requests in progress."""
+        """Cancel scopes of the requests in progress."""
         self.in_progress = 0
         self.closing = False
-        """Whether connections end after their answer, since the process is stopping."""
+        """Whether connections are closed after their answer, since the process is stopping."""
         self.waiting = 0
-        """Requests that wait until this gateway is ready."""
+        """Number of requests that wait until this gateway is ready."""
         self.open = True
-        """False when new requests are turned away, since they could not be finished."""
+        """Whether requests are accepted; False at shutdown, when they could not be finished."""
 
     def note_suspension(self, seconds: float) -> None:
-        """Let requests in progress end when their time is up, though timers stood still so long."""
+        """Bring the deadlines of requests in progress forward by the time that timers stopped."""
         for scope in self._scopes:
             scope.deadline -= seconds
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Handle one ASGI request; other scopes are ignored."""
         if scope["type"] != "http":
             return
         self.in_progress += 1
@@ -133,7 +133,7 @@
             try:
                 await exchange.run()
             except Exception as error:
-                # A fault of ours must not leave a client without an answer.
+                # A fault of the gateway must not leave a client without an answer.
                 exchange.outcome = f"fault:{error!r}"
                 self._parts.log.note(
                     "request.fault",
@@ -164,8 +164,6 @@
             configuration=self._parts.configuration.revision,
         )
 
-    # Checks
-
     async def _check(
         self, scope: Scope, receive: Receive, demand: Demand, arrived: float
     ) -> Request:
@@ -203,7 +201,7 @@
         return self._parts.configuration.table is not None and self._parts.knows_holds()
 
     async def _await_ready(self, demand: Demand, arrived: float) -> None:
-        """Wait for what is missing since the start, as long as that can still help the client."""
+        """Wait until the gateway is ready after its start, while the client can still be served."""
         ends = arrived + ready_wait(demand.time_left or 0.0)
         if self._is_ready() or self.waiting >= MOST_WAITING:
             return
@@ -231,7 +229,7 @@
         return team
 
     def _unknown(self, status: int) -> _TurnedAwayError:
-        """Return what to say of an unknown route or key: it may be new while the view is old."""
+        """Return the error for an unknown route or key; it may be new if the view is stale."""
         if not self._parts.view_is_fresh():
             return _TurnedAwayError(503, self._retry_seconds())
         return _TurnedAwayError(status)
--- a/src/lotushill/requests/handover.py
+++ b/src/lotushill/requests/handover.py
@@ -1,7 +1,8 @@
-"""One run handed over to another upstream with its memory, while its stream goes on.
+"""Handover of one run, with its memory, to another upstream while its stream continues.
 
-The memory is copied while the run goes on, so that a target without room costs nothing; then the
-run is stopped, what is new is copied, and whoever holds the stream sends the request to the target.
+The memory is copied while the run goes on, so that a target without room costs nothing. Then the
+run is stopped, the rest of its memory is copied, and the request is sent to the target by the code
+that relays the stream.
 """
 
 from __future__ import annotations
@@ -24,46 +25,47 @@
 
 NO_ANSWER = "no answer"
 _MOST_CALLS = 4
+"""Most calls for one step of a handover."""
 _BUSY_SECONDS = 0.03
-"""Until a call is made again while another one for the run is under way."""
+"""Interval between calls while another call for the run is in progress."""
 _ANSWER_SECONDS = 0.4
-"""Beyond twice what the copy takes, behind another one, before a call is taken for unanswered."""
+"""Added to twice the time of the copy, which may wait behind another one, as timeout of a call."""
 _CLOSING_SECONDS = 0.1
-"""A stream that was stopped is closed by its upstream within so long, or else from here."""
+"""Time for the source to close the stream of a stopped run before this gateway closes it."""
 _UNSURE_SECONDS = 0.5
-"""One that may have been stopped, where nothing comes for so long."""
+"""Time without events after which the stream of a run that may have been stopped is closed."""
 _STOP_SECONDS = 1.0
-"""A stream that was stopped waits so long for the answer of the call that stopped it."""
+"""Longest wait, after the end of a stopped stream, for the answer of the call that stopped it."""
 _COPY_SECONDS = 0.2
-"""One that was cut waits so long for the copy: its source has ended, and calls to it as well."""
+"""Longest wait for the copy after an interruption: the source and its calls have ended as well."""
 
 
 class Phase(Enum):
-    """How far a handover is."""
+    """Progress of a handover."""
 
     COPYING = "copying"
-    """The run goes on at its source."""
+    """The run continues at its source while its memory is copied."""
     STOPPING = "stopping"
-    """The source was asked to stop the run, and may have."""
+    """The source was told to stop the run and may have done so."""
     STOPPED = "stopped"
-    """The run goes on wherever its handle is shown."""
+    """The run can be continued at any upstream that holds memory under its handle."""
     GIVEN_UP = "given up"
-    """The run goes on at its source."""
+    """The handover failed before the run was stopped; the run continues at its source."""
 
 
 @dataclass(frozen=True)
 class HeldMemory:
-    """What a run goes on from."""
+    """Memory from which a run can be continued."""
 
     upstream: Upstream
-    """Where it is held."""
+    """Upstream that holds the memory."""
     source: Upstream
-    """Which one gave the handle."""
+    """Upstream that issued the handle."""
     handle: str
 
 
 class Handover:
-    """Steps of one move; outlives the request that it is for, to free what it holds."""
+    """Steps of one move; may outlive its request, in order to free the memory held for it."""
 
     def __init__(
         self,
@@ -76,10 +78,10 @@
         close_stream: Callable[[], None],
         events: Callable[[], int],
     ) -> None:
-        """Move the run with the id `run`; its copy takes `copying` seconds.
+        """Move the run with the id `run`, whose copy is expected to take `copying` seconds.
 
-        `may_stop` is asked once, right before the run is stopped; `close_stream` ends the
-        connection to the source, from which `events` have come.
+        `may_stop` is called once, right before the run is stopped; `close_stream` closes the
+        connection to the source; `events` returns the number of events received from it.
         """
         self._memory = memory
         self._run = run
@@ -92,28 +94,28 @@
         self._handle = ""
         self._at_target = False
         self._left = False
-        """Whether nobody is left for whom the run could go on."""
+        """Whether the memory is no longer needed: the run continued, ended or lost its client."""
         self.parted = False
-        """Whether the stream from the source has ended."""
+        """Whether the stream from the source has ended before its answer was complete."""
         self._settled = asyncio.Event()
         self.paid = False
-        """Whether a repeat was spent for the run to go on."""
+        """Whether a retry was spent for continuing the run."""
         self.phase = Phase.COPYING
         self.why = ""
-        """Why it was given up, or what went wrong."""
+        """Why the handover was given up, or what failed; empty if neither."""
 
     @property
     def target(self) -> Upstream:
-        """Return where the run is to go."""
+        """Return the upstream to which the run is moved."""
         return self._target
 
     @property
     def stops(self) -> bool:
-        """Return whether the run was stopped by this, as far as is known."""
+        """Return whether this handover has, or may have, stopped the run."""
         return self.phase in (Phase.STOPPING, Phase.STOPPED)
 
     async def run(self) -> None:
-        """Make the calls, and free what nobody goes on from."""
+        """Make the calls, and free the memory if the run is not continued from it."""
         try:
             if await self._copy(last=False):
                 await self._stop()
@@ -131,7 +133,7 @@
             loop.call_later(wait, self._close_open_stream, self._events())
 
     def _close_open_stream(self, events: int) -> None:
-        """End a stream that was stopped, as far as is known, and whose end has not come."""
+        """Close the stream of a run that seems to be stopped, if its end has not arrived."""
         silent = self.phase is Phase.STOPPED or self._events() == events
         if silent and not self._left and not self.parted:
             self._close_stream()
@@ -148,12 +150,12 @@
             self.phase = Phase.STOPPED
 
     async def _copy(self, last: bool) -> bool:
-        """Return whether the next step can be taken."""
+        """Copy the memory; return whether the next step can be taken."""
         for number in range(_MOST_CALLS):
             try:
                 answer = await self._call(last)
             except NoAnswerError:
-                # Asked again, the source tells the handle of what it may have copied.
+                # On a repeated call the source returns the handle of what it may have copied.
                 if last or number:
                     raise
                 continue
@@ -174,7 +176,7 @@
 
     def _note_refusal(self, answer: NotCopied, last: bool) -> bool:
         if last and answer.reason is NoCopyReason.NO_ROOM:
-            # It has stopped, and goes on at its source from what is kept there.
+            # The run has stopped and continues at its source from the memory kept there.
             self._handle = answer.handle or self._handle
             self._at_target = False
             self.why = answer.reason.value
@@ -186,14 +188,15 @@
         self.phase = Phase.GIVEN_UP
         self.why = why
 
-    # For whoever holds the stream
-
     def part(self) -> None:
-        """Note that the stream from the source has ended before its answer was whole."""
+        """Record that the stream from the source ended before its answer was complete."""
         self.parted = True
 
     async def settle(self) -> tuple[HeldMemory, ...]:
-        """Return from what the run can go on, the best first, once its stream has ended."""
+        """Return the memory to continue from, best first, once the stream has ended.
+
+        Wait for the calls in progress for a limited time.
+        """
         try:
             async with asyncio.timeout(_STOP_SECONDS if self.stops else _COPY_SECONDS):
                 await self._settled.wait()
@@ -208,7 +211,7 @@
         return (at_target, at_source) if self.stops else (at_target,)
 
     def note_used(self) -> None:
-        """Note that the run has gone on, so that nothing is held for it any longer."""
+        """Record that the run was continued, so that no memory is held for it any more."""
         self._left = True
         self._handle = ""
 
@@ -219,6 +222,6 @@
             await self._memory.free(self._source.address, handle)
 
     def leave(self) -> bool:
-        """Note that the run has ended or its client has left; return whether to free at once."""
+        """Record that the run ended or its client left; return whether to free memory now."""
         self._left = True
         return self._settled.is_set() and bool(self._handle)
--- a/src/lotushill/requests/idle_connections.py
+++ b/src/lotushill/requests/idle_connections.py
@@ -1,7 +1,7 @@
-"""How many connections a gateway keeps open to an upstream that nobody uses now. Pure.
+"""Limit of idle connections that one gateway keeps open to an upstream; pure functions.
 
-The load that it answers: an upstream takes some hundred connections from all gateways together and
-resets the rest. One that each of 360 gateways keeps for itself fills it, and new ones are reset.
+An upstream accepts a few hundred connections from all gateways together and resets the others. If
+each of 360 gateways kept one idle connection, the upstream would be full and reset new ones.
 """
 
 from __future__ import annotations
@@ -9,15 +9,16 @@
 import xxhash
 
 _IDLE_SHARE = 0.5
-"""Of the connections that an upstream takes; the others are for those that are in use."""
+"""Fraction of the connections of an upstream that may be idle; the others are for those in use."""
 _WHOLE = 2**32
 
 
 def idle_connections(most: int, gateways: int, upstream_id: str, gateway: str) -> int:
-    """Return this gateway's part of the connections that may rest at an upstream.
+    """Return how many idle connections this gateway may keep to an upstream.
 
-    `most` is how many the upstream takes in all. Where the part is less than one, as many gateways
-    as there are connections keep one, drawn by a hash that each works out alone.
+    `most` is the number of connections that the upstream accepts in all. If a gateway's share is
+    less than one, as many gateways as there are connections keep one each; they are selected by a
+    hash that each gateway computes for itself.
     """
     part = _IDLE_SHARE * most / max(1, gateways)
     drawn = xxhash.xxh32_intdigest(f"{upstream_id}/{gateway}") / _WHOLE
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -1,6 +1,7 @@
-"""The runs of this gateway that may be moved, and the handovers that are under way.
+"""Selection of runs to move to other upstreams, and the handovers in progress.
 
-The gateway that holds a stream alone decides whether its run is moved, and once at a time.
+Only the gateway that relays a stream decides whether its run is moved, and makes one handover of a
+run at a time.
 """
 
 from __future__ import annotations
@@ -41,17 +42,17 @@
     from lotushill.views.upstream_view import UpstreamView
 
 _LOOK_SECONDS = 0.25
-"""Between two looks at the runs of upstreams that stay."""
+"""Interval of checks of runs at upstreams that are not leaving."""
 _LAG_SECONDS = 0.3
-"""Between two looks, beyond which this process was held up."""
+"""Time between two checks above which this process counts as having been blocked."""
 _ARRIVED_SECONDS = 0.3
-"""After a handover: by then the run itself is counted in at its target."""
+"""Time after a handover by which the run itself is counted in the load of its target."""
 _MOST_TARGETS = 2
-"""Targets that are tried in one handover."""
+"""Most targets that are tried for one move."""
 
 
 class Mover:
-    """Decides which runs are moved, and makes the calls beside their streams."""
+    """Selects the runs to move, and performs the handovers independently of their streams."""
 
     def __init__(
         self,
@@ -67,7 +68,7 @@
         log: EventLog,
         clock: Callable[[], float],
     ) -> None:
-        """Move with `memory`; `rate` tells what an upstream takes from all gateways."""
+        """Move runs with `memory`; `rate` returns the limit of an upstream for all gateways."""
         self._memory = memory
         self._placer = placer
         self._shared_load = shared_load
@@ -80,39 +81,37 @@
         self._log = log
         self._clock = clock
         self._runs: dict[str, dict[str, MovingRun]] = {}
-        """By upstream and by the key of the request."""
+        """Runs by id of their upstream and key of their request."""
         self._tasks: set[asyncio.Task[None]] = set()
         self._links = MoveLinks()
         self._looked = float("-inf")
         self._ticked = float("-inf")
         self._sound_at = float("-inf")
-        """Until then no stream is taken to stand still, since this process did."""
+        """Time before which no stream counts as stalled, since this process itself was blocked."""
         self.notices = Notices()
         self.stalls = Stalls()
-        """Pauses between the events of streams."""
+        """Statistics of the pauses between the events of streams."""
         self.first_waits = Stalls()
-        """From the head of an answer to its first event."""
-
-    # For those who hold streams
+        """Statistics of the times from the head of an answer to its first event."""
 
     def enter(self, run: MovingRun) -> None:
-        """Take in a run whose first event has come."""
+        """Register a run whose first event has arrived."""
         self._runs.setdefault(run.upstream.id, {})[run.request.key] = run
 
     def leave(self, run: MovingRun) -> None:
-        """Forget a run whose stream has ended."""
+        """Unregister a run whose stream has ended."""
         runs = self._runs.get(run.upstream.id, {})
         runs.pop(run.request.key, None)
         if not runs:
             self._runs.pop(run.upstream.id, None)
 
     def drop(self, handover: Handover) -> None:
-        """Let go of a handover that nobody goes on from, and free what it holds."""
+        """Abandon a handover from which no run is continued, and free the memory it holds."""
         if handover.leave():
             self._spawn(handover.free())
 
     def status(self) -> dict[str, object]:
-        """Return what is moved now, as plain data."""
+        """Return the state of moves as plain data for the status output."""
         now = self._clock()
         left = {name: self.notices.left(name, now) for name in self._runs}
         return {
@@ -123,26 +122,24 @@
 
     @property
     def under_way(self) -> int:
-        """Return how many handovers are under way."""
+        """Return the number of handovers in progress."""
         return len(self._tasks)
 
     def close(self) -> None:
-        """End all calls."""
+        """Cancel all handovers in progress."""
         for task in self._tasks:
             task.cancel()
 
     def forget(self, known: set[str]) -> None:
-        """Drop what is held of lives that no view knows any longer."""
+        """Drop the data of upstreams that are not in `known`."""
         self.notices.forget(known)
         self._memory.forget({item.address for item in self._upstreams.all()})
 
-    # Decisions
-
     def look(self) -> None:
-        """Start the handovers that are worth making now."""
+        """Start the handovers that are worthwhile now."""
         now = self._clock()
         if now - self._ticked > _LAG_SECONDS:
-            # What has come meanwhile has yet to be read.
+            # Events that arrived in the meantime have not been read yet.
             self._sound_at = now + _LAG_SECONDS
         self._ticked = now
         if not self._runs:
@@ -163,7 +160,7 @@
             self._start(planned[key][0], move, now)
 
     def _leaves_in(self, upstream_id: str, now: float) -> float | None:
-        """Return in how many seconds an upstream ends, None if it stays."""
+        """Return the seconds until an upstream shuts down, None if it does not."""
         known = self._upstreams.find(upstream_id)
         if known is None or known.draining:
             self.notices.note(upstream_id, known.leaves_seconds if known else None, now)
@@ -196,8 +193,6 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    # One handover
-
     async def _move(self, run: MovingRun, move: Move, seconds: float) -> None:
         began = self._clock()
         why = "no target"
@@ -222,7 +217,10 @@
             self._note(run, move, why, began)
 
     async def _hand_over(self, run: MovingRun, placed: Placed, seconds: float) -> Handover | None:
-        """Make the calls, with room at the target counted in until the run is counted there."""
+        """Perform a handover; the room reserved at the target is released shortly afterwards.
+
+        By then the run itself is counted there.
+        """
         target = self._upstreams.find(placed.upstream)
         release = functools.partial(self._shared_load.end, placed.request)
         if target is None or run.ended:
@@ -246,9 +244,9 @@
         return handover
 
     async def _target(self, request: Request, tried: frozenset[str]) -> Placed | None:
-        """Count in a run at an upstream with room that stays; None without one.
+        """Reserve room for a run at an upstream that is not leaving; return None if there is none.
 
-        One that names a limit has no permit for what is not a request of a client.
+        Upstreams with a limit are excluded, as permits are only given for requests of clients.
         """
         known = self._upstreams.of(request.service.name)
         limited = {item.id for item in known if self._rate(item.id) != NO_LIMIT}
--- a/src/lotushill/requests/moving_run.py
+++ b/src/lotushill/requests/moving_run.py
@@ -1,4 +1,4 @@
-"""A run whose stream this gateway holds, as far as moving it needs to know."""
+"""State of a run whose stream this gateway relays, as needed for moving it."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
     from lotushill.scheduling.request import Request
 
 _FIRST_AGAIN_SECONDS = 0.2
-"""After a handover that came to nothing, within the shortest notice of an upstream."""
+"""Pause after the first failed handover; shorter than the shortest notice of an upstream."""
 _LONGEST_AGAIN_SECONDS = 1.6
+"""Longest pause between two handovers of a run."""
 _LEAST_EVENTS = 8
-"""Below it the pauses of the run itself say nothing of its pace."""
+"""Number of events below which the pauses of the run itself do not indicate its pace."""
 
 
 class MovingRun:
@@ -34,9 +35,9 @@
         close_stream: Callable[[], None],
         now: float,
     ) -> None:
-        """Follow a run since its first event; `close_stream` ends its connection.
+        """Track a run from its first event; `close_stream` closes its connection.
 
-        `copied` says that a copy of its memory grows elsewhere.
+        `copied` states that its memory is being copied to another upstream while it runs.
         """
         self.request = request
         self.upstream = upstream
@@ -44,9 +45,9 @@
         self._copied = copied
         self._pause = _FIRST_AGAIN_SECONDS
         self.handover: Handover | None = None
-        """The latest one."""
+        """Latest handover of the run, None if there was none."""
         self.ended = False
-        """Whether its stream has ended, in whatever way."""
+        """Whether the stream of the run has ended, in any way."""
         self._splitter = splitter
         self._first_events = splitter.events
         self._first_at = now
@@ -55,42 +56,45 @@
         self._not_before = now
 
     def note_event(self, now: float) -> None:
-        """Note that events have come, which its client has yet to take."""
+        """Record that events have arrived, which the client has not received yet."""
         self._last_at = now
         self._waits_since = math.inf
 
     def note_passed_on(self, now: float) -> None:
-        """Note that its client has taken all events, so that a pause is its upstream's."""
+        """Record that the client has received all events, so a pause is due to the upstream."""
         self._waits_since = now
 
     def stands_still(self, now: float, patience: float) -> bool:
-        """Return whether nothing has come for so long, and moving it is the only way on."""
+        """Return whether the run is stalled and can only be continued by moving it.
+
+        It is stalled if no event has arrived for `patience` seconds.
+        """
         if self._copied or self.request.route.resumable:
             return False
         return now - self._waits_since >= patience
 
     def may_move(self, now: float) -> bool:
-        """Return whether a handover can be tried now: one at a time, each a while apart."""
+        """Return whether a handover can start now: one at a time, with pauses in between."""
         if now < self._not_before or self._splitter.events == 0:
             return False
         return self.handover is None or not self.handover.stops
 
     def begin_handover(self) -> None:
-        """Note that a handover is tried."""
+        """Record that a handover is in progress."""
         self._not_before = math.inf
 
     def end_handover(self, now: float) -> None:
-        """Note that it is over; another one is tried after a pause that grows."""
+        """Record the end of a handover; the next one may start after a pause that doubles."""
         self._not_before = now + self._pause
         self._pause = min(_LONGEST_AGAIN_SECONDS, 2 * self._pause)
 
     def events(self) -> int:
-        """Return how many events of its answer have come."""
+        """Return the number of events received of the answer."""
         return self._splitter.events
 
     @property
     def tokens(self) -> int:
-        """Return the tokens in its memory."""
+        """Return the number of tokens in the memory of the run."""
         return self.request.need.prompt_tokens + self._splitter.events * self._stride
 
     @property
@@ -101,7 +105,7 @@
     def state(
         self, now: float, usual_pause: float | None, leaves_in: float | None, stalled: bool
     ) -> RunState:
-        """Return what decides whether it is moved."""
+        """Return the state by which it is decided whether the run is moved."""
         request = self.request
         events = self._splitter.events - self._first_events
         pause = usual_pause
--- a/src/lotushill/requests/parts.py
+++ b/src/lotushill/requests/parts.py
@@ -1,4 +1,4 @@
-"""What the request path works with."""
+"""Components that the request path uses."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass
 class GatewayParts:
-    """Shared by all requests of one gateway."""
+    """Components that all requests of one gateway share."""
 
     name: str
     configuration: ConfigurationView
@@ -53,9 +53,9 @@
     metrics: Metrics
     rng: random.Random
     clock: Callable[[], float]
-    """Goes on while the host is suspended."""
+    """Returns seconds; continues while the host is suspended."""
     suspension: SuspensionWatch
     view_is_fresh: Callable[[], bool]
-    """Whether the store or a peer has lately confirmed what is known."""
+    """Returns whether the store or a peer has recently confirmed the views."""
     knows_holds: Callable[[], bool]
-    """Whether it is known which requests are to reach no upstream."""
+    """Returns whether the list of quarantined requests, which reach no upstream, is known."""
--- a/src/lotushill/requests/retry_budgets.py
+++ b/src/lotushill/requests/retry_budgets.py
@@ -1,4 +1,4 @@
-"""The retry budgets of all services, as one gateway's part of them."""
+"""One gateway's share of the retry budgets of all services."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RetryBudgets:
-    """A budget a service, divided by the number of gateways."""
+    """One retry budget for each service, divided by the number of gateways."""
 
     def __init__(
         self,
@@ -21,24 +21,27 @@
         gateways: Callable[[], int],
         started: float = float("-inf"),
     ) -> None:
-        """Share with `gateways` (0 while their number is not known) since the process `started`."""
+        """Share budgets among `gateways()` gateways, 0 while their number is unknown.
+
+        `started` is the time at which the process started.
+        """
         self._started = started
         self._settings = settings
         self._gateways = gateways
         self._budgets: dict[str, RetryBudget] = {}
 
     def change(self, settings: RetrySettings) -> None:
-        """Use other settings from now on; what was counted so far stays."""
+        """Use other settings from now on; requests and retries counted so far are kept."""
         self._settings = settings
         for budget in self._budgets.values():
             budget.change(settings.ratio, settings.slack, settings.window_seconds)
 
     def note_request(self, service: str, now: float) -> None:
-        """Note a client's request for a service."""
+        """Record a client's request for a service."""
         self._of(service).note_request(now)
 
     def spend(self, service: str, now: float) -> bool:
-        """Take one repeat if there is one left."""
+        """Spend one retry if one is left; return whether it was spent."""
         return self._of(service).spend(self._gateways(), now)
 
     def _of(self, service: str) -> RetryBudget:
--- a/src/lotushill/requests/upstream_connection.py
+++ b/src/lotushill/requests/upstream_connection.py
@@ -1,8 +1,9 @@
-"""One connection to an upstream, on the HTTP parser itself.
+"""One connection to an upstream, implemented directly on the HTTP parser.
 
-A client library hides what the promises to clients stand on: whether a byte of a request was
-written, whether an answer that names no length ended cleanly, which request an answer belongs
-to, and whether bytes follow a whole answer. So this stands on the parser that `uvicorn` uses.
+The guarantees to clients depend on facts that HTTP client libraries hide: whether a byte of a
+request was written, whether an answer without a length ended cleanly, which request an answer
+belongs to, and whether bytes follow a complete answer. Therefore this module uses the parser that
+`uvicorn` uses.
 """
 
 from __future__ import annotations
@@ -26,32 +27,33 @@
 Headers = list[tuple[bytes, bytes]]
 
 _HIGH_WATER = 256 * 1024
+"""Buffered bytes at which reading from the connection is paused."""
 _UNACKNOWLEDGED_MS = 3000
-"""A connection whose data stays unacknowledged for so long is given up by the kernel."""
+"""Time without acknowledgement of sent data after which the kernel closes the connection."""
 _BODILESS = frozenset((204, 304))
 _DEFAULT_IDLE_SECONDS = 8.0
 _IDLE_MARGIN_SECONDS = 0.6
-"""An idle connection is closed so much earlier than the upstream says that it closes it."""
+"""Time by which an idle connection is closed before the upstream is due to close it."""
 
 
 @dataclass(frozen=True)
 class AnswerHead:
-    """Status and headers of an answer, with names in lower case."""
+    """Status and headers of an answer, with header names in lower case."""
 
     status: int
     headers: Headers
 
     def headers_for(self, body: bytes) -> Headers:
-        """Return the headers with the length of a body that is at hand whole."""
+        """Return the headers with the length of `body`, which is complete."""
         kept = [item for item in self.headers if item[0] != b"content-length"]
         return [*kept, (b"content-length", str(len(body)).encode())]
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """Carries one request at a time."""
+    """Connection to an upstream that carries one request at a time."""
 
     def __init__(self, answered_id: Callable[[Headers], str]) -> None:
-        """Make a protocol; `answered_id` tells which request an answer belongs to."""
+        """Create the protocol; `answered_id` returns the id of the request an answer belongs to."""
         self._answered_id = answered_id
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
@@ -70,11 +72,9 @@
         self._keep_alive = True
         self._error: BrokenAnswerError | None = None
         self.idle_seconds = _DEFAULT_IDLE_SECONDS
-        """How long the connection may rest before it must not be used again."""
+        """Seconds for which the connection may be idle and still be used again."""
         self.idle_since = 0.0
 
-    # Requests
-
     @property
     def open(self) -> bool:
         """Return whether the connection can carry a request."""
@@ -83,12 +83,12 @@
 
     @property
     def reusable(self) -> bool:
-        """Return whether the answer was whole and nothing stands against another request."""
+        """Return whether the answer was complete and the connection can carry another request."""
         written = self._transport is not None and not self._transport.get_write_buffer_size()
         return self.open and self._complete and self._keep_alive and written
 
     def send(self, request_id: str, method: bytes, data: bytes) -> None:
-        """Write one request, head and body."""
+        """Write the head and body of one request."""
         assert self._transport is not None
         self._request_id = request_id
         self._bodiless = method == b"HEAD"
@@ -106,7 +106,11 @@
         return self._head
 
     async def read(self, patience: float | None = None) -> bytes:
-        """Return what came of the body, b"" at its end; raise when it is cut off or silent."""
+        """Return received bytes of the body, b"" at its end.
+
+        Raise an UpstreamError if the body is truncated, or if nothing arrives for `patience`
+        seconds.
+        """
         while not self._chunks:
             if self._complete:
                 return b""
@@ -121,12 +125,12 @@
         return data
 
     def rest(self, now: float) -> None:
-        """Note that the connection is idle from now on."""
+        """Mark the connection as idle from `now` on."""
         self._idle = True
         self.idle_since = now
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately, without sending buffered data."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -161,19 +165,17 @@
             self._transport.abort()
         self._wake()
 
-    # The transport
-
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a new connection."""
+        """Store the transport and limit the time without acknowledgements."""
         self._transport = cast("asyncio.Transport", transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that belong to no request end the connection."""
+        """Parse received bytes; close the connection if they belong to no request."""
         if self._idle or self._complete:
-            self._break("bytes after a whole answer")
+            self._break("unexpected bytes after a complete answer")
             return
         try:
             self._parser.feed_data(data)
@@ -195,27 +197,25 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is gone."""
+        """Record the end of the connection, as an error if the answer was not complete."""
         if self._error is None and not self._complete:
             self._error = LostConnectionError(f"connection ended: {exc!r}")
         self._keep_alive = False
         self._wake()
 
-    # The parser
-
     def on_message_begin(self) -> None:
-        """Start an answer."""
+        """Start parsing an answer."""
         if self._complete:
-            # A second answer behind a whole one belongs to nobody.
+            # A second answer after a complete one belongs to no request.
             self._keep_alive = False
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Store one header of the answer."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Judge the head of an answer."""
+        """Process the head of an answer and determine how its body ends."""
         if self._complete:
             return
         status = self._parser.get_status_code()
@@ -223,7 +223,7 @@
             return
         self._skipping = self._answered_id(self._headers) != self._request_id
         if self._skipping:
-            # A surplus answer to an earlier request: the next one is ours.
+            # This is a surplus answer to an earlier request; the next one answers the current one.
             return
         named = dict(self._headers)
         chunked = b"chunked" in named.get(b"transfer-encoding", b"").lower()
@@ -237,14 +237,14 @@
             self._keep_alive = False
 
     def on_body(self, body: bytes) -> None:
-        """Collect a piece of the body."""
+        """Buffer a piece of the body."""
         if self._skipping or self._complete:
             return
         self._chunks.append(body)
         self._buffered += len(body)
 
     def on_message_complete(self) -> None:
-        """End an answer."""
+        """Finish the answer, or the surplus answer that is skipped."""
         if self._skipping:
             self._skipping = False
             return
--- a/src/lotushill/requests/upstream_gate.py
+++ b/src/lotushill/requests/upstream_gate.py
@@ -1,4 +1,4 @@
-"""The last checks before a request is written to an upstream: whether that wants any now."""
+"""Last checks before a request is written: whether its upstream accepts requests now."""
 
 from __future__ import annotations
 
@@ -22,19 +22,20 @@
 
 @dataclass(frozen=True)
 class Permit:
-    """Lets one request be written to one upstream: without it none is."""
+    """Permission to write one request to one upstream; none is written without it."""
 
     upstream_id: str
     returns: bool = False
-    """Whether a run goes back to the upstream that stopped it, which may be leaving."""
+    """Whether a run returns to the upstream that stopped it, which may be leaving."""
 
 
 class UpstreamGate:
-    """Hears what upstreams say of themselves and keeps requests from those that want none.
+    """Records what upstreams state about themselves and blocks requests to those that accept none.
 
-    Requests come to an upstream on several ways: chosen here, by a scheduler, among a few when no
-    scheduler answers, as a run that goes on from its copy, or after waiting for a connection or
-    through a suspension. Those who choose look at the same facts; this holds for all of them.
+    A request reaches an upstream in several ways: chosen by this gateway, by a scheduler, or among
+    a few upstreams when no scheduler answers; as a run that continues from its copy; or after a
+    wait for a connection or a suspension. Each placement considers the same facts, but this check
+    applies to all of these ways.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         log: EventLog,
         clock: Callable[[], float],
     ) -> None:
-        """Tell `on_leaving` of each upstream that says that it leaves."""
+        """Create the gate; `on_leaving` is called for each upstream that states that it leaves."""
         self._upstreams = upstreams
         self._rests = rests
         self._limits = limits
@@ -54,16 +55,16 @@
         self._log = log
         self._clock = clock
         self.barred = 0
-        """Sends that were kept back so far, after the upstream had been chosen."""
+        """Number of sends blocked so far after the upstream had been chosen."""
         self.unreadable = 0
-        """Wishes for rest that could not be read so far."""
+        """Number of cooldowns stated by upstreams that could not be parsed so far."""
         self.unpermitted = 0
-        """Requests for which there was no permit at the upstream that was chosen, so far."""
+        """Number of requests so far without a permit for the chosen upstream."""
         self.unreadable_limits = 0
-        """Limits that could not be read so far."""
+        """Number of limits that could not be parsed so far."""
 
     def hear(self, upstream_id: str, said: Statement, asked: float) -> None:
-        """Take in what the answer to a request that was sent at `asked` says of its upstream."""
+        """Record what the answer to a request sent at `asked` states about its upstream."""
         now = self._clock()
         if said.unreadable:
             self.unreadable += 1
@@ -83,17 +84,17 @@
             self._limits.keeper.hear(upstream_id, Word(said.limit, asked, now))
 
     def wants(self, upstream_id: str) -> bool:
-        """Return whether an upstream takes new requests of this gateway now, as far as is known."""
+        """Return whether an upstream accepts new requests of this gateway, as far as known."""
         known = self._upstreams.find(upstream_id)
         if known is None or known.draining:
             return False
         return not self._rests.bars(upstream_id, self._clock())
 
     async def admit(self, upstream: Upstream, need: Need) -> Permit | None:
-        """Return the permit for one request, None if it has to go elsewhere.
+        """Return the permit for one request, None if it has to be sent elsewhere.
 
-        Asked before a connection is opened, a run counted or a repeat spent: what is not admitted
-        has cost nothing.
+        Call this before a connection is opened, a run counted or a retry spent, so that a request
+        that is not admitted costs nothing.
         """
         if not self._limits.is_limited(upstream.id):
             return Permit(upstream.id)
@@ -103,7 +104,7 @@
         return None
 
     def pass_on(self, permit: Permit) -> bool:
-        """Return whether a request may be written now, and count it if so."""
+        """Return whether a request may be written now, and record it as sent if so."""
         if not permit.returns and not self.wants(permit.upstream_id):
             self.barred += 1
             return False
--- a/src/lotushill/requests/upstream_pool.py
+++ b/src/lotushill/requests/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams, kept for reuse while they rest."""
+"""Pool of connections to upstreams, which are kept for reuse while idle."""
 
 from __future__ import annotations
 
@@ -17,12 +17,17 @@
     from lotushill.routing.upstream import Upstream
 
 CONNECT_SECONDS = 0.35
-"""Opening takes a few milliseconds; what takes so long is cut off or overrun."""
+"""Timeout for opening a connection.
+
+Opening takes a few milliseconds; if it takes longer than this, the upstream is unreachable or
+overloaded.
+"""
 _MOST_IDLE = 32
+"""Most idle connections kept to one upstream."""
 
 
 class UpstreamPool:
-    """Opens connections when none rests, and uses the one that rested shortest first."""
+    """Reuses the most recently used idle connection, or opens one if none is idle."""
 
     def __init__(
         self,
@@ -30,16 +35,16 @@
         most_idle: Callable[[Upstream], int] = lambda _: _MOST_IDLE,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
-        """Make an empty pool; `most_idle` bounds the connections that rest at an upstream."""
+        """Create an empty pool; `most_idle` returns the most idle connections for an upstream."""
         self._answered_id = answered_id
         self._most_idle = most_idle
         self._clock = clock
         self._idle: dict[str, list[UpstreamConnection]] = {}
         self.opened = 0
-        """Connections opened so far."""
+        """Number of connections that the pool tried to open so far."""
 
     async def take(self, upstream: Upstream) -> UpstreamConnection:
-        """Return a connection that carries nothing; raise NotSentError if none can be had."""
+        """Return a connection without a request; raise NotSentError if none can be opened."""
         kept = self._idle.get(upstream.id, [])
         while kept:
             connection = kept.pop()
@@ -49,7 +54,7 @@
         return await self._open(upstream)
 
     def give_back(self, upstream: Upstream, connection: UpstreamConnection) -> None:
-        """Keep a connection whose answer was whole, or end it."""
+        """Keep a connection for reuse if its answer was complete and there is room, or close it."""
         kept = self._idle.setdefault(upstream.id, [])
         if not connection.reusable or len(kept) >= min(_MOST_IDLE, self._most_idle(upstream)):
             connection.close()
@@ -58,14 +63,14 @@
         kept.append(connection)
 
     def drop_idle(self) -> None:
-        """Close all connections that rest."""
+        """Close all idle connections."""
         for kept in self._idle.values():
             for connection in kept:
                 connection.close()
         self._idle.clear()
 
     def sweep(self, known: set[str]) -> None:
-        """Close connections that rested too long or lead to upstreams that are gone."""
+        """Close connections that were idle too long or whose upstreams are not in `known`."""
         now = self._clock()
         for upstream_id, kept in list(self._idle.items()):
             for connection in list(kept):
@@ -78,7 +83,7 @@
                 del self._idle[upstream_id]
 
     async def has_ended(self, upstream: Upstream) -> bool | None:
-        """Return whether nothing listens at an upstream's address any more, None if unknown."""
+        """Return whether an upstream's address refuses connections, None if that is unknown."""
         try:
             connection = await self._open(upstream)
         except NotSentError as error:
--- a/src/lotushill/requests/upstream_search.py
+++ b/src/lotushill/requests/upstream_search.py
@@ -1,4 +1,4 @@
-"""The search for an upstream of one request: asked until there is one or waiting is of no use."""
+"""Search for an upstream for one request, repeated until one is found or waiting is useless."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
     from lotushill.scheduling.request import Request
 
 _WAIT_SHARE = 0.2
-"""Of its target, how long a request waits here before it is refused as not run."""
+"""Fraction of its target latency for which a request waits before it is refused as not run."""
 _POLL_SECONDS = 0.03
+"""Average interval between two tries to find an upstream."""
 _LEAST_SECONDS = 0.05
-"""With less time left than this no upstream is tried."""
+"""Time left of a request below which no upstream is tried."""
 _ISOLATED_RETRY_SECONDS = 0.5
-"""What runs where a group is kept apart takes about as long."""
+"""Retry-After for isolated requests; a run at the upstream for them takes about as long."""
 
 
 class UpstreamSearch:
-    """Finds where one request goes next."""
+    """Finds the next upstream for one request."""
 
     def __init__(self, parts: GatewayParts, request: Request) -> None:
         self._parts = parts
@@ -40,20 +41,20 @@
         self._excluded: set[str] = set()
         self._put_off: set[str] = set()
         self._asked = False
-        """Whether an upstream was looked for before."""
+        """Whether a placement was requested before."""
         self._within_limit = False
-        """Whether the limit of its team has let it in; it counts once, however often it is sent."""
+        """Whether the team's limit admitted the request, which counts once for all its attempts."""
 
     def exclude(self, upstream_id: str) -> None:
-        """Look at an upstream no more: it had the request, or did not take it."""
+        """Exclude an upstream that received the request or did not accept it."""
         self._excluded.add(upstream_id)
 
     def put_off(self, upstream_id: str) -> None:
-        """Look at an upstream no more for as long as there is no permit for it."""
+        """Exclude an upstream for as long as there is no permit for it."""
         self._put_off.add(upstream_id)
 
     async def find(self) -> Placement | NoChoice:
-        """Return an upstream, or why there is none for as long as the request may wait."""
+        """Return a placement, or the refusal once the request must not wait any longer."""
         while True:
             found = await self._look()
             if isinstance(found, Placement):
@@ -67,7 +68,7 @@
             await anyio.sleep(pause)
 
     async def _look(self) -> Placement | NoChoice:
-        """Look for an upstream once."""
+        """Try once to find an upstream."""
         request, ward = self._request, self._parts.ward
         wait = ward.wait(request)
         if wait > 0:
@@ -84,7 +85,7 @@
         return found
 
     async def _limit_wait(self) -> float:
-        """Return for how long the limit of the team keeps the request back, 0 once it is let in."""
+        """Return the seconds for which the team's limit delays the request, 0 once admitted."""
         limit = self._request.route.limit
         if limit is None or self._within_limit:
             return 0.0
@@ -93,13 +94,13 @@
         return wait
 
     def _without_permit(self) -> set[str]:
-        """Return what was put off and still is, whether or not those who choose know of it."""
+        """Return the upstreams still without a permit, even if the schedulers do not know of it."""
         route, denials = self._request.need.route, self._parts.limits.denials
         now = self._clock()
         return {name for name in self._put_off if denials.bars(name, route, now)}
 
     def _pause(self, found: NoChoice) -> float | None:
-        """Return after how many seconds to look again, None to refuse now."""
+        """Return the seconds until the next try, None to refuse the request now."""
         request, now = self._request, self._clock()
         if found.refusal in (Refusal.RESTING, Refusal.LIMITED, Refusal.TEAM_LIMIT):
             pause = rest_pause(found.retry_after, now - request.arrived, request.need)
--- a/src/lotushill/requests/ward.py
+++ b/src/lotushill/requests/ward.py
@@ -1,4 +1,4 @@
-"""Where requests run that may end their upstream: at one of a service, one at a time."""
+"""Placement of requests that may make upstreams fail: at one of a service, one at a time."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class Ward:
-    """Keeps groups that are isolated at one upstream of their service, and all others from it.
+    """Restricts isolated groups to one upstream of their service, and excludes all others from it.
 
-    Whatever ends there takes nothing with it that is not suspected itself, and since nothing else
-    runs beside it, an end shows its cause. All gateways know the same groups and upstreams, and so
-    come to the same one without asking.
+    If that upstream fails, only requests that are suspected themselves are lost, and since nothing
+    runs beside such a request, the cause of the failure is evident. All gateways know the same
+    groups and upstreams, so they select the same upstream without communication.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self._clock = clock
 
     def barred(self, request: Request) -> frozenset[str]:
-        """Return the upstreams of its service that a request is to be kept from."""
+        """Return the ids of the upstreams of its service that a request must not use."""
         if self._isolation.empty:
             return _NOBODY
         now = self._clock()
@@ -47,13 +47,13 @@
         return frozenset((ward,))
 
     def wait(self, request: Request) -> float:
-        """Return for how many seconds a request is not to be tried at all."""
+        """Return for how many seconds a request must not be sent to any upstream."""
         if self._isolation.empty:
             return 0.0
         return self._isolation.wait(request.groups, self._clock())
 
     def admits(self, request: Request, choice: Choice) -> bool:
-        """Return whether a request may run beside what runs at its upstream."""
+        """Return whether a request may run beside the requests running at its upstream."""
         if self._isolation.empty or not choice.running:
             return True
         if self._ward_of(request.service.name) is None:
@@ -61,6 +61,6 @@
         return not self._isolation.isolates(request.groups, self._clock())
 
     def _ward_of(self, service: str) -> str | None:
-        """Return the upstream for those kept apart, None where there is no other one."""
+        """Return the upstream for isolated groups, None if the service has no other upstream."""
         known = [item.id for item in self._upstreams.of(service)]
         return owner(service, known) if len(known) >= _LEAST_UPSTREAMS else None
--- a/src/lotushill/requests/wire.py
+++ b/src/lotushill/requests/wire.py
@@ -1,4 +1,4 @@
-"""A request as it is written to an upstream."""
+"""Encoding of a request as HTTP bytes for an upstream."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def on_the_wire(request: Request, choice: Choice, last_event_id: str, now: float) -> bytes:
-    """Return head and body of one attempt; the stream goes on after `last_event_id`, if any."""
+    """Return head and body of one attempt.
+
+    The upstream continues the stream after `last_event_id`, if that is not empty.
+    """
     headers = request.headers
     if last_event_id:
         headers = request_head.without_last_event_id(headers)
