--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -36,7 +36,7 @@
 _HELD_RETRY_SECONDS = 30.0
 """Retry-After of quarantined requests, which would be refused again if they came back sooner."""
 _CHECK_SECONDS = 0.05
-"""Longest wait, before an interrupted request is sent on, for the check whether its upstream failed.
+"""Longest wait, before an interrupted request is sent on, for the check that its upstream failed.
 
 An address at which nothing listens any more refuses connections within a round trip.
 """
