--- a/src/lotushill/requests/attempt_end.py
+++ b/src/lotushill/requests/attempt_end.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from lotushill.availability.statement import NOTHING_SAID
+from lotushill.availability.statement import EMPTY_STATEMENT
 from lotushill.availability.statement import Statement
 
 if TYPE_CHECKING:
@@ -41,11 +41,11 @@
     detail: str = ""
     head: AnswerHead | None = None
     body: bytes = b""
-    said: Statement = NOTHING_SAID
+    statement: Statement = EMPTY_STATEMENT
     """What the headers of the answer state about the upstream."""
-    lost: bool = False
+    connection_lost: bool = False
     """Whether the connection ended after the request had been sent."""
-    begun: bool = False
+    answer_started: bool = False
     """Whether any part of the answer had arrived."""
     handover: Handover | None = None
     """Move that was in progress, through which the run may continue; None if there was none."""
--- a/src/lotushill/requests/caller_number.py
+++ b/src/lotushill/requests/caller_hash.py
@@ -5,7 +5,7 @@
 import xxhash
 
 
-def caller_number(team: str, target: bytes, body: bytes) -> int:
+def caller_hash(team: str, target: bytes, body: bytes) -> int:
     """Return a number that is the same each time a client sends the same request; never 0."""
     digest = xxhash.xxh64()
     for part in (team.encode(), target, body):
--- a/src/lotushill/requests/handover.py
+++ b/src/lotushill/requests/handover.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lotushill.requests.engine_memory import EngineMemory
+    from lotushill.requests.engine_memory_client import EngineMemoryClient
     from lotushill.routing.upstream import Upstream
 
 NO_ANSWER = "no answer"
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class HeldMemory:
+class RunMemory:
     """Memory from which a run can be continued."""
 
     upstream: Upstream
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        memory: EngineMemory,
+        memory: EngineMemoryClient,
         run: str,
         source: Upstream,
         target: Upstream,
@@ -95,13 +95,13 @@
         self._at_target = False
         self._left = False
         """Whether the memory is no longer needed: the run continued, ended or lost its client."""
-        self.parted = False
+        self.stream_ended = False
         """Whether the stream from the source has ended before its answer was complete."""
         self._settled = asyncio.Event()
-        self.paid = False
+        self.retry_spent = False
         """Whether a retry was spent for continuing the run."""
         self.phase = Phase.COPYING
-        self.why = ""
+        self.reason = ""
         """Why the handover was given up, or what failed; empty if neither."""
 
     @property
@@ -110,7 +110,7 @@
         return self._target
 
     @property
-    def stops(self) -> bool:
+    def run_stopped(self) -> bool:
         """Return whether this handover has, or may have, stopped the run."""
         return self.phase in (Phase.STOPPING, Phase.STOPPED)
 
@@ -120,14 +120,14 @@
             if await self._copy(last=False):
                 await self._stop()
         except NoAnswerError as error:
-            self.why = f"{NO_ANSWER}: {error}"
+            self.reason = f"{NO_ANSWER}: {error}"
             if self.phase is Phase.COPYING:
                 self.phase = Phase.GIVEN_UP
         finally:
             self._settled.set()
         if self._left or self.phase is Phase.GIVEN_UP:
             await self.free()
-        elif self.stops:
+        elif self.run_stopped:
             wait = _CLOSING_SECONDS if self.phase is Phase.STOPPED else _UNSURE_SECONDS
             loop = asyncio.get_running_loop()
             loop.call_later(wait, self._close_open_stream, self._events())
@@ -135,16 +135,16 @@
     def _close_open_stream(self, events: int) -> None:
         """Close the stream of a run that seems to be stopped, if its end has not arrived."""
         silent = self.phase is Phase.STOPPED or self._events() == events
-        if silent and not self._left and not self.parted:
+        if silent and not self._left and not self.stream_ended:
             self._close_stream()
 
     async def _stop(self) -> None:
-        if self._left or self.parted:
+        if self._left or self.stream_ended:
             return
         if not self._may_stop():
             self._give_up("no repeat left")
             return
-        self.paid = True
+        self.retry_spent = True
         self.phase = Phase.STOPPING
         if await self._copy(last=True):
             self.phase = Phase.STOPPED
@@ -179,36 +179,36 @@
             # The run has stopped and continues at its source from the memory kept there.
             self._handle = answer.handle or self._handle
             self._at_target = False
-            self.why = answer.reason.value
+            self.reason = answer.reason.value
             return True
         self._give_up(answer.reason.value)
         return False
 
     def _give_up(self, why: str) -> None:
         self.phase = Phase.GIVEN_UP
-        self.why = why
+        self.reason = why
 
-    def part(self) -> None:
+    def note_stream_ended(self) -> None:
         """Record that the stream from the source ended before its answer was complete."""
-        self.parted = True
+        self.stream_ended = True
 
-    async def settle(self) -> tuple[HeldMemory, ...]:
+    async def wait_for_memory(self) -> tuple[RunMemory, ...]:
         """Return the memory to continue from, best first, once the stream has ended.
 
         Wait for the calls in progress for a limited time.
         """
         try:
-            async with asyncio.timeout(_STOP_SECONDS if self.stops else _COPY_SECONDS):
+            async with asyncio.timeout(_STOP_SECONDS if self.run_stopped else _COPY_SECONDS):
                 await self._settled.wait()
         except TimeoutError:
-            self.why = self.why or "not settled"
+            self.reason = self.reason or "not settled"
         if not self._handle or self.phase is Phase.GIVEN_UP:
             return ()
-        at_source = HeldMemory(self._source, self._source, self._handle)
-        at_target = HeldMemory(self._target, self._source, self._handle)
+        at_source = RunMemory(self._source, self._source, self._handle)
+        at_target = RunMemory(self._target, self._source, self._handle)
         if not self._at_target:
             return (at_source,)
-        return (at_target, at_source) if self.stops else (at_target,)
+        return (at_target, at_source) if self.run_stopped else (at_target,)
 
     def note_used(self) -> None:
         """Record that the run was continued, so that no memory is held for it any more."""
@@ -221,7 +221,7 @@
         if handle:
             await self._memory.free(self._source.address, handle)
 
-    def leave(self) -> bool:
+    def abandon(self) -> bool:
         """Record that the run ended or its client left; return whether to free memory now."""
         self._left = True
         return self._settled.is_set() and bool(self._handle)
--- a/src/lotushill/requests/idle_connections.py
+++ b/src/lotushill/requests/idle_connections.py
@@ -13,13 +13,15 @@
 _WHOLE = 2**32
 
 
-def idle_connections(most: int, gateways: int, upstream_id: str, gateway: str) -> int:
+def idle_connection_limit(
+    max_connections: int, gateways: int, upstream_id: str, gateway: str
+) -> int:
     """Return how many idle connections this gateway may keep to an upstream.
 
     `most` is the number of connections that the upstream accepts in all. If a gateway's share is
     less than one, as many gateways as there are connections keep one each; they are selected by a
     hash that each gateway computes for itself.
     """
-    part = _IDLE_SHARE * most / max(1, gateways)
+    part = _IDLE_SHARE * max_connections / max(1, gateways)
     drawn = xxhash.xxh32_intdigest(f"{upstream_id}/{gateway}") / _WHOLE
     return int(part) if part >= 1.0 else int(drawn < part)
--- a/src/lotushill/requests/ward.py
+++ b/src/lotushill/requests/isolation_policy.py
@@ -18,7 +18,7 @@
 _NOBODY: frozenset[str] = frozenset()
 
 
-class Ward:
+class IsolationPolicy:
     """Restricts isolated groups to one upstream of their service, and excludes all others from it.
 
     If that upstream fails, only requests that are suspected themselves are lost, and since nothing
@@ -33,32 +33,32 @@
         self._upstreams = upstreams
         self._clock = clock
 
-    def barred(self, request: Request) -> frozenset[str]:
+    def excluded_upstreams(self, request: Request) -> frozenset[str]:
         """Return the ids of the upstreams of its service that a request must not use."""
-        if self._isolation.empty:
+        if self._isolation.is_empty:
             return _NOBODY
         now = self._clock()
         service = request.service.name
         ward = self._ward_of(service)
-        if ward is None or service not in self._isolation.services(now):
+        if ward is None or service not in self._isolation.isolated_services(now):
             return _NOBODY
-        if self._isolation.isolates(request.groups, now):
+        if self._isolation.is_isolated(request.groups, now):
             return frozenset(item.id for item in self._upstreams.of(service)) - {ward}
         return frozenset((ward,))
 
-    def wait(self, request: Request) -> float:
+    def retry_delay(self, request: Request) -> float:
         """Return for how many seconds a request must not be sent to any upstream."""
-        if self._isolation.empty:
+        if self._isolation.is_empty:
             return 0.0
-        return self._isolation.wait(request.groups, self._clock())
+        return self._isolation.retry_delay(request.groups, self._clock())
 
     def admits(self, request: Request, choice: Choice) -> bool:
         """Return whether a request may run beside the requests running at its upstream."""
-        if self._isolation.empty or not choice.running:
+        if self._isolation.is_empty or not choice.running:
             return True
         if self._ward_of(request.service.name) is None:
             return True
-        return not self._isolation.isolates(request.groups, self._clock())
+        return not self._isolation.is_isolated(request.groups, self._clock())
 
     def _ward_of(self, service: str) -> str | None:
         """Return the upstream for isolated groups, None if the service has no other upstream."""
--- a/src/lotushill/requests/retry_budgets.py
+++ b/src/lotushill/requests/retry_budgets.py
@@ -34,7 +34,7 @@
         """Use other settings from now on; requests and retries counted so far are kept."""
         self._settings = settings
         for budget in self._budgets.values():
-            budget.change(settings.ratio, settings.slack, settings.window_seconds)
+            budget.set_bounds(settings.ratio, settings.slack, settings.window_seconds)
 
     def note_request(self, service: str, now: float) -> None:
         """Record a client's request for a service."""
@@ -42,7 +42,7 @@
 
     def spend(self, service: str, now: float) -> bool:
         """Spend one retry if one is left; return whether it was spent."""
-        return self._of(service).spend(self._gateways(), now)
+        return self._of(service).try_spend(self._gateways(), now)
 
     def _of(self, service: str) -> RetryBudget:
         found = self._budgets.get(service)
--- a/src/lotushill/requests/upstream_connection.py
+++ b/src/lotushill/requests/upstream_connection.py
@@ -76,16 +76,16 @@
         self.idle_since = 0.0
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Return whether the connection can carry a request."""
         transport = self._transport
         return transport is not None and not transport.is_closing() and self._error is None
 
     @property
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the answer was complete and the connection can carry another request."""
         written = self._transport is not None and not self._transport.get_write_buffer_size()
-        return self.open and self._complete and self._keep_alive and written
+        return self.is_open and self._complete and self._keep_alive and written
 
     def send(self, request_id: str, method: bytes, data: bytes) -> None:
         """Write the head and body of one request."""
@@ -105,7 +105,7 @@
             await self._wait(None)
         return self._head
 
-    async def read(self, patience: float | None = None) -> bytes:
+    async def read(self, timeout_seconds: float | None = None) -> bytes:
         """Return received bytes of the body, b"" at its end.
 
         Raise an UpstreamError if the body is truncated, or if nothing arrives for `patience`
@@ -115,7 +115,7 @@
             if self._complete:
                 return b""
             self._raise_if_broken()
-            await self._wait(patience)
+            await self._wait(timeout_seconds)
         data = b"".join(self._chunks) if len(self._chunks) > 1 else self._chunks[0]
         self._chunks.clear()
         self._buffered = 0
@@ -124,7 +124,7 @@
             self._transport.resume_reading()
         return data
 
-    def rest(self, now: float) -> None:
+    def mark_idle(self, now: float) -> None:
         """Mark the connection as idle from `now` on."""
         self._idle = True
         self.idle_since = now
