--- a/src/lotushill/requests/client_application.py
+++ b/src/lotushill/requests/client_application.py
@@ -47,10 +47,10 @@
 class _TurnedAwayError(Exception):
     """A request is answered with an error status without being sent to an upstream."""
 
-    def __init__(self, status: int, retry_after: float | None = None) -> None:
+    def __init__(self, status: int, retry_after_seconds: float | None = None) -> None:
         super().__init__(status)
         self.status = status
-        self.retry_after = retry_after
+        self.retry_after_seconds = retry_after_seconds
 
 
 class _DisconnectHandler:
@@ -116,7 +116,7 @@
                 target=scope[TARGET].decode("latin-1")[:80],
                 configuration=self._parts.configuration.revision,
             )
-            await answer.send_own_answer(error.status, error.retry_after)
+            await answer.send_own_answer(error.status, error.retry_after_seconds)
             return
         await self._answer_request(scope, request, answer)
 
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -52,7 +52,7 @@
         self._answer = answer
         self._splitter = EventSplitter()
         self._clock = parts.clock
-        self._retry_after = _RETRY_AFTER_SECONDS
+        self._retry_after_seconds = _RETRY_AFTER_SECONDS
         self._unsent_count = 0
         self._rejection_count = 0
         self._search = UpstreamSearch(parts, request)
@@ -76,7 +76,7 @@
             await self._parts.suspension.settle()
             placement = await self._search.find()
             if not isinstance(placement, Placement):
-                self._retry_after = placement.retry_after
+                self._retry_after_seconds = placement.retry_after
                 return await self._give_up("no upstream", None)
             if self._clock() >= request.ends:
                 return await self.time_out()
@@ -110,7 +110,7 @@
         request = self._request
         self._parts.quarantine.note_held(request)
         self._parts.metrics.note_refused(request.service.name, request.need.tier, "quarantined")
-        self._retry_after = _HELD_RETRY_AFTER_SECONDS
+        self._retry_after_seconds = _HELD_RETRY_AFTER_SECONDS
         await self._give_up("quarantined", None)
 
     def _check_upstream(self, upstream: Upstream, end: AttemptEnd) -> asyncio.Task[None] | None:
@@ -156,14 +156,14 @@
             self._parts.shared_load.give_up(placement.placed.request)
 
     async def _attempt(self, placement: Placement, permit: Permit) -> AttemptEnd:
-        choice, number = placement.choice, placement.placed.request
+        choice, attempt_number = placement.choice, placement.placed.request
         self.upstream = choice.upstream.id
         self._note_choice(placement)
         self._parts.shared_load.start(
             placement.placed, self._request.service, announced=bool(placement.scheduler)
         )
         self.runs += 1
-        reporter = AttemptReporter(self._parts.shared_load, number, self._note_started)
+        reporter = AttemptReporter(self._parts.shared_load, attempt_number, self._note_started)
         attempt = Attempt(
             self._parts, self._request, choice, self._answer, self._splitter, reporter, permit
         )
@@ -283,7 +283,7 @@
         elif self.runs:
             await self._answer.send_own_answer(_BAD_GATEWAY)
         else:
-            await self._answer.send_own_answer(_UNAVAILABLE, self._retry_after)
+            await self._answer.send_own_answer(_UNAVAILABLE, self._retry_after_seconds)
 
     def _note(self, event: str, **fields: object) -> None:
         self._parts.log.note(event, request=self._request.demand.request_id, **fields)
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -149,11 +149,11 @@
             self._all_checked_at = now
         planned: dict[str, tuple[MovableRun, Move]] = {}
         for upstream_id, runs in self._runs.items():
-            left = self._seconds_until_shutdown(upstream_id, now)
-            if (left is None and not check_all) or self._links.is_full(upstream_id):
+            seconds_left = self._seconds_until_shutdown(upstream_id, now)
+            if (seconds_left is None and not check_all) or self._links.is_full(upstream_id):
                 continue
             for key, run in runs.items():
-                move = self._plan(run, left, now)
+                move = self._plan(run, seconds_left, now)
                 if move is not None:
                     planned[key] = (run, move)
         for key, move in sort_by_urgency((key, move) for key, (_, move) in planned.items()):
@@ -268,8 +268,8 @@
 
     def _has_room(self, request: Request, choice: Choice) -> bool:
         engine = request.service.engine
-        room = engine is not None and choice.running < engine.slots and not choice.is_full
-        return room and self._isolation_policy.admits(request, choice)
+        has_room = engine is not None and choice.running < engine.slots and not choice.is_full
+        return has_room and self._isolation_policy.admits(request, choice)
 
     def _log_move(self, run: MovableRun, move: Move, reason: str, started_at: float) -> None:
         self._metrics.note_move(move.cause.value, reason.partition(":")[0])
