--- a/src/lotushill/requests/client_application.py
+++ b/src/lotushill/requests/client_application.py
@@ -1,4 +1,4 @@
-"""The ASGI application that clients reach: checks a request and brings it to its answer."""
+"""ASGI application for clients: checks each request and has it answered."""
 
 from __future__ import annotations
 
@@ -38,56 +38,56 @@
     from lotushill.routing.table import RoutingTable
     from lotushill.routing.team import Team
 
-_BODY_SECONDS = 10.0
-_READY_POLL_SECONDS = 0.02
-_UNKNOWN_OUTPUT_SHARE = 0.5
-"""Of the most that an answer may have, what is expected when the client gives no hint."""
+_BODY_TIMEOUT_SECONDS = 10.0
+_READY_POLL_INTERVAL_SECONDS = 0.02
+_DEFAULT_OUTPUT_FRACTION = 0.5
+"""Fraction of the largest allowed output that is expected if the client gives no hint."""
 
 
 class _TurnedAwayError(Exception):
-    """A request that is answered without an upstream."""
+    """A request is answered with an error status without being sent to an upstream."""
 
-    def __init__(self, status: int, retry_after: float | None = None) -> None:
+    def __init__(self, status: int, retry_after_seconds: float | None = None) -> None:
         super().__init__(status)
         self.status = status
-        self.retry_after = retry_after
+        self.retry_after_seconds = retry_after_seconds
 
 
-class _Lost:
-    """Ends the work on a request whose client has gone, and remembers that this was why."""
+class _DisconnectHandler:
+    """Cancels the work on a request when its client disconnects, and records that it did."""
 
     def __init__(self, scope: anyio.CancelScope) -> None:
         self._scope = scope
-        self.noted = False
+        self.disconnected = False
 
-    def note(self) -> None:
-        self.noted = True
+    def on_disconnect(self) -> None:
+        self.disconnected = True
         self._scope.cancel()
 
 
 class ClientApplication:
-    """Takes in requests."""
+    """Handles the requests of clients."""
 
     def __init__(self, parts: GatewayParts) -> None:
         self._parts = parts
-        self._numbers = itertools.count()
+        self._request_numbers = itertools.count()
         self._scopes: set[anyio.CancelScope] = set()
-        """Of the requests in progress."""
+        """Cancel scopes of the requests in progress."""
         self.in_progress = 0
         self.closes_connections = False
-        """Whether connections end after their answer, since the process is stopping."""
+        """Whether connections are closed after their answer, since the process is stopping."""
         self.waiting_until_ready = 0
-        """Requests that wait until this gateway is ready."""
+        """Number of requests that wait until this gateway is ready."""
         self.accepts_requests = True
-        """False when new requests are turned away, since they could not be finished."""
+        """Whether requests are accepted; False at shutdown, when they could not be finished."""
 
     def note_suspension(self, seconds: float) -> None:
-        """Let requests in progress end when their time is up, though timers stood still so long."""
+        """Bring the deadlines of requests in progress forward by the time that timers stopped."""
         for scope in self._scopes:
             scope.deadline -= seconds
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Handle one ASGI request; other scopes are ignored."""
         if scope["type"] != "http":
             return
         self.in_progress += 1
@@ -116,41 +116,45 @@
                 target=scope[TARGET].decode("latin-1")[:80],
                 configuration=self._parts.configuration.revision,
             )
-            await answer.send_own_answer(error.status, error.retry_after)
+            await answer.send_own_answer(error.status, error.retry_after_seconds)
             return
-        await self._bring_to_answer(scope, request, answer)
+        await self._answer_request(scope, request, answer)
 
-    async def _bring_to_answer(self, scope: Scope, request: Request, answer: ClientAnswer) -> None:
+    async def _answer_request(self, scope: Scope, request: Request, answer: ClientAnswer) -> None:
         clock = self._parts.clock
         connection = cast("ClientProtocol", scope[CONNECTION])
         exchange = Exchange(self._parts, request, answer)
         self._parts.work.increment_running(request.service.name)
-        left = request.ends - clock()
-        with anyio.CancelScope(deadline=asyncio.get_running_loop().time() + left) as cancel:
-            lost = _Lost(cancel)
-            connection.on_lost = lost.note
-            self._scopes.add(cancel)
+        time_left = request.ends - clock()
+        with anyio.CancelScope(
+            deadline=asyncio.get_running_loop().time() + time_left
+        ) as cancel_scope:
+            disconnect_handler = _DisconnectHandler(cancel_scope)
+            connection.on_lost = disconnect_handler.on_disconnect
+            self._scopes.add(cancel_scope)
             try:
                 await exchange.run()
             except Exception as error:
-                # A fault of ours must not leave a client without an answer.
+                # A fault of the gateway must not leave a client without an answer.
                 exchange.outcome = f"fault:{error!r}"
                 self._parts.log.note(
                     "request.fault",
                     request=request.demand.request_id,
                     trace="".join(traceback.format_exception(error)),
                 )
-                await answer.send_own_answer(502 if exchange.runs else 503, self._retry_seconds())
-        self._scopes.discard(cancel)
+                await answer.send_own_answer(
+                    502 if exchange.runs else 503, self._retry_after_seconds()
+                )
+        self._scopes.discard(cancel_scope)
         connection.on_lost = None
-        if cancel.cancelled_caught:
-            if lost.noted:
+        if cancel_scope.cancelled_caught:
+            if disconnect_handler.disconnected:
                 exchange.outcome = "client-gone"
             else:
                 await exchange.time_out()
-        took = clock() - request.arrived
+        elapsed = clock() - request.arrived
         self._parts.work.decrement_running(request.service.name)
-        self._parts.metrics.note_request(request.service.name, exchange.outcome, took)
+        self._parts.metrics.note_request(request.service.name, exchange.outcome, elapsed)
         self._parts.log.note(
             "request.ended",
             request=request.demand.request_id,
@@ -160,32 +164,30 @@
             upstream=exchange.upstream,
             runs=exchange.runs,
             first_ms=exchange.first_ms,
-            ms=round(took * 1000, 1),
+            ms=round(elapsed * 1000, 1),
             configuration=self._parts.configuration.revision,
         )
 
-    # Checks
-
     async def _check(
         self, scope: Scope, receive: Receive, demand: Demand, arrived: float
     ) -> Request:
         await self._await_ready(demand, arrived)
         table = self._parts.configuration.table
         if table is None or not self.accepts_requests or not self._parts.knows_holds():
-            raise _TurnedAwayError(503, self._retry_seconds())
+            raise _TurnedAwayError(503, self._retry_after_seconds())
         headers = list(scope["headers"])
         if sum(len(name) + len(value) + 4 for name, value in headers) > table.limits.header_bytes:
             raise _TurnedAwayError(431)
         route = self._route(table, demand, scope)
         team = self._team(table, route, demand)
-        body = await _read(receive, table)
+        body = await _read_request_body(receive, table)
         has_body = any(name in (b"content-length", b"transfer-encoding") for name, _ in headers)
         service = table.services[route.service_for(self._parts.rng.random())]
         route = self._parts.settings.route_for(route, team, service.name)
         limit = min(demand.time_left or route.timeout, route.timeout)
         caller = caller_hash(team.name if team else "", scope[TARGET], body)
         return Request(
-            key=f"{self._parts.name}/{next(self._numbers)}",
+            key=f"{self._parts.name}/{next(self._request_numbers)}",
             demand=demand,
             method=str(scope["method"]).encode(),
             target=scope[TARGET],
@@ -203,43 +205,43 @@
         return self._parts.configuration.table is not None and self._parts.knows_holds()
 
     async def _await_ready(self, demand: Demand, arrived: float) -> None:
-        """Wait for what is missing since the start, as long as that can still help the client."""
+        """Wait until the gateway is ready after its start, while the client can still be served."""
         ends = arrived + ready_wait_seconds(demand.time_left or 0.0)
         if self._is_ready() or self.waiting_until_ready >= MAX_WAITING_REQUESTS:
             return
         self.waiting_until_ready += 1
         try:
             while self.accepts_requests and not self._is_ready() and self._parts.clock() < ends:
-                await anyio.sleep(_READY_POLL_SECONDS)
+                await anyio.sleep(_READY_POLL_INTERVAL_SECONDS)
         finally:
             self.waiting_until_ready -= 1
 
-    def _retry_seconds(self) -> float:
+    def _retry_after_seconds(self) -> float:
         return ready_retry_after_seconds(self._parts.rng.random())
 
     def _route(self, table: RoutingTable, demand: Demand, scope: Scope) -> Route:
         path = scope[TARGET].partition(b"?")[0].decode("latin-1")
         route = table.find_route(demand.host, path)
         if route is None:
-            raise self._unknown(404)
+            raise self._unknown_error(404)
         return route
 
     def _team(self, table: RoutingTable, route: Route, demand: Demand) -> Team | None:
         team = table.team(demand.api_key) if demand.api_key else None
         if team is None and table.needs_keys and not route.public:
-            raise self._unknown(401)
+            raise self._unknown_error(401)
         return team
 
-    def _unknown(self, status: int) -> _TurnedAwayError:
-        """Return what to say of an unknown route or key: it may be new while the view is old."""
+    def _unknown_error(self, status: int) -> _TurnedAwayError:
+        """Return the error for an unknown route or key; it may be new if the view is stale."""
         if not self._parts.view_is_fresh():
-            return _TurnedAwayError(503, self._retry_seconds())
+            return _TurnedAwayError(503, self._retry_after_seconds())
         return _TurnedAwayError(status)
 
 
-async def _read(receive: Receive, table: RoutingTable) -> bytes:
+async def _read_request_body(receive: Receive, table: RoutingTable) -> bytes:
     try:
-        return await read_body(receive, table.limits.body_bytes, _BODY_SECONDS)
+        return await read_body(receive, table.limits.body_bytes, _BODY_TIMEOUT_SECONDS)
     except BodyTooLargeError as error:
         raise _TurnedAwayError(413) from error
     except SlowSenderError as error:
@@ -249,7 +251,7 @@
 def _need(
     route: Route, demand: Demand, service: str, limit: float, team: Team | None, caller: int
 ) -> Need:
-    expected = demand.output_hint or int(demand.output_limit * _UNKNOWN_OUTPUT_SHARE)
+    expected = demand.output_hint or int(demand.output_limit * _DEFAULT_OUTPUT_FRACTION)
     return Need(
         service=service,
         route=route.name,
--- a/src/lotushill/requests/engine_memory_client.py
+++ b/src/lotushill/requests/engine_memory_client.py
@@ -1,4 +1,7 @@
-"""Moves the memory of runs between engines, over connections beside those of requests."""
+"""Client for moving the memory of runs between engines.
+
+The calls use connections of their own, separate from those of requests.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,14 @@
     from lotushill.moves.memory_copy import Copied
     from lotushill.moves.memory_copy import NotCopied
 
-_CONNECT_SECONDS = 0.35
-_MOST_CONNECTIONS = 4
-_KEPT_SECONDS = 1.0
-_FREE_SECONDS = 0.5
+_CONNECT_TIMEOUT_SECONDS = 0.35
+_MAX_CONNECTIONS = 4
+_KEEP_ALIVE_SECONDS = 1.0
+_FREE_TIMEOUT_SECONDS = 0.5
 
 
 class EngineMemoryClient:
-    """Client of the memory calls of all engines, by their addresses (IP:PORT)."""
+    """Calls the memory interface of engines, which are identified by their addresses (IP:PORT)."""
 
     def __init__(self) -> None:
         self._clients: dict[str, JsonClient] = {}
@@ -27,9 +30,10 @@
     async def copy(
         self, source: str, run: str, target: str, last: bool, timeout_seconds: float
     ) -> Copied | NotCopied:
-        """Copy what a run at `source` holds to `target`, after stopping it where it is `last`.
+        """Copy the memory of a run from `source` to `target`; stop the run first if `last`.
 
-        Raise NoAnswerError without an answer within `patience` seconds: it may have been done.
+        Raise NoAnswerError if no answer arrives within `timeout_seconds`; the copy may have been
+        made nevertheless.
         """
         content = memory_calls.move_content(run, target, last)
         client = self._client(source)
@@ -37,23 +41,26 @@
         return memory_calls.read_move(answer)
 
     async def free(self, source: str, handle: str) -> None:
-        """Free what is held under a handle at both ends; unheard, it is freed when it is old."""
+        """Free the memory held under a handle at both engines.
+
+        If the call fails, the engines free the memory when it expires.
+        """
         try:
             await self._client(source).call(
-                "DELETE", memory_calls.FREE_PATH + handle, patience=_FREE_SECONDS
+                "DELETE", memory_calls.FREE_PATH + handle, patience=_FREE_TIMEOUT_SECONDS
             )
         except NoAnswerError:
             return
 
     def forget(self, known: set[str]) -> None:
-        """Drop the clients of addresses at which no engine is known."""
+        """Drop the clients of all addresses that are not in `known`."""
         for address in self._clients.keys() - known:
             del self._clients[address]
 
     def _client(self, address: str) -> JsonClient:
-        found = self._clients.get(address)
-        if found is None:
-            found = self._clients[address] = JsonClient(
-                address, _MOST_CONNECTIONS, _KEPT_SECONDS, _CONNECT_SECONDS
+        client = self._clients.get(address)
+        if client is None:
+            client = self._clients[address] = JsonClient(
+                address, _MAX_CONNECTIONS, _KEEP_ALIVE_SECONDS, _CONNECT_TIMEOUT_SECONDS
             )
-        return found
+        return client
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -1,4 +1,4 @@
-"""The life of one request: choose an upstream, run, and again where that is allowed."""
+"""Processing of one request: chooses an upstream, sends the request, and retries if allowed."""
 
 from __future__ import annotations
 
@@ -24,22 +24,27 @@
     from lotushill.routing.upstream import Upstream
     from lotushill.scheduling.request import Request
 
-_RAN_NOTHING = (EndKind.NOT_SENT, EndKind.BARRED, EndKind.REJECTED)
+_NOT_RUN = (EndKind.NOT_SENT, EndKind.BARRED, EndKind.REJECTED)
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
 _TIMED_OUT = 504
-_MOST_UNSENT = 4
-_MOST_REJECTED = 3
-_RETRY_SECONDS = 0.5
-_HELD_RETRY_SECONDS = 30.0
-"""Coming back sooner does not help a request that is held."""
-_CHECK_SECONDS = 0.05
-"""A request that was cut waits so long, before it is sent on, to hear whether its upstream ended:
-an address that nothing listens at any more refuses within a round trip."""
+_MAX_UNSENT_ATTEMPTS = 4
+"""Number of unsent attempts at which a request is given up."""
+_MAX_REJECTIONS = 3
+"""Number of rejections at which a request is given up."""
+_RETRY_AFTER_SECONDS = 0.5
+_HELD_RETRY_AFTER_SECONDS = 30.0
+"""Retry-After of quarantined requests, which would be refused again if they came back sooner."""
+_FAILURE_CHECK_TIMEOUT_SECONDS = 0.05
+"""Longest wait for the check whether the upstream of an interrupted request has failed.
+
+The request is sent on only after that. An address at which nothing listens any more refuses
+connections within a round trip.
+"""
 
 
 class Exchange:
-    """Brings one request to its answer."""
+    """Sends one request to upstreams until the client has an answer."""
 
     def __init__(self, parts: GatewayParts, request: Request, answer: ClientAnswer) -> None:
         self._parts = parts
@@ -47,102 +52,100 @@
         self._answer = answer
         self._splitter = EventSplitter()
         self._clock = parts.clock
-        self._retry_after = _RETRY_SECONDS
-        self._unsent = 0
-        self._rejected = 0
+        self._retry_after_seconds = _RETRY_AFTER_SECONDS
+        self._unsent_count = 0
+        self._rejection_count = 0
         self._search = UpstreamSearch(parts, request)
         self._continuation = Continuation(parts, request, self._splitter, self._attempt)
-        self._counted = False
-        """Whether the request was counted as begun."""
+        self._start_counted = False
+        """Whether the request was counted as started."""
         self.runs = 0
-        """Upstreams that may have run the request."""
+        """Number of attempts that may have run the request."""
         self.outcome = "open"
         self.upstream = ""
         self.first_ms = 0.0
-        """Milliseconds from sending to the first event of the last attempt; below 0 for none."""
+        """Milliseconds from sending to first event in the last attempt; negative if none came."""
 
     async def run(self) -> None:
-        """Try upstreams until there is an answer."""
+        """Try upstreams until the request is answered or given up."""
         request = self._request
         self._parts.budgets.note_request(request.service.name, self._clock())
         while True:
             if self._parts.quarantine.holds(request):
-                return await self._keep_back()
+                return await self._refuse_held()
             await self._parts.suspension.settle()
             placement = await self._search.find()
             if not isinstance(placement, Placement):
-                self._retry_after = placement.retry_after
+                self._retry_after_seconds = placement.retry_after
                 return await self._give_up("no upstream", None)
             if self._clock() >= request.ends:
                 return await self.time_out()
             choice = placement.choice
             permit = await self._parts.gate.admit(choice.upstream, request.need)
             if permit is None:
-                self._put_off(placement)
+                self._defer(placement)
                 continue
             end = await self._attempt(placement, permit)
             check = self._check_upstream(choice.upstream, end)
-            end = await self._go_on(choice, end, check)
+            end = await self._continue_run(choice, end, check)
             if end.kind is EndKind.WHOLE:
                 self.outcome = "whole"
                 self._parts.quarantine.note_whole(request)
                 return None
-            if not await self._may_repeat(end, check):
+            if not await self._may_retry(end, check):
                 return await self._give_up(end.detail, end)
             self._search.exclude(choice.upstream.id)
             self._splitter.drop_partial()
 
     async def time_out(self) -> None:
-        """Answer a request whose time is up."""
+        """Answer a request whose deadline has passed."""
         self.outcome = "timed-out"
         if self.runs:
             await self._answer.send_own_answer(_TIMED_OUT)
         else:
-            await self._answer.send_own_answer(_UNAVAILABLE, _RETRY_SECONDS)
+            await self._answer.send_own_answer(_UNAVAILABLE, _RETRY_AFTER_SECONDS)
 
-    async def _keep_back(self) -> None:
-        """Answer a request under which upstreams end, without sending it to one more."""
+    async def _refuse_held(self) -> None:
+        """Refuse a quarantined request, under which upstreams failed, without sending it on."""
         request = self._request
         self._parts.quarantine.note_held(request)
         self._parts.metrics.note_refused(request.service.name, request.need.tier, "quarantined")
-        self._retry_after = _HELD_RETRY_SECONDS
+        self._retry_after_seconds = _HELD_RETRY_AFTER_SECONDS
         await self._give_up("quarantined", None)
 
-    # Upstreams
-
     def _check_upstream(self, upstream: Upstream, end: AttemptEnd) -> asyncio.Task[None] | None:
-        """Find out whether the upstream ended under the request, where its connection did."""
+        """Start a check whether the upstream itself failed, if its connection was lost."""
         if not end.connection_lost:
             return None
         begun = end.answer_started or self._splitter.event_count > 0
         return self._parts.quarantine.note_cut(self._request, upstream, begun)
 
-    async def _may_go_on(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
-        """Return whether a cut request may reach a further upstream, as far as is known now.
+    async def _may_continue(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
+        """Return whether an interrupted request may be sent to another upstream.
 
-        One that ended this upstream would end the next one as well.
+        A request that made this upstream fail would make the next one fail as well.
         """
         if end.kind is not EndKind.BROKEN:
             return False
         if check is not None:
-            await asyncio.wait((check,), timeout=_CHECK_SECONDS)
+            await asyncio.wait((check,), timeout=_FAILURE_CHECK_TIMEOUT_SECONDS)
         return self._parts.quarantine.may_be_sent_on(self._request)
 
-    async def _go_on(
+    async def _continue_run(
         self, choice: Choice, end: AttemptEnd, check: asyncio.Task[None] | None
     ) -> AttemptEnd:
-        """Go on with a run that was moved, or cut, from a copy of its memory."""
+        """Continue a moved or interrupted run from a copy of its memory."""
         while end.handover is not None:
-            if end.kind is EndKind.BROKEN and not await self._may_go_on(end, check):
+            if end.kind is EndKind.BROKEN and not await self._may_continue(end, check):
                 self._parts.mover.release_handover(end.handover)
                 return replace(end, handover=None)
             end = await self._continuation.continue_from_handover(end.handover, end)
-        if choice.backup is not None and await self._may_go_on(end, check):
+        if choice.backup is not None and await self._may_continue(end, check):
             end = await self._continuation.continue_from_backup(choice.backup, end)
         return end
 
-    def _put_off(self, placement: Placement) -> None:
-        """Look for another upstream, as there is no permit for this one now."""
+    def _defer(self, placement: Placement) -> None:
+        """Exclude an upstream for which there is no permit at present from the search."""
         upstream = placement.choice.upstream
         self._search.defer(upstream.id)
         rate = self._parts.limits.stated.rate(upstream.id)
@@ -153,34 +156,34 @@
             self._parts.shared_load.give_up(placement.placed.request)
 
     async def _attempt(self, placement: Placement, permit: Permit) -> AttemptEnd:
-        choice, number = placement.choice, placement.placed.request
+        choice, attempt_number = placement.choice, placement.placed.request
         self.upstream = choice.upstream.id
         self._note_choice(placement)
         self._parts.shared_load.start(
             placement.placed, self._request.service, announced=bool(placement.scheduler)
         )
         self.runs += 1
-        news = AttemptReporter(self._parts.shared_load, number, self._note_ran)
+        reporter = AttemptReporter(self._parts.shared_load, attempt_number, self._note_started)
         attempt = Attempt(
-            self._parts, self._request, choice, self._answer, self._splitter, news, permit
+            self._parts, self._request, choice, self._answer, self._splitter, reporter, permit
         )
         kind = None
         try:
             end = await attempt.run()
             kind = end.kind
         except Exception:
-            # A fault of ours counts against the upstream it shows at: as an idle one that fails
-            # at once it would draw all requests.
+            # A fault of the gateway counts against the upstream at which it occurs. Otherwise that
+            # upstream, failing at once and always idle, would attract all requests.
             kind = EndKind.BROKEN
             raise
         finally:
-            ran = self._clock() - attempt.sent_at if attempt.sent_at else 0.0
-            news.report_end(kind, ran)
+            run_seconds = self._clock() - attempt.sent_at if attempt.sent_at else 0.0
+            reporter.report_end(kind, run_seconds)
             self.first_ms = round((attempt.first_event_at - attempt.sent_at) * 1000, 1)
         self._parts.metrics.note_attempt(
             self._request.service.name, self._request.need.tier, end.kind.value
         )
-        if end.kind in _RAN_NOTHING:
+        if end.kind in _NOT_RUN:
             self.runs -= 1
         if end.kind is not EndKind.WHOLE:
             self._note(
@@ -197,12 +200,15 @@
         return end
 
     def _identity(self, end: AttemptEnd) -> str:
-        """Return what tells that another arrival of a cut request is the same, else nothing."""
+        """Return the identity by which a broken request is recognized when it arrives again.
+
+        Return an empty text for attempts that ended otherwise.
+        """
         return self._request.identity.hex() if end.kind is EndKind.BROKEN else ""
 
-    def _note_ran(self) -> None:
-        if not self._counted:
-            self._counted = True
+    def _note_started(self) -> None:
+        if not self._start_counted:
+            self._start_counted = True
             self._parts.work.record_start(self._request.team)
 
     def _note_choice(self, placement: Placement) -> None:
@@ -238,36 +244,37 @@
         )
 
     def _pause_bound_ms(self) -> float | None:
-        """Return by how much a reading lengthens a pause at most, None while not known."""
+        """Return the most by which a prefill extends a pause, in ms; None if unknown."""
         pauses = self._parts.fleet.pace(self._request.service.name).pauses
         return round(pauses.bound * 1000, 1) if pauses.bound_known else None
 
-    # Repeats
-
-    async def _may_repeat(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
+    async def _may_retry(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
         now = self._clock()
         service = self._request.service.name
         if end.kind is EndKind.BARRED:
             return True
         if end.kind is EndKind.NOT_SENT:
-            self._unsent += 1
-            return self._unsent < _MOST_UNSENT
+            self._unsent_count += 1
+            return self._unsent_count < _MAX_UNSENT_ATTEMPTS
         if end.kind is EndKind.REJECTED:
-            self._rejected += 1
-            return self._rejected < _MOST_REJECTED and self._parts.budgets.spend(service, now)
+            self._rejection_count += 1
+            return self._rejection_count < _MAX_REJECTIONS and self._parts.budgets.try_spend(
+                service, now
+            )
         route = self._request.route
         if not route.repeatable or self.runs >= route.max_attempts:
             return False
         if self._answer.started and not self._splitter.event_count:
             return False
-        if end.kind is EndKind.BROKEN and not await self._may_go_on(end, check):
+        if end.kind is EndKind.BROKEN and not await self._may_continue(end, check):
             return False
-        return self._parts.budgets.spend(service, self._clock())
+        return self._parts.budgets.try_spend(service, self._clock())
 
     async def _give_up(self, why: str, end: AttemptEnd | None) -> None:
         self.outcome = f"given-up:{why}"
         if self._answer.started:
-            # What the client has is visibly cut off: the connection ends without its end.
+            # The connection closes before the end of the answer, so the client sees that it is
+            # truncated.
             return
         if end is not None and end.kind is EndKind.FAILED and end.head is not None:
             self.outcome = f"failed:{end.detail}"
@@ -276,7 +283,7 @@
         elif self.runs:
             await self._answer.send_own_answer(_BAD_GATEWAY)
         else:
-            await self._answer.send_own_answer(_UNAVAILABLE, self._retry_after)
+            await self._answer.send_own_answer(_UNAVAILABLE, self._retry_after_seconds)
 
     def _note(self, event: str, **fields: object) -> None:
         self._parts.log.note(event, request=self._request.demand.request_id, **fields)
--- a/src/lotushill/requests/handover.py
+++ b/src/lotushill/requests/handover.py
@@ -1,7 +1,8 @@
-"""One run handed over to another upstream with its memory, while its stream goes on.
+"""Handover of one run, with its memory, to another upstream while its stream continues.
 
-The memory is copied while the run goes on, so that a target without room costs nothing; then the
-run is stopped, what is new is copied, and whoever holds the stream sends the request to the target.
+The memory is copied while the run goes on, so that a target without room costs nothing. Then the
+run is stopped, the rest of its memory is copied, and the request is sent to the target by the code
+that relays the stream.
 """
 
 from __future__ import annotations
@@ -23,47 +24,48 @@
     from lotushill.routing.upstream import Upstream
 
 NO_ANSWER = "no answer"
-_MOST_CALLS = 4
-_BUSY_SECONDS = 0.03
-"""Until a call is made again while another one for the run is under way."""
-_ANSWER_SECONDS = 0.4
-"""Beyond twice what the copy takes, behind another one, before a call is taken for unanswered."""
-_CLOSING_SECONDS = 0.1
-"""A stream that was stopped is closed by its upstream within so long, or else from here."""
-_UNSURE_SECONDS = 0.5
-"""One that may have been stopped, where nothing comes for so long."""
-_STOP_SECONDS = 1.0
-"""A stream that was stopped waits so long for the answer of the call that stopped it."""
-_COPY_SECONDS = 0.2
-"""One that was cut waits so long for the copy: its source has ended, and calls to it as well."""
+_MAX_CALLS = 4
+"""Most calls for one step of a handover."""
+_BUSY_RETRY_INTERVAL_SECONDS = 0.03
+"""Interval between calls while another call for the run is in progress."""
+_CALL_TIMEOUT_MARGIN_SECONDS = 0.4
+"""Added to twice the time of the copy, which may wait behind another one, as timeout of a call."""
+_CLOSE_TIMEOUT_SECONDS = 0.1
+"""Time for the source to close the stream of a stopped run before this gateway closes it."""
+_SILENCE_TIMEOUT_SECONDS = 0.5
+"""Time without events after which the stream of a run that may have been stopped is closed."""
+_STOP_TIMEOUT_SECONDS = 1.0
+"""Longest wait, after the end of a stopped stream, for the answer of the call that stopped it."""
+_COPY_TIMEOUT_SECONDS = 0.2
+"""Longest wait for the copy after an interruption: the source and its calls have ended as well."""
 
 
 class Phase(Enum):
-    """How far a handover is."""
+    """Progress of a handover."""
 
     COPYING = "copying"
-    """The run goes on at its source."""
+    """The run continues at its source while its memory is copied."""
     STOPPING = "stopping"
-    """The source was asked to stop the run, and may have."""
+    """The source was told to stop the run and may have done so."""
     STOPPED = "stopped"
-    """The run goes on wherever its handle is shown."""
+    """The run can be continued at any upstream that holds memory under its handle."""
     GIVEN_UP = "given up"
-    """The run goes on at its source."""
+    """The handover failed before the run was stopped; the run continues at its source."""
 
 
 @dataclass(frozen=True)
 class RunMemory:
-    """What a run goes on from."""
+    """Memory from which a run can be continued."""
 
     upstream: Upstream
-    """Where it is held."""
+    """Upstream that holds the memory."""
     source: Upstream
-    """Which one gave the handle."""
+    """Upstream that issued the handle."""
     handle: str
 
 
 class Handover:
-    """Steps of one move; outlives the request that it is for, to free what it holds."""
+    """Steps of one move; may outlive its request, in order to free the memory held for it."""
 
     def __init__(
         self,
@@ -71,49 +73,49 @@
         run: str,
         source: Upstream,
         target: Upstream,
-        copying: float,
+        copy_seconds: float,
         may_stop: Callable[[], bool],
         close_stream: Callable[[], None],
-        events: Callable[[], int],
+        event_count: Callable[[], int],
     ) -> None:
-        """Move the run with the id `run`; its copy takes `copying` seconds.
+        """Move the run with the id `run`, whose copy is expected to take `copy_seconds`.
 
-        `may_stop` is asked once, right before the run is stopped; `close_stream` ends the
-        connection to the source, from which `events` have come.
+        `may_stop` is called once, right before the run is stopped; `close_stream` closes the
+        connection to the source; `event_count` returns the number of events received from it.
         """
         self._memory = memory
         self._run = run
         self._source = source
         self._target = target
-        self._patience = 2 * copying + _ANSWER_SECONDS
+        self._call_timeout_seconds = 2 * copy_seconds + _CALL_TIMEOUT_MARGIN_SECONDS
         self._may_stop = may_stop
         self._close_stream = close_stream
-        self._events = events
+        self._event_count = event_count
         self._handle = ""
-        self._at_target = False
-        self._left = False
-        """Whether nobody is left for whom the run could go on."""
+        self._is_at_target = False
+        self._is_finished = False
+        """Whether the memory is no longer needed: the run continued, ended or lost its client."""
         self.stream_ended = False
-        """Whether the stream from the source has ended."""
-        self._settled = asyncio.Event()
+        """Whether the stream from the source has ended before its answer was complete."""
+        self._calls_done = asyncio.Event()
         self.retry_spent = False
-        """Whether a repeat was spent for the run to go on."""
+        """Whether a retry was spent for continuing the run."""
         self.phase = Phase.COPYING
         self.reason = ""
-        """Why it was given up, or what went wrong."""
+        """Why the handover was given up, or what failed; empty if neither."""
 
     @property
     def target(self) -> Upstream:
-        """Return where the run is to go."""
+        """Return the upstream to which the run is moved."""
         return self._target
 
     @property
     def run_stopped(self) -> bool:
-        """Return whether the run was stopped by this, as far as is known."""
+        """Return whether this handover has, or may have, stopped the run."""
         return self.phase in (Phase.STOPPING, Phase.STOPPED)
 
     async def run(self) -> None:
-        """Make the calls, and free what nobody goes on from."""
+        """Make the calls, and free the memory if the run is not continued from it."""
         try:
             if await self._copy(last=False):
                 await self._stop()
@@ -122,22 +124,24 @@
             if self.phase is Phase.COPYING:
                 self.phase = Phase.GIVEN_UP
         finally:
-            self._settled.set()
-        if self._left or self.phase is Phase.GIVEN_UP:
+            self._calls_done.set()
+        if self._is_finished or self.phase is Phase.GIVEN_UP:
             await self.free()
         elif self.run_stopped:
-            wait = _CLOSING_SECONDS if self.phase is Phase.STOPPED else _UNSURE_SECONDS
+            delay = (
+                _CLOSE_TIMEOUT_SECONDS if self.phase is Phase.STOPPED else _SILENCE_TIMEOUT_SECONDS
+            )
             loop = asyncio.get_running_loop()
-            loop.call_later(wait, self._close_open_stream, self._events())
+            loop.call_later(delay, self._close_open_stream, self._event_count())
 
-    def _close_open_stream(self, events: int) -> None:
-        """End a stream that was stopped, as far as is known, and whose end has not come."""
-        silent = self.phase is Phase.STOPPED or self._events() == events
-        if silent and not self._left and not self.stream_ended:
+    def _close_open_stream(self, event_count: int) -> None:
+        """Close the stream of a run that seems to be stopped, if its end has not arrived."""
+        is_silent = self.phase is Phase.STOPPED or self._event_count() == event_count
+        if is_silent and not self._is_finished and not self.stream_ended:
             self._close_stream()
 
     async def _stop(self) -> None:
-        if self._left or self.stream_ended:
+        if self._is_finished or self.stream_ended:
             return
         if not self._may_stop():
             self._give_up("no repeat left")
@@ -148,68 +152,71 @@
             self.phase = Phase.STOPPED
 
     async def _copy(self, last: bool) -> bool:
-        """Return whether the next step can be taken."""
-        for number in range(_MOST_CALLS):
+        """Copy the memory; return whether the next step can be taken."""
+        for attempt in range(_MAX_CALLS):
             try:
                 answer = await self._call(last)
             except NoAnswerError:
-                # Asked again, the source tells the handle of what it may have copied.
-                if last or number:
+                # On a repeated call the source returns the handle of what it may have copied.
+                if last or attempt:
                     raise
                 continue
             if isinstance(answer, Copied):
                 self._handle = answer.handle
-                self._at_target = True
+                self._is_at_target = True
                 return True
             if answer.reason is not NoCopyReason.BUSY:
                 return self._note_refusal(answer, last)
-            await asyncio.sleep(_BUSY_SECONDS)
+            await asyncio.sleep(_BUSY_RETRY_INTERVAL_SECONDS)
         self._give_up(NoCopyReason.BUSY.value)
         return False
 
     async def _call(self, last: bool) -> Copied | NotCopied:
         return await self._memory.copy(
-            self._source.address, self._run, self._target.address, last, self._patience
+            self._source.address, self._run, self._target.address, last, self._call_timeout_seconds
         )
 
     def _note_refusal(self, answer: NotCopied, last: bool) -> bool:
         if last and answer.reason is NoCopyReason.NO_ROOM:
-            # It has stopped, and goes on at its source from what is kept there.
+            # The run has stopped and continues at its source from the memory kept there.
             self._handle = answer.handle or self._handle
-            self._at_target = False
+            self._is_at_target = False
             self.reason = answer.reason.value
             return True
         self._give_up(answer.reason.value)
         return False
 
-    def _give_up(self, why: str) -> None:
+    def _give_up(self, reason: str) -> None:
         self.phase = Phase.GIVEN_UP
-        self.reason = why
-
-    # For whoever holds the stream
+        self.reason = reason
 
     def note_stream_ended(self) -> None:
-        """Note that the stream from the source has ended before its answer was whole."""
+        """Record that the stream from the source ended before its answer was complete."""
         self.stream_ended = True
 
     async def wait_for_memory(self) -> tuple[RunMemory, ...]:
-        """Return from what the run can go on, the best first, once its stream has ended."""
+        """Return the memory to continue from, best first, once the stream has ended.
+
+        Wait for the calls in progress for a limited time.
+        """
         try:
-            async with asyncio.timeout(_STOP_SECONDS if self.run_stopped else _COPY_SECONDS):
-                await self._settled.wait()
+            async with asyncio.timeout(
+                _STOP_TIMEOUT_SECONDS if self.run_stopped else _COPY_TIMEOUT_SECONDS
+            ):
+                await self._calls_done.wait()
         except TimeoutError:
             self.reason = self.reason or "not settled"
         if not self._handle or self.phase is Phase.GIVEN_UP:
             return ()
         at_source = RunMemory(self._source, self._source, self._handle)
         at_target = RunMemory(self._target, self._source, self._handle)
-        if not self._at_target:
+        if not self._is_at_target:
             return (at_source,)
         return (at_target, at_source) if self.run_stopped else (at_target,)
 
     def note_used(self) -> None:
-        """Note that the run has gone on, so that nothing is held for it any longer."""
-        self._left = True
+        """Record that the run was continued, so that no memory is held for it any more."""
+        self._is_finished = True
         self._handle = ""
 
     async def free(self) -> None:
@@ -219,6 +226,6 @@
             await self._memory.free(self._source.address, handle)
 
     def abandon(self) -> bool:
-        """Note that the run has ended or its client has left; return whether to free at once."""
-        self._left = True
-        return self._settled.is_set() and bool(self._handle)
+        """Record that the run ended or its client left; return whether to free memory now."""
+        self._is_finished = True
+        return self._calls_done.is_set() and bool(self._handle)
--- a/src/lotushill/requests/isolation_policy.py
+++ b/src/lotushill/requests/isolation_policy.py
@@ -1,4 +1,4 @@
-"""Where requests run that may end their upstream: at one of a service, one at a time."""
+"""Placement of requests that may make upstreams fail: at one of a service, one at a time."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     from lotushill.scheduling.request import Request
     from lotushill.views.upstream_view import UpstreamView
 
-_LEAST_UPSTREAMS = 2
-_NOBODY: frozenset[str] = frozenset()
+_MIN_UPSTREAMS = 2
+_NO_UPSTREAMS: frozenset[str] = frozenset()
 
 
 class IsolationPolicy:
-    """Keeps groups that are isolated at one upstream of their service, and all others from it.
+    """Restricts isolated groups to one upstream of their service, and excludes all others from it.
 
-    Whatever ends there takes nothing with it that is not suspected itself, and since nothing else
-    runs beside it, an end shows its cause. All gateways know the same groups and upstreams, and so
-    come to the same one without asking.
+    If that upstream fails, only requests that are suspected themselves are lost, and since nothing
+    runs beside such a request, the cause of the failure is evident. All gateways know the same
+    groups and upstreams, so they select the same upstream without communication.
     """
 
     def __init__(
@@ -34,33 +34,33 @@
         self._clock = clock
 
     def excluded_upstreams(self, request: Request) -> frozenset[str]:
-        """Return the upstreams of its service that a request is to be kept from."""
+        """Return the ids of the upstreams of its service that a request must not use."""
         if self._isolation.is_empty:
-            return _NOBODY
+            return _NO_UPSTREAMS
         now = self._clock()
         service = request.service.name
-        ward = self._ward_of(service)
-        if ward is None or service not in self._isolation.isolated_services(now):
-            return _NOBODY
+        isolated_upstream = self._isolated_upstream(service)
+        if isolated_upstream is None or service not in self._isolation.isolated_services(now):
+            return _NO_UPSTREAMS
         if self._isolation.is_isolated(request.groups, now):
-            return frozenset(item.id for item in self._upstreams.of(service)) - {ward}
-        return frozenset((ward,))
+            return frozenset(item.id for item in self._upstreams.of(service)) - {isolated_upstream}
+        return frozenset((isolated_upstream,))
 
     def retry_delay(self, request: Request) -> float:
-        """Return for how many seconds a request is not to be tried at all."""
+        """Return for how many seconds a request must not be sent to any upstream."""
         if self._isolation.is_empty:
             return 0.0
         return self._isolation.retry_delay(request.groups, self._clock())
 
     def admits(self, request: Request, choice: Choice) -> bool:
-        """Return whether a request may run beside what runs at its upstream."""
+        """Return whether a request may run beside the requests running at its upstream."""
         if self._isolation.is_empty or not choice.running:
             return True
-        if self._ward_of(request.service.name) is None:
+        if self._isolated_upstream(request.service.name) is None:
             return True
         return not self._isolation.is_isolated(request.groups, self._clock())
 
-    def _ward_of(self, service: str) -> str | None:
-        """Return the upstream for those kept apart, None where there is no other one."""
-        known = [item.id for item in self._upstreams.of(service)]
-        return owner(service, known) if len(known) >= _LEAST_UPSTREAMS else None
+    def _isolated_upstream(self, service: str) -> str | None:
+        """Return the upstream for isolated groups, None if the service has no other upstream."""
+        upstream_ids = [item.id for item in self._upstreams.of(service)]
+        return owner(service, upstream_ids) if len(upstream_ids) >= _MIN_UPSTREAMS else None
--- a/src/lotushill/requests/movable_run.py
+++ b/src/lotushill/requests/movable_run.py
@@ -1,4 +1,4 @@
-"""A run whose stream this gateway holds, as far as moving it needs to know."""
+"""State of a run whose stream this gateway relays, as needed for moving it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
     from lotushill.routing.upstream import Upstream
     from lotushill.scheduling.request import Request
 
-_FIRST_AGAIN_SECONDS = 0.2
-"""After a handover that came to nothing, within the shortest notice of an upstream."""
-_LONGEST_AGAIN_SECONDS = 1.6
-_LEAST_EVENTS = 8
-"""Below it the pauses of the run itself say nothing of its pace."""
+_FIRST_RETRY_PAUSE_SECONDS = 0.2
+"""Pause after the first failed handover; shorter than the shortest notice of an upstream."""
+_MAX_RETRY_PAUSE_SECONDS = 1.6
+"""Longest pause between two handovers of a run."""
+_MIN_EVENTS_FOR_PACE = 8
+"""Number of events below which the pauses of the run itself do not indicate its pace."""
 
 
 class MovableRun:
@@ -30,93 +31,96 @@
         request: Request,
         upstream: Upstream,
         splitter: EventSplitter,
-        copied: bool,
+        has_backup: bool,
         close_stream: Callable[[], None],
         now: float,
     ) -> None:
-        """Follow a run since its first event; `close_stream` ends its connection.
+        """Track a run from its first event; `close_stream` closes its connection.
 
-        `copied` says that a copy of its memory grows elsewhere.
+        `has_backup` states that its memory is being copied to another upstream while it runs.
         """
         self.request = request
         self.upstream = upstream
         self.close_stream = close_stream
-        self._copied = copied
-        self._pause = _FIRST_AGAIN_SECONDS
+        self._has_backup = has_backup
+        self._retry_pause = _FIRST_RETRY_PAUSE_SECONDS
         self.handover: Handover | None = None
-        """The latest one."""
+        """Latest handover of the run, None if there was none."""
         self.ended = False
-        """Whether its stream has ended, in whatever way."""
+        """Whether the stream of the run has ended, in any way."""
         self._splitter = splitter
         self._first_events = splitter.event_count
         self._first_at = now
         self._last_at = now
-        self._waits_since = math.inf
-        self._not_before = now
+        self._delivered_at = math.inf
+        self._next_handover_at = now
 
     def note_event(self, now: float) -> None:
-        """Note that events have come, which its client has yet to take."""
+        """Record that events have arrived, which the client has not received yet."""
         self._last_at = now
-        self._waits_since = math.inf
+        self._delivered_at = math.inf
 
     def note_delivered(self, now: float) -> None:
-        """Note that its client has taken all events, so that a pause is its upstream's."""
-        self._waits_since = now
+        """Record that the client has received all events, so a pause is due to the upstream."""
+        self._delivered_at = now
 
-    def is_stalled(self, now: float, patience: float) -> bool:
-        """Return whether nothing has come for so long, and moving it is the only way on."""
-        if self._copied or self.request.route.resumable:
+    def is_stalled(self, now: float, threshold: float) -> bool:
+        """Return whether the run is stalled and can only be continued by moving it.
+
+        It is stalled if no event has arrived for `threshold` seconds.
+        """
+        if self._has_backup or self.request.route.resumable:
             return False
-        return now - self._waits_since >= patience
+        return now - self._delivered_at >= threshold
 
     def may_move(self, now: float) -> bool:
-        """Return whether a handover can be tried now: one at a time, each a while apart."""
-        if now < self._not_before or self._splitter.event_count == 0:
+        """Return whether a handover can start now: one at a time, with pauses in between."""
+        if now < self._next_handover_at or self._splitter.event_count == 0:
             return False
         return self.handover is None or not self.handover.run_stopped
 
     def begin_handover(self) -> None:
-        """Note that a handover is tried."""
-        self._not_before = math.inf
+        """Record that a handover is in progress."""
+        self._next_handover_at = math.inf
 
     def end_handover(self, now: float) -> None:
-        """Note that it is over; another one is tried after a pause that grows."""
-        self._not_before = now + self._pause
-        self._pause = min(_LONGEST_AGAIN_SECONDS, 2 * self._pause)
+        """Record the end of a handover; the next one may start after a pause that doubles."""
+        self._next_handover_at = now + self._retry_pause
+        self._retry_pause = min(_MAX_RETRY_PAUSE_SECONDS, 2 * self._retry_pause)
 
     def event_count(self) -> int:
-        """Return how many events of its answer have come."""
+        """Return the number of events received of the answer."""
         return self._splitter.event_count
 
     @property
     def tokens(self) -> int:
-        """Return the tokens in its memory."""
-        return self.request.need.prompt_tokens + self._splitter.event_count * self._stride
+        """Return the number of tokens in the memory of the run."""
+        return self.request.need.prompt_tokens + self._splitter.event_count * self._tokens_per_event
 
     @property
-    def _stride(self) -> int:
+    def _tokens_per_event(self) -> int:
         engine = self.request.service.engine
         return max(1, engine.tokens_per_event) if engine else 1
 
     def state(
         self, now: float, usual_pause: float | None, leaves_in: float | None, stalled: bool
     ) -> RunState:
-        """Return what decides whether it is moved."""
+        """Return the state by which it is decided whether the run is moved."""
         request = self.request
         events = self._splitter.event_count - self._first_events
         pause = usual_pause
-        if events >= _LEAST_EVENTS or pause is None:
+        if events >= _MIN_EVENTS_FOR_PACE or pause is None:
             pause = (self._last_at - self._first_at) / max(1, events)
         return RunState(
             tokens=self.tokens,
             made=self._splitter.event_count,
-            expected=request.need.output_tokens / self._stride,
+            expected=request.need.output_tokens / self._tokens_per_event,
             pause=pause,
             usual_pause=pause if usual_pause is None else usual_pause,
             time_left=request.ends - now,
             gap=request.need.target_gap,
             repeatable=request.route.repeatable,
-            copied=self._copied,
+            copied=self._has_backup,
             leaves_in=leaves_in,
             stalled=stalled,
         )
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -1,4 +1,4 @@
-"""A gateway's request path in this process, before upstreams that follow a script."""
+"""The request path of a gateway, run within the test process with scripted upstreams."""
 
 from __future__ import annotations
 
@@ -77,13 +77,13 @@
 KEY = "secret-key"
 TEAM = "bakery"
 LINK_RATE = 1e6
-"""Bytes a second between upstreams that move memory of one byte a token."""
+"""Link rate in bytes per second between upstreams that move memory of one byte per token."""
 SIGNED = "Response-Signature: s1\r\n"
 
 
 @dataclass
 class ReceivedRequest:
-    """A request as an upstream saw it."""
+    """A request as received by an upstream, with methods to answer it."""
 
     line: str
     headers: dict[str, str]
@@ -96,13 +96,13 @@
         self.id = self.headers.get("attempt-id", "")
 
     def answer(self, head: str, body: bytes = b"", request_id: str | None = None) -> None:
-        """Write a head with the id of the request, and a body as it is."""
+        """Write a head with the id of the request, followed by the body unchanged."""
         wanted = self.id if request_id is None else request_id
         text = f"HTTP/1.1 {head}Attempt-Id: {wanted}\r\n\r\n"
         self.writer.write(text.encode() + body)
 
     def answer_whole(self, body: bytes = b"done", status: str = "200 OK") -> None:
-        """Write a whole signed answer."""
+        """Write a complete signed answer."""
         self.answer(f"{status}\r\nContent-Length: {len(body)}\r\n{SIGNED}", body)
 
     def start_events(self) -> None:
@@ -138,7 +138,7 @@
 
 @dataclass
 class ScriptedUpstream:
-    """An upstream that answers each request by the next script; the last one repeats."""
+    """Upstream that answers each request by the next script, and all further ones by the last."""
 
     scripts: list[Callable[[ReceivedRequest], Awaitable[None]]]
     requests: list[ReceivedRequest] = field(default_factory=list)
@@ -154,11 +154,11 @@
         self.address = f"{host}:{port}"
 
     def stop(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         self._server.close()
 
     def crash(self, seen: ReceivedRequest) -> None:
-        """Take no more connections and reset all that are open, from within a script."""
+        """Accept no more connections and reset all open ones; called within a script."""
         self.stop()
         for task in self._tasks - {asyncio.current_task()}:
             if task is not None:
@@ -167,7 +167,7 @@
         raise ConnectionResetError
 
     async def close(self) -> None:
-        """End the connections as well."""
+        """Stop the upstream and close its open connections."""
         self.stop()
         tasks = [task for task in self._tasks if task is not None]
         for task in tasks:
@@ -208,17 +208,17 @@
 
 @dataclass(frozen=True)
 class ReceivedAnswer:
-    """What a client got."""
+    """An answer as received by a client."""
 
     status: int
     headers: dict[str, str]
     body: bytes
     whole: bool
-    """Whether the answer ended as its framing says."""
+    """Whether the answer was complete according to its framing."""
 
 
 class Rig:
-    """The request path with `upstreams` behind one route."""
+    """The request path of a gateway with `upstreams` behind one route."""
 
     def __init__(
         self,
@@ -253,19 +253,19 @@
         self.suspended = 0.0
         self.woke: list[float] = []
         self.confirmed = True
-        """Whether the views were confirmed since the last suspension."""
+        """Whether the views were confirmed since the last suspension of the host."""
         self.quarantine = Quarantine()
         self.isolation = Isolation()
         self.sent_leaving_messages: list[LeavingNews] = []
         self.sent_messages: list[SuspectNews | ClearedNews | GroupNews] = []
-        """What was told to other gateways, when `keeper.tell_due` was called."""
+        """Messages sent to other gateways when `keeper.tell_due` was called."""
 
     def clock(self) -> float:
-        """Return seconds that go on in a suspension."""
+        """Return seconds of a clock that continues during a suspension."""
         return clocks.now() + self.suspended
 
     def suspend(self, seconds: float) -> None:
-        """Let time pass in which the steady clock stands still."""
+        """Let time pass during which the steady clock is stopped."""
         self.suspended += seconds
 
     def _on_woke(self, seconds: float) -> None:
@@ -274,7 +274,7 @@
         self.parts.pool.close_idle()
 
     async def __aenter__(self) -> Rig:
-        """Start everything."""
+        """Start the upstreams and the request path."""
         for upstream in self.upstreams:
             await upstream.start()
         fleet = Fleet("z")
@@ -292,7 +292,7 @@
             self.clock, time.monotonic, self._on_woke, lambda _: self.confirmed
         )
         log = EventLog("gw", self.lines.append)
-        rests = Cooldowns()
+        cooldowns = Cooldowns()
         members, stated = alone("gw"), StatedLimits()
         counting = LimitOwners(members, Schedulers(members), lambda: 1)
         self.limits = FleetLimits(
@@ -313,8 +313,8 @@
             "gw", self.isolation, self.sent_messages.append, log, random.Random(6), self.clock
         )
         self.keeper = QuarantineKeeper(
-            "gw", self.quarantine, groups, self.view, pool.has_ended, self.sent_messages.append,
-            log, random.Random(3), self.clock,
+            "gw", self.quarantine, groups, self.view, pool.has_ended,
+            self.sent_messages.append, log, random.Random(3), self.clock,
         )  # fmt: skip
         placer = Placer(
             "gw",
@@ -323,7 +323,7 @@
             self.view,
             random.Random(2),
             self.clock,
-            BarredUpstreams(rests, self.limits.denials),
+            BarredUpstreams(cooldowns, self.limits.denials),
             stated,
         )
         budgets = RetryBudgets(RetrySettings(ratio=0.2, slack=self.slack), lambda: 1)
@@ -344,7 +344,9 @@
             pool=pool,
             isolation_policy=ward,
             mover=self.mover,
-            gate=UpstreamGate(self.view, rests, self.limits, self.leaving.note, log, self.clock),
+            gate=UpstreamGate(
+                self.view, cooldowns, self.limits, self.leaving.note, log, self.clock
+            ),
             limits=self.limits,
             team_limits=TeamLimits(counting, self.limits.client, random.Random(8), self.clock),
             quarantine=self.keeper,
@@ -365,7 +367,7 @@
         return self
 
     def set_table(self, version: int, routes: bool = True) -> None:
-        """Put another configuration in force."""
+        """Apply a configuration with the given version."""
         teams = [Team(TEAM, (KEY,), self.team_priority)]
         table = RoutingTable(
             version, [self.route] if routes else [], [self.service], teams, ClientLimits()
@@ -373,7 +375,7 @@
         self.configuration.take(table, version)
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop everything."""
+        """Stop the request path and the upstreams."""
         self.server.abort()
         await self._task
         for upstream in self.upstreams:
@@ -387,7 +389,7 @@
     async def call(
         self, request_id: str = "r1", headers: str = "", body: bytes = b"", path: str = "/p/x"
     ) -> ReceivedAnswer:
-        """Make one request on a connection of its own."""
+        """Send one request on a new connection and return the answer."""
         reader, writer = await self.connect()
         try:
             return await self.call_on(reader, writer, request_id, headers, body, path)
@@ -403,13 +405,13 @@
         body: bytes = b"",
         path: str = "/p/x",
     ) -> ReceivedAnswer:
-        """Make one request on an open connection."""
+        """Send one request on an open connection and return the answer."""
         writer.write(request_bytes(request_id, headers, body, path))
         return await read_answer(reader)
 
 
 def alone(name: str) -> Membership:
-    """Return the membership of a gateway that knows no other one."""
+    """Return the membership of a gateway that knows no other gateways."""
     own = MemberState(name, "127.0.0.1:1", "z", "r", 1, MemberPhase.ALIVE)
     return Membership(own, (), MembershipOptions(), random.Random(8))
 
@@ -417,7 +419,7 @@
 def request_bytes(
     request_id: str = "r1", headers: str = "", body: bytes = b"", path: str = "/p/x"
 ) -> bytes:
-    """Return a client's request."""
+    """Return the bytes of a client's request."""
     authorization = "" if "Authorization" in headers else f"Authorization: Bearer {KEY}\r\n"
     head = (
         f"POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAttempt-Id: {request_id}\r\n"
@@ -427,7 +429,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> ReceivedAnswer:
-    """Read one answer, as far as it comes."""
+    """Read one answer, or the part of it that arrives."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     except (asyncio.IncompleteReadError, ConnectionError):
--- a/tests/requests/test_rest.py
+++ b/tests/requests/test_cooldowns.py
@@ -1,12 +1,12 @@
-"""An engine turned a request away, asked for three seconds of rest, and got three more meanwhile.
-
-What an engine says of itself in an answer was dropped: the request that it turned away went
-elsewhere, and the next ones were placed as if nothing had been said. The failure made the engine
-dearer for a while, and that kept most away from it, until others were dearer still. In the record
-it was sent a request 1.124 s after it had answered 503 with Retry-After: 3, from the gateway that
-had the answer, where the way there and back takes 6 ms; in a play that followed an engine that
-rested got 17 requests from nine gateways within eight seconds and turned all of them away. With
-all of six engines at rest one got 39 requests in 1.5 s from one gateway.
+"""An engine rejected a request, asked for a cooldown of three seconds, and received three more.
+
+Guards against ignoring the cooldown that an engine states in an answer: the rejected request went
+elsewhere, and the next ones were placed as if nothing had been stated. The failure raised the cost
+of the engine for a while, which kept most requests away, until other engines cost even more. In one
+log an engine was sent a request 1.124 s after it had answered 503 with Retry-After: 3, by the
+gateway that had received the answer, although the round trip takes 6 ms. In a later simulation an
+engine in a cooldown received 17 requests from nine gateways within eight seconds and rejected all
+of them. With all six engines in a cooldown, one received 39 requests in 1.5 s from one gateway.
 """
 
 from __future__ import annotations
@@ -29,13 +29,15 @@
     from lotushill.scheduling.placement import Placement
     from lotushill.scheduling.request import Request
 
-REST = 120.0
-"""Seconds that no test lasts."""
-ASKS_FOR_REST = f"503 Busy\r\nContent-Length: 0\r\nNot-Executed: 1\r\nRetry-After: {REST}\r\n"
+COOLDOWN_SECONDS = 120.0
+"""Cooldown in seconds, longer than any test."""
+COOLDOWN_HEAD = (
+    f"503 Busy\r\nContent-Length: 0\r\nNot-Executed: 1\r\nRetry-After: {COOLDOWN_SECONDS}\r\n"
+)
 
 
-async def rests(seen: ReceivedRequest) -> None:
-    seen.answer(ASKS_FOR_REST)
+async def asks_for_cooldown(seen: ReceivedRequest) -> None:
+    seen.answer(COOLDOWN_HEAD)
 
 
 async def whole(seen: ReceivedRequest) -> None:
@@ -44,24 +46,26 @@
 
 class TestOneGateway(unittest.IsolatedAsyncioTestCase):
     async def test_while_some_rest_the_others_get_all(self) -> None:
-        upstreams = [ScriptedUpstream([rests]) for _ in range(2)] + [ScriptedUpstream([whole])]
+        upstreams = [ScriptedUpstream([asks_for_cooldown]) for _ in range(2)] + [
+            ScriptedUpstream([whole])
+        ]
         async with Rig(upstreams) as rig:
             got = [await rig.call(f"r{number}") for number in range(20)]
         self.assertEqual({200}, {item.status for item in got})
         self.assertGreaterEqual(1, max(len(item.requests) for item in upstreams[:2]))
 
     async def test_while_all_rest_none_gets_anything(self) -> None:
-        upstreams = [ScriptedUpstream([rests]) for _ in range(3)]
+        upstreams = [ScriptedUpstream([asks_for_cooldown]) for _ in range(3)]
         async with Rig(upstreams, max_attempts=5) as rig:
             got = [await rig.call(f"r{number}") for number in range(20)]
         self.assertEqual({503}, {item.status for item in got})
         self.assertEqual([1, 1, 1], [len(item.requests) for item in upstreams])
 
     async def test_it_is_over_when_its_time_is_up_also_after_a_suspension(self) -> None:
-        upstream = ScriptedUpstream([rests, whole])
+        upstream = ScriptedUpstream([asks_for_cooldown, whole])
         async with Rig([upstream]) as rig:
             await rig.call("r1")
-            rig.suspend(REST - 5.0)
+            rig.suspend(COOLDOWN_SECONDS - 5.0)
             early = await rig.call("r2")
             rig.suspend(10.0)
             late = await rig.call("r3")
@@ -69,7 +73,9 @@
 
     async def test_one_that_may_have_run_the_request_rests_as_well(self) -> None:
         async def fails(seen: ReceivedRequest) -> None:
-            seen.answer(f"503 Busy\r\nContent-Length: 0\r\nRetry-After: {REST}\r\n{SIGNED}")
+            seen.answer(
+                f"503 Busy\r\nContent-Length: 0\r\nRetry-After: {COOLDOWN_SECONDS}\r\n{SIGNED}"
+            )
 
         upstream = ScriptedUpstream([fails, whole])
         async with Rig([upstream], RouteKind.NON_IDEMPOTENT) as rig:
@@ -93,18 +99,18 @@
 
 
 class TestEveryWay(unittest.IsolatedAsyncioTestCase):
-    """Whoever chose it, nothing is written to an upstream that rests."""
+    """No request is written to an upstream in its cooldown, however the upstream was chosen."""
 
     async def test_what_waited_for_a_connection_is_chosen_again(self) -> None:
-        upstreams = [ScriptedUpstream([rests]), ScriptedUpstream([whole])]
+        upstreams = [ScriptedUpstream([asks_for_cooldown]), ScriptedUpstream([whole])]
         async with Rig(upstreams, max_attempts=1, slack=0.0) as rig:
-            await_connection(rig, "b0", "r1")
+            delay_connection(rig, "b0", "r1")
             got = await rig.call("r1")
         self.assertEqual(200, got.status)
         self.assertEqual(["asked"], [item.id for item in upstreams[0].requests])
 
     async def test_a_choice_that_does_not_know_of_it_is_not_followed(self) -> None:
-        upstreams = [ScriptedUpstream([rests]), ScriptedUpstream([whole])]
+        upstreams = [ScriptedUpstream([asks_for_cooldown]), ScriptedUpstream([whole])]
         async with Rig(upstreams, max_attempts=1, slack=2.0) as rig:
             prefer(rig, "b0")
             got = [await rig.call(f"r{number}") for number in range(5)]
@@ -114,7 +120,7 @@
     async def test_a_run_does_not_go_on_there(self) -> None:
         async def serve(seen: ReceivedRequest) -> None:
             if seen.id == "asked":
-                return seen.answer(ASKS_FOR_REST)
+                return seen.answer(COOLDOWN_HEAD)
             if "kv-from" in seen.headers:
                 return seen.answer_whole()
             seen.start_events()
@@ -123,7 +129,7 @@
             copy = next(item for item in rig.view.all() if item.address == backup_of(seen))
             prefer(rig, copy.id)
             await rig.call("asked", headers="Token-Usage: 50,20\r\n")
-            # As after some seconds, when the failure has faded and the rest has not.
+            # As after some seconds, when the failure no longer counts and the cooldown still does.
             rig.parts.fleet.load(copy.id).failures = FailureRate()
             seen.reset()
             return None
@@ -134,7 +140,7 @@
         sent = [seen for item in upstreams for seen in item.requests if seen.id == "runs"]
         self.assertFalse(got.whole)
         self.assertEqual(1, len(sent))
-        # Nor is it chosen in vain, which would spend a repeat.
+        # It must not be chosen without being used either, which would spend a retry.
         self.assertNotIn(b'"kind":"barred"', b"".join(rig.lines))
 
 
@@ -142,23 +148,23 @@
     return seen.headers["kv-backup"]
 
 
-def await_connection(rig: Rig, upstream_id: str, request_id: str) -> None:
-    """Have the first connection to an upstream wait until that has turned another away."""
-    take = rig.parts.pool.acquire
+def delay_connection(rig: Rig, upstream_id: str, request_id: str) -> None:
+    """Delay the first connection to an upstream until that has rejected another request."""
+    acquire = rig.parts.pool.acquire
     waited: list[str] = []
 
     async def wait(upstream: Upstream) -> UpstreamConnection:
         if upstream.id == upstream_id and not waited:
             waited.append(upstream.id)
             await rig.call("asked")
-        return await take(upstream)
+        return await acquire(upstream)
 
     prefer(rig, upstream_id)
     rig.parts.pool.acquire = wait  # type: ignore[method-assign]
 
 
 def prefer(rig: Rig, upstream_id: str) -> None:
-    """Place as one does that was not told of rests: at one upstream unless it is excluded."""
+    """Place requests at one upstream unless it is excluded, as if its cooldown were unknown."""
     place = rig.parts.placer.place
     wanted = rig.view.find(upstream_id)
     assert wanted is not None
--- a/tests/requests/test_leaving.py
+++ b/tests/requests/test_leaving.py
@@ -1,9 +1,9 @@
-"""An upstream says in an answer that it leaves, and its entry says nothing.
+"""An upstream states in an answer that it is leaving while its entry in the store does not.
 
-What the answer says was dropped: with two of six engines that said so in each answer while their
-entries stayed `ready`, one gateway sent them 1,208 requests later than two seconds after the first
-such answer. The entry is late or silent just when it would be needed: in an outage of the store, or
-where an upstream never says there that it drains.
+Guards against ignoring that statement. With two of six engines stating it in each answer while
+their entries stayed `ready`, one gateway sent them 1,208 requests later than two seconds after the
+first such answer. The entry is late or missing when it is needed most: in an outage of the store,
+or if an upstream never states there that it is draining.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.test_rest import prefer
+from tests.requests.test_cooldowns import prefer
 
 LEAVES = "Server-Leaving: 1\r\n"
 
@@ -91,12 +91,12 @@
         async with Rig(upstreams) as rig:
             await rig.call("r1")
             refused = await rig.call("r2")
-            rig.view.replace([entry(upstreams, 0, life="b0@2")], 2)
+            rig.view.replace([entry(upstreams, 0, incarnation="b0@2")], 2)
             served = await rig.call("r3")
         self.assertEqual((503, 200), (refused.status, served.status))
 
 
-def entry(upstreams: list[ScriptedUpstream], number: int, life: str = "") -> Upstream:
+def entry(upstreams: list[ScriptedUpstream], number: int, incarnation: str = "") -> Upstream:
     name = f"b{number}"
     address = upstreams[number].address
-    return Upstream(life or name, "s", address, "z", 8, False, instance=name)
+    return Upstream(incarnation or name, "s", address, "z", 8, False, instance=name)
--- a/tests/requests/test_quarantine.py
+++ b/tests/requests/test_quarantine.py
@@ -1,10 +1,11 @@
-"""A caller sent one request again and again, and every engine that began it ended.
-
-Each arrival, under another id and at another gateway, was a new request: it was sent to an engine,
-was cut ("connection ended" at one engine, "Connection refused" at those that had ended before), and
-was sent on to a second one, as its route allows. Nothing that outlived an arrival counted which
-engines had ended under it. In a hundred seconds 68 engines ended in four series; after its third
-engine one request was sent 14 times more, and a quarter of all other requests got nothing in time.
+"""A client repeated one request, and every engine that started to run it failed.
+
+Each arrival had another id and came to another gateway, so it counted as a new request: it was sent
+to an engine, was interrupted ("connection ended" at one engine, "Connection refused" at those that
+had failed before), and was sent to a second engine, as its route allows. No record that outlived an
+arrival counted the engines that had failed under it. In a hundred seconds 68 engines failed in four
+series; after its third engine one request was sent 14 more times, and a quarter of all other
+requests received no answer in time.
 """
 
 from __future__ import annotations
@@ -44,14 +45,14 @@
 
 DEADLY = b"a body under which every upstream ends"
 COMMON = b"a body that many send"
-TOLD = 3
-"""Upstreams after which a request is known for what it does."""
-LATE = 3
-"""Times that it may still be sent, over all gateways and for good."""
+HELD_AFTER_FAILURES = 3
+"""Number of failed upstreams after which a request is quarantined."""
+MAX_LATE_SENDS = 3
+"""Number of times it may still be sent by all gateways together, without a time limit."""
 
 
-def mortal(ended: list[ScriptedUpstream]) -> ScriptedUpstream:
-    """Return an upstream that ends under the deadly body and serves all others."""
+def crashing_upstream(ended: list[ScriptedUpstream]) -> ScriptedUpstream:
+    """Return an upstream that crashes on the deadly body and serves all other requests."""
 
     async def answer(seen: ReceivedRequest) -> None:
         if seen.body == DEADLY:
@@ -66,12 +67,12 @@
 class TestOneGateway(unittest.IsolatedAsyncioTestCase):
     async def test_after_three_upstreams_a_request_reaches_no_other(self) -> None:
         ended: list[ScriptedUpstream] = []
-        async with Rig([mortal(ended) for _ in range(8)]) as rig:
+        async with Rig([crashing_upstream(ended) for _ in range(8)]) as rig:
             for number in range(6):
                 last = await rig.call(f"deadly{number}", body=DEADLY)
                 other = await rig.call(f"other{number}", body=COMMON)
                 self.assertEqual(200, other.status)
-        self.assertEqual(TOLD, len(ended))
+        self.assertEqual(HELD_AFTER_FAILURES, len(ended))
         self.assertEqual(503, last.status)
         self.assertGreater(float(last.headers["retry-after"]), 1.0)
 
@@ -87,7 +88,7 @@
         self.assertEqual((503, 200, ["r2"]), (early.status, later.status, ids(upstream)))
 
     async def test_who_comes_just_before_is_served_and_not_turned_away(self) -> None:
-        """Most clients come back once, and at a start all of them come within a second."""
+        """Most clients return only once, and at a start all of them return within a second."""
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
             rig.knows_holds = False
@@ -109,7 +110,7 @@
 
 
 class TestWhatIsNoEnd(unittest.IsolatedAsyncioTestCase):
-    """Cuts for which the request is not to blame."""
+    """Interruptions that are not caused by the request."""
 
     async def test_a_connection_that_ends_while_its_upstream_goes_on_counts_for_nothing(
         self,
@@ -124,7 +125,7 @@
         self.assertEqual(0, len(rig.quarantine))
 
     async def test_an_upstream_that_was_leaving_ends_as_planned(self) -> None:
-        """It drains with the request in progress: one that drains before is not sent it."""
+        """It starts to drain with the request in progress; if draining before, it gets none."""
         ended: list[ScriptedUpstream] = []
         upstreams: list[ScriptedUpstream] = []
 
@@ -150,7 +151,9 @@
 
     async def test_an_end_that_shows_only_in_the_list_counts_then(self) -> None:
         ended: list[ScriptedUpstream] = []
-        async with Rig([mortal(ended) for _ in range(4)], RouteKind.NON_IDEMPOTENT) as rig:
+        async with Rig(
+            [crashing_upstream(ended) for _ in range(4)], RouteKind.NON_IDEMPOTENT
+        ) as rig:
 
             async def cannot_tell(_: Upstream) -> None:
                 return None
@@ -165,7 +168,7 @@
             rig.keeper.look()
         self.assertEqual(1, len(rig.quarantine))
 
-    async def test_one_that_says_later_that_it_leaves_ended_as_planned(self) -> None:
+    async def test_an_upstream_that_states_later_that_it_leaves_ended_as_planned(self) -> None:
         async def cut(seen: ReceivedRequest) -> None:
             seen.reset()
 
@@ -183,11 +186,11 @@
 class TestSuspects(unittest.IsolatedAsyncioTestCase):
     async def test_an_arrival_that_ended_two_upstreams_is_not_sent_on(self) -> None:
         ended: list[ScriptedUpstream] = []
-        async with Rig([mortal(ended) for _ in range(8)], max_attempts=8) as rig:
+        async with Rig([crashing_upstream(ended) for _ in range(8)], max_attempts=8) as rig:
             got = await rig.call(body=DEADLY)
         self.assertEqual((502, 2), (got.status, len(ended)))
 
-    async def test_others_that_were_cut_with_it_are_sent_on_and_cleared_by_their_answer(
+    async def test_others_interrupted_with_it_are_retried_and_cleared_by_their_answer(
         self,
     ) -> None:
         ended: list[ScriptedUpstream] = []
@@ -196,7 +199,7 @@
         def slow_then(upstream: ScriptedUpstream) -> Script:
             async def answer(seen: ReceivedRequest) -> None:
                 if seen.body == DEADLY and ended:
-                    # Sent on to the only other upstream; it would end that and all that is there.
+                    # The retry at the only other upstream would make it and all its runs fail.
                     seen.reset()
                     raise ConnectionResetError
                 if seen.body == DEADLY:
@@ -255,7 +258,7 @@
 
 
 class TestFleet(unittest.IsolatedAsyncioTestCase):
-    """Three gateways as processes, upstreams that come back, and one caller of the deadly body."""
+    """Three gateway processes, upstreams that are replaced, and one client with the deadly body."""
 
     async def asyncSetUp(self) -> None:
         self.store = MetadataStore()
@@ -281,13 +284,13 @@
         self.folder.cleanup()
 
     async def start_upstream(self) -> None:
-        upstream = mortal(self.ended)
+        upstream = crashing_upstream(self.ended)
         await upstream.start()
         self.upstreams.append(upstream)
         self.store.create("servers", f"i-{len(self.upstreams)}", entry("app", upstream.address))
 
     async def replace_ended(self) -> None:
-        """Let an upstream come for each that ended and has an entry."""
+        """Start a new upstream for each that failed and still has an entry."""
         for number, upstream in enumerate(self.upstreams, start=1):
             if upstream in self.ended and f"i-{number}" in self.entries():
                 self.store.delete("servers", f"i-{number}")
@@ -335,7 +338,7 @@
         return got
 
     async def repeat(self, times: int) -> None:
-        """Send the deadly request to one gateway after the other."""
+        """Send the deadly request to the gateways in turn."""
         for number in range(times):
             name = f"gw-{number % len(self.gateways)}"
             await self.call(name, number, DEADLY)
@@ -349,5 +352,5 @@
             self.gateways = {name: await self.start(name) for name in self.gateways}
             await self.repeat(12)
             statuses = [(await self.call(name, 99, COMMON)).status for name in self.gateways]
-        self.assertLessEqual(len(self.ended), TOLD + LATE)
+        self.assertLessEqual(len(self.ended), HELD_AFTER_FAILURES + MAX_LATE_SENDS)
         self.assertEqual([200, 200, 200], statuses)
--- a/tests/requests/test_retry_budget.py
+++ b/tests/requests/test_retry_budget.py
@@ -55,12 +55,12 @@
     ),
     max_size=60,
 )
-NOTICED_SECONDS = 4.0
-"""Until all members hold a newcomer (tests/membership/test_large_fleet.py)."""
+JOIN_NOTICE_SECONDS = 4.0
+"""Seconds until all members know a new one (tests/membership/test_large_fleet.py)."""
 
 
 class SharedBudget:
-    """Gateways that come, start again and are cut off, each with its part of one budget."""
+    """Gateways that join, restart and are cut off, each with its share of one retry budget."""
 
     def __init__(self, count: int) -> None:
         self.now = 100.0
@@ -69,24 +69,24 @@
         self.requests: list[float] = []
         self.repeats: list[float] = []
 
-    def known(self, gateway: int) -> int:
-        """Return of how many gateways one knows: late, and 0 just after its start."""
+    def known_gateways(self, gateway: int) -> int:
+        """Return the number of gateways known to one, which is delayed, and 0 after its start."""
         return sum(
-            at <= self.now - NOTICED_SECONDS or other == gateway
+            at <= self.now - JOIN_NOTICE_SECONDS or other == gateway
             for other, at in enumerate(self.joined)
         )
 
     def start(self, gateway: int) -> None:
-        """Start a gateway, or start it again without what it has counted."""
+        """Start or restart a gateway; a restart loses its counts."""
         self.budgets[gateway : gateway + 1] = [RetryBudget(RATIO, SLACK, WINDOW, self.now)]
 
     def burst(self, gateway: int) -> None:
-        """Have a gateway take all that it is given."""
-        while self.budgets[gateway].try_spend(self.known(gateway), self.now):
+        """Let a gateway spend all retries that it is granted."""
+        while self.budgets[gateway].try_spend(self.known_gateways(gateway), self.now):
             self.repeats.append(self.now)
 
-    def within_the_budget(self) -> bool:
-        """Return whether the last window holds no more repeats than are allowed."""
+    def is_within_budget(self) -> bool:
+        """Return whether the last window contains no more retries than allowed."""
         since = self.now - WINDOW
         repeats = sum(at >= since for at in self.repeats)
         return repeats <= RATIO * sum(at >= since for at in self.requests) + SLACK
@@ -113,7 +113,7 @@
             else:
                 fleet.joined.append(fleet.now)
                 fleet.budgets.append(RetryBudget(RATIO, SLACK, WINDOW, fleet.now))
-            self.assertTrue(fleet.within_the_budget())
+            self.assertTrue(fleet.is_within_budget())
 
     def test_without_the_number_of_gateways_only_the_share_of_own_requests_is_spent(self) -> None:
         budget = RetryBudget(RATIO, SLACK, WINDOW)
