--- a/src/lotushill/placement/__init__.py
+++ b/src/lotushill/placement/__init__.py
@@ -1,3 +1,6 @@
-"""Which upstream runs a request: a model of every upstream, fed by all gateways."""
+"""Placement: chooses the upstream of a request.
+
+It uses a model of all upstreams that is updated by all gateways.
+"""
 
 from __future__ import annotations
--- a/src/lotushill/placement/backup.py
+++ b/src/lotushill/placement/backup.py
@@ -1,8 +1,8 @@
-"""Which upstream keeps a copy of a run's memory, so that the run can go on there if it is cut.
+"""Selects the upstream that holds a copy of a run's KV memory, from which the run can resume.
 
-A stream that must not run twice is lost with its upstream, unless another one holds a copy of what
-it has read and made. The copy is priced by its tokens, so it is kept only for runs whose expected
-loss is larger. Pure.
+A stream that must not run twice is lost with its upstream unless another upstream holds a copy of
+the tokens that it has processed and generated. The cost of a copy grows with its number of tokens,
+so copies are kept only for runs whose expected loss is larger. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -20,20 +20,24 @@
     from lotushill.routing.upstream import Upstream
 
 COPY_LOSS_PER_TOKEN = 2e-5
-"""What copying a token between upstreams costs, as a share of a request's credit.
+"""Cost of copying one token between upstreams, as a share of a request's credit.
 
-A thousand tokens cost the users some 0.02 of one request, by their prices for memory moved.
+At the users' prices for moved memory, a thousand tokens cost about 0.02 of one request.
 """
 _CUT_LOSS = 0.9
-"""What a stream loses that is cut off and cannot go on."""
+"""Loss of a stream that is interrupted and cannot resume, as a share of its credit."""
 _ROOM_SHARE = 0.7
-"""Of an upstream's memory; fuller ones take no copies, which would displace prompt parts."""
+"""Fraction of an upstream's memory below which it accepts copies. On fuller upstreams a copy would
+displace cached prompt parts."""
 _SOUND_RATE = 0.2
-"""No copy is kept on an upstream that fails more often than this."""
+"""Failure rate above which an upstream is not used to hold copies."""
 
 
 def is_worth_copying(need: Need, seconds: float, cut_rate: float) -> bool:
-    """Return whether a run of so many seconds risks more than a copy of its memory costs."""
+    """Return whether the expected loss of a run exceeds the cost of copying its memory.
+
+    `seconds` is the predicted duration of the run.
+    """
     risk = -math.expm1(-cut_rate * seconds)
     return risk * _CUT_LOSS > COPY_LOSS_PER_TOKEN * (need.prompt_tokens + need.output_tokens)
 
@@ -46,9 +50,10 @@
     loads: Mapping[str, UpstreamLoad],
     now: float,
 ) -> Upstream | None:
-    """Return the upstream with most room for a copy of a run on `chosen`, None without room.
+    """Return the upstream with the most free memory for a copy of a run, None if none has enough.
 
-    One in another hall is preferred where both have room, since a hall can fail as a whole.
+    The run is on `chosen`. Among upstreams with enough free memory, those in another hall are
+    preferred, since a hall can fail as a whole.
     """
     tokens = need.prompt_tokens + need.output_tokens
     room = _ROOM_SHARE * engine.memory_tokens - tokens
--- a/src/lotushill/placement/choice.py
+++ b/src/lotushill/placement/choice.py
@@ -1,4 +1,4 @@
-"""What placement answers: where a request goes, or why it goes nowhere."""
+"""Results of placement: the chosen upstream of a request, or the reason for refusing it."""
 
 from __future__ import annotations
 
@@ -13,91 +13,98 @@
 
 @dataclass(frozen=True)
 class MovedMemory:
-    """A run's memory that was moved, as its engines name it."""
+    """Memory of a run that was moved, as its engines identify it."""
 
     source: str
-    """Address (IP:PORT) of the upstream that the run was stopped at."""
+    """Address (IP:PORT) of the upstream on which the run was stopped."""
     handle: str
 
 
 @dataclass(frozen=True)
 class Choice:
-    """Where a request goes, with the figures that decided it; times are seconds."""
+    """The upstream chosen for a request and the predictions behind it; times are in seconds."""
 
     upstream: Upstream
     cost: float
     first: float
-    """Predicted time to the first event, or to the whole of a plain answer."""
+    """Predicted time to the first event, or to the complete answer of a plain service."""
     reading: int
-    """Prompt tokens that the upstream has to read for it."""
+    """Prompt tokens that the upstream has to process for this request."""
     ahead: int
-    """Prompt tokens that are read until its first event, those of others included."""
+    """Prompt tokens processed until the first event, including those of other requests."""
     seconds: float
-    """Predicted time until the answer is whole."""
+    """Predicted time until the answer is complete."""
     wait: float = 0.0
-    """Predicted time until its own prompt is begun."""
+    """Predicted time until processing of the request's own prompt begins."""
     harm: float = 0.0
-    """What it costs the streams that run beside it."""
+    """Expected cost to the streams that run on the same upstream."""
     usual_loss: float = 0.0
-    """On a route of long prompts, what a usual request would lose there and make others lose."""
+    """On a route of long prompts, the expected cost of a typical request on this upstream, both to
+    itself and to others."""
     again: int = 0
-    """Shared prompt tokens that are read again."""
+    """Shared prompt tokens that are processed again."""
     running: int = 0
-    """Requests that run there already, of all gateways."""
+    """Requests of all gateways that already run on the upstream."""
     full: bool = False
-    """Whether all slots there are taken by requests as urgent."""
+    """Whether all slots of the upstream are taken by requests of the same or higher urgency."""
     fetch: Fetch | None = None
-    """Prompt parts that the upstream is to take from another one first."""
+    """Prompt parts that the upstream copies from another one first."""
     backup: Upstream | None = None
-    """Where a copy of the run's memory is kept while it grows."""
+    """Upstream that holds a growing copy of the run's memory."""
     returned: bool = False
-    """Whether its caller was refused and came back as it was told."""
+    """Whether the caller was refused before and returned after its Retry-After time."""
     continues: bool = False
-    """Whether the upstream holds a copy of the run's memory, and goes on from it."""
+    """Whether the upstream holds a copy of the run's memory and resumes from it."""
     moved: MovedMemory | None = None
-    """Where the memory was moved there, or kept there when the run was stopped."""
+    """The memory that was moved to the upstream, or that was kept on it when the run was stopped.
+    """
 
 
 class Refusal(Enum):
-    """Why a request goes nowhere."""
+    """Reason why a request is not placed."""
 
     NO_UPSTREAM = "no upstream"
     OVERLOAD = "overload"
-    """It would wait longer than the longest prompts may, and is one of them."""
+    """The request belongs to the longest prompts and would wait longer than these may."""
     RESTING = "all rest"
-    """All upstreams that could serve it have asked this gateway for rest."""
+    """All upstreams that could serve the request have asked this gateway for a cooldown."""
     LIMITED = "all limited"
-    """For some upstreams that could serve it there is no permit, and the others rest."""
+    """For some of the upstreams that could serve the request there is no permit, and the others are
+    in a cooldown."""
     TEAM_LIMIT = "limit of its team"
-    """Its team has sent as many as the settings tree lets it."""
+    """The team has reached its request limit in the settings tree."""
     ISOLATED = "isolated"
-    """Upstreams end under its group, which runs at one of them, one request at a time."""
+    """Upstreams fail under requests of this group, which is isolated: it runs on one of them, one
+    request at a time."""
     RETURNED = "returned"
-    """It came back as it was told, and room for it is about to come."""
+    """The caller returned after its Retry-After time, and an upstream is expected to have room
+    soon."""
     EARLY = "before its time"
-    """Its caller was told to come later, and others are refused meanwhile."""
+    """The caller returned before its Retry-After time, and other requests are being refused."""
     SHARE = "over its share"
-    """Its team has had its share of the service, and others wait for room."""
+    """The team has used its share of the service, and other teams wait for room."""
     NO_ROOM = "no room in time"
-    """No upstream would begin it before its client gives up."""
+    """No upstream would start the request before its client times out."""
 
 
 @dataclass(frozen=True)
 class NoChoice:
-    """No upstream is to serve the request now, with the figures that decided it."""
+    """No upstream can serve the request now; holds the predictions behind the decision."""
 
     refusal: Refusal
     retry_after: float
-    """Seconds."""
+    """Seconds after which the caller should return."""
     wait: float = 0.0
-    """Predicted seconds until its prompt is begun, where a usual one would lose least."""
+    """Predicted seconds until its prompt is processed on the upstream with the least cost for a
+    typical request."""
     first: float = 0.0
-    """Predicted seconds to its first event at the soonest upstream."""
+    """Shortest predicted time in seconds to the first event over all upstreams."""
     usual_prompt: float = 0.0
-    """Prompt tokens that are usual on its route."""
+    """Typical number of prompt tokens on its route."""
     longest_prompt: float = 0.0
-    """The same of the route of its service with the longest prompts."""
+    """Typical number of prompt tokens on the route of its service with the longest prompts."""
     standing: float = 0.0
-    """What its team has had, times the mean of the others; told where that is the reason."""
+    """The team's usage as a multiple of the mean of the other teams; set if this is the reason for
+    the refusal."""
     final: bool = False
-    """Whether waiting for room would be in vain."""
+    """Whether waiting for room would be useless."""
--- a/src/lotushill/placement/cut_rate.py
+++ b/src/lotushill/placement/cut_rate.py
@@ -1,17 +1,18 @@
-"""How often a stream loses its upstream, from streams that this gateway relayed."""
+"""Rate at which streams lose their upstream, measured on the streams relayed by this gateway."""
 
 from __future__ import annotations
 
 _HALF_LIFE_SECONDS = 60.0
-"""So that about a minute without a cut ends copying, and several cuts begin it for as long."""
+"""Half-life of the samples. About a minute without a lost stream stops copying, and several losses
+start it for about as long."""
 _PRIOR_CUTS = 1.0
 _PRIOR_SECONDS = 50.0
-"""One cut in 50 s of streams is assumed at the start, about twice the rate from which a stream of
-two seconds and a thousand tokens is worth its copy: so the first crash finds copies."""
+"""The initial rate is one loss per 50 s of streams, about twice the rate from which a stream of two
+seconds and a thousand tokens is worth its copy, so copies exist when the first upstream crashes."""
 
 
 class CutRate:
-    """Cuts for each second that streams ran, earlier ones counting less and less."""
+    """Lost streams per second of stream time, with exponential decay of older samples."""
 
     def __init__(self) -> None:
         self._cuts = 0.0
@@ -19,7 +20,7 @@
         self._at = 0.0
 
     def note(self, seconds: float, cut: bool, now: float) -> None:
-        """Note a stream that ran for some seconds, and whether its upstream was lost."""
+        """Record a stream that ran for `seconds`, and whether its upstream was lost."""
         faded = 0.5 ** (max(0.0, now - self._at) / _HALF_LIFE_SECONDS)
         self._cuts = self._cuts * faded + cut
         self._seconds = self._seconds * faded + seconds
@@ -27,5 +28,5 @@
 
     @property
     def rate(self) -> float:
-        """Return the likely number of cuts in a second of one stream."""
+        """Return the expected number of losses per second of one stream."""
         return (self._cuts + _PRIOR_CUTS) / (self._seconds + _PRIOR_SECONDS)
--- a/src/lotushill/placement/engine_pace.py
+++ b/src/lotushill/placement/engine_pace.py
@@ -1,11 +1,12 @@
-"""How fast each engine of a service works beside its like: for its life, and for the moment. Pure.
-
-Answers loads where some engines are twice as slow as others all their life, and any of them is
-slower still for some hundred milliseconds at times. What lasts is a median over seconds, so that a
-disturbance, which is over before it fills half of them, leaves it as it is. It is learned from
-seconds and not from what was usual when they passed, and held against the median engine and not the
-median request: the usual pace stays where it is while slow engines are sent less. What is short is
-a moving average beside what lasts, and fades to it.
+"""Estimates the long-term and short-term pace of each engine relative to its service.
+
+Some engines are permanently twice as slow as others, and any of them can slow down further for some
+hundred milliseconds at a time. The long-term pace is a median over seconds, so a disturbance that
+fills less than half of them does not change it. It is computed from measured seconds rather than
+from ratios to the typical value of that moment, and compared with the median engine rather than the
+median request, so the reference does not shift when slow engines receive fewer requests. The
+short-term pace is a moving average relative to the long-term pace and decays to it. Performs no
+I/O.
 """
 
 from __future__ import annotations
@@ -20,40 +21,48 @@
     from collections.abc import Collection
 
 _SLOT_SECONDS = 0.25
-"""One time counts in each: a disturbance of some hundred ms fills three at most."""
+"""Length of a time slot, of which only the first sample counts. A disturbance of some hundred
+milliseconds fills at most three slots."""
 _MOST_SLOTS = 15
 _LEAST_STEPS = 3
-"""Slots. A stream tells one of its shorter pauses of many: one in a disturbance is rare."""
+"""Slots required for a step pace. A stream reports one of its shorter pauses of many, which is
+rarely one from a disturbance."""
 _LEAST_READINGS = 15
-"""Slots. Much that a gateway does not see lengthens the time to a first event."""
+"""Slots required for a prefill pace. Much that a gateway cannot observe lengthens the time to a
+first event."""
 _LEAST_ANSWERS = 7
-"""Slots of a plain service; three of them that were disturbed leave the median as it is."""
+"""Slots required for a plain service; three disturbed slots leave the median unchanged."""
 _LEAST_ENGINES = 3
-"""With fewer there is no telling which of them is usual."""
+"""Engines required for comparison; with fewer, it is undecidable which of them is typical."""
 _LEAST_DIFFERENCE = 1.4
-"""Pauses of engines that are alike spread by less."""
+"""Ratio from which the pauses of an engine count as different; those of equal engines vary by less.
+"""
 _LEAST_ANSWER_DIFFERENCE = 1.6
-"""Plain answers wait for one another, and spread more."""
+"""Ratio from which plain answers count as different. Plain requests wait for one another, so their
+times vary more."""
 _LEAST_READING_DIFFERENCE = 3.0
-"""Beside what the steps say: readings overlap, so that their times spread most."""
+"""Ratio from which prefill times count as different after correction for step pace. Prefills
+overlap, so their times vary most."""
 _CHANGE = 1.15
-"""A lasting pace stays as it is until it seems to have changed by so many times."""
+"""Factor by which the measured long-term pace must deviate before the stored one is updated."""
 _SETTLE_SECONDS = 0.25
 _KEPT_SECONDS = 120.0
-"""A lasting pace of which nothing is seen for so long is forgotten: who is avoided for it is tried
-again, since it may have been mended."""
+"""Seconds without samples after which a long-term pace is reset, so that an engine that was avoided
+for it is tried again: it may have been repaired."""
 _MOST_RATIO = 20.0
 _STEP_WEIGHT = 0.03
-"""Of one pause: some 30 of them count, which a stream or two bring in a second."""
+"""Weight of a single pause: about the last 30 count, which one or two streams produce in a second.
+"""
 _STREAM_STEP_WEIGHT = 0.2
-"""Of a typical pause of one stream: as much as some seven single pauses."""
+"""Weight of a typical pause of one stream, equal to about seven single pauses."""
 _LEAST_SHORT = 0.5
 _FORGET_SECONDS = 20.0
-"""An upstream that slowed down for a while is tried again; one that is slow by itself shows it."""
+"""Time in which the short-term pace decays. An upstream that slowed down for a while is tried
+again; one that is still slow shows it in new samples."""
 
 
 class UsualTime:
-    """The median of times over some seconds."""
+    """Median of recent times over several seconds."""
 
     def __init__(self) -> None:
         self._slots: deque[float] = deque(maxlen=_MOST_SLOTS)
@@ -61,11 +70,11 @@
         self.median = 0.0
 
     def known(self, slots: int) -> bool:
-        """Return whether something was noted in so many slots of time."""
+        """Return whether at least this many time slots have a sample."""
         return len(self._slots) >= slots
 
     def note(self, seconds: float, now: float) -> None:
-        """Note one time above 0; the first in each slot of time counts."""
+        """Record one time above 0; only the first in each time slot counts."""
         if now < self._slot_ends:
             return
         self._slot_ends = now + _SLOT_SECONDS
@@ -75,7 +84,7 @@
 
 @dataclass(frozen=True)
 class LastingPace:
-    """How many times slower than its like an engine works for its life."""
+    """Long-term slowness of an engine relative to the others of its service."""
 
     upstream: str
     steps: float
@@ -83,67 +92,76 @@
 
 
 class EnginePace:
-    """The pace of one engine."""
+    """Pace of one engine."""
 
     def __init__(self) -> None:
         self.steps = UsualTime()
         self.readings = UsualTime()
         self.lasting_steps = 1.0
-        """Times slower than its like; 1 until it is known to differ."""
+        """Step slowness relative to the other engines; 1 until a difference is established."""
         self.lasting_reading = 1.0
-        """The same of reading, beside what its steps say."""
+        """Prefill slowness relative to the other engines, in addition to the step slowness."""
         self.tried = False
-        """Whether anything is known of it."""
+        """Whether anything is known about this engine."""
         self.plain = False
-        """Whether it gives plain answers, of which each counts as a reading."""
+        """Whether the engine gives plain answers, each of which counts as a prefill."""
         self._seen_at: float | None = None
-        """When something that lasts was noted; None where only another gateway told of it."""
+        """Time of the last long-term sample; None if only another gateway has reported the pace."""
         self._short = 1.0
         self._short_at = 0.0
 
     def step_slowness(self, now: float) -> float:
-        """Return how many times slower than its like it steps."""
+        """Return how many times slower than the other engines it makes a step."""
         if self._short == 1.0:
             return self.lasting_steps
         return self.lasting_steps * self._short_part(now)
 
     def read_slowness(self, now: float) -> float:
-        """Return how many times slower than its like it reads prompts."""
+        """Return how many times slower than the other engines it processes prompts."""
         return self.step_slowness(now) * self.lasting_reading
 
     def note_step(self, ratio: float, now: float) -> None:
-        """Learn of the moment from a pause between events against what is usual."""
+        """Update the short-term pace from one pause between events.
+
+        `ratio` is the ratio of the pause to the typical one.
+        """
         self._note(ratio, _STEP_WEIGHT, now)
 
     def note_steps(self, ratio: float, now: float) -> None:
-        """Learn of the moment from a typical pause of one stream against what is usual."""
+        """Update the short-term pace from a typical pause of one stream.
+
+        `ratio` is the ratio of the pause to the typical one of all streams.
+        """
         self._note(ratio, _STREAM_STEP_WEIGHT, now)
 
     def note_pause(self, seconds: float, now: float) -> None:
-        """Learn what lasts from a typical pause of one stream beside which little was read."""
+        """Add a typical pause of one stream, with little concurrent prefill, to the samples.
+
+        These samples determine the long-term step pace.
+        """
         self.tried = True
         self._seen_at = now
         self.steps.note(seconds, now)
 
     def note_reading(self, seconds: float, now: float) -> None:
-        """Learn what lasts from the seconds that reading a token took."""
+        """Add the seconds of prefill per token to the long-term samples."""
         self.tried = True
         self._seen_at = now
         self.readings.note(seconds, now)
 
     def note_answer(self, seconds: float, now: float) -> None:
-        """Learn what lasts from the seconds that a plain answer took."""
+        """Add the seconds of a plain answer to the long-term samples."""
         self.plain = True
         self.note_reading(seconds, now)
 
     def settle(self, steps: float, reading: float) -> None:
-        """Take what lasts; what is known of the moment stays as it is."""
+        """Set the long-term pace; the total short-term estimate stays unchanged."""
         self._short = max(_LEAST_SHORT, self._short * self.lasting_steps / steps)
         self.lasting_steps = steps
         self.lasting_reading = reading
 
     def forget_old(self, now: float) -> None:
-        """Forget what lasts where nothing was seen of it for long."""
+        """Reset the long-term pace if there were no samples for a long time."""
         if self._seen_at is None:
             self._seen_at = now
         if now - self._seen_at > _KEPT_SECONDS:
@@ -153,7 +171,7 @@
             self.settle(1.0, 1.0)
 
     def presume(self, steps: float, reading: float) -> None:
-        """Take what another gateway has found, until own evidence says something else."""
+        """Adopt the pace reported by another gateway until own samples contradict it."""
         if not self.tried:
             self.tried = True
             self.settle(steps, reading)
@@ -170,28 +188,28 @@
 
 
 class ServicePaces:
-    """The paces of a service's engines, held against their median."""
+    """Paces of a service's engines, compared with their median."""
 
     def __init__(self) -> None:
         self._paces: dict[str, EnginePace] = {}
         self._settled_at = float("-inf")
         self.differing = False
-        """Whether some engine is known to differ for good."""
+        """Whether some engine is known to differ long-term."""
         self.changes = 0
-        """Lasting paces that were settled or changed so far."""
+        """Number of times that a long-term pace was set or changed."""
         self._changed: dict[str, LastingPace] = {}
 
     def add(self, upstream: str, pace: EnginePace) -> None:
-        """Count an engine in."""
+        """Add an engine."""
         self._paces[upstream] = pace
 
     def keep(self, upstreams: Collection[str]) -> None:
-        """Count out all engines but some."""
+        """Remove all engines except `upstreams`."""
         for upstream in self._paces.keys() - set(upstreams):
             del self._paces[upstream]
 
     def known(self) -> list[LastingPace]:
-        """Return the upstreams of which something is known."""
+        """Return the paces of the upstreams of which something is known."""
         return [
             LastingPace(upstream, pace.lasting_steps, pace.lasting_reading)
             for upstream, pace in self._paces.items()
@@ -199,22 +217,22 @@
         ]
 
     def lasting(self) -> list[LastingPace]:
-        """Return the upstreams that are known to differ."""
+        """Return the paces of the upstreams that are known to differ."""
         return [item for item in self.known() if (item.steps, item.reading) != (1.0, 1.0)]
 
     def presume(self, told: LastingPace, pace: EnginePace) -> None:
-        """Take what another gateway has found of an engine of which nothing is known here."""
+        """Adopt the pace reported by another gateway for an engine that is unknown here."""
         self.add(told.upstream, pace)
         pace.presume(told.steps, told.reading)
         self.differing = self.differing or _pair(pace) != (1.0, 1.0)
 
     def take_changes(self) -> list[LastingPace]:
-        """Return the lasting paces that changed since this was asked before."""
+        """Return the long-term paces that changed since the last call."""
         changed, self._changed = self._changed, {}
         return list(changed.values())
 
     def settle(self, now: float) -> None:
-        """Hold each engine against the median of all, now and then."""
+        """Compare each engine with the median of all, at a limited rate."""
         if now < self._settled_at + _SETTLE_SECONDS:
             return
         self._settled_at = now
@@ -238,7 +256,7 @@
     def _lasting(
         self, pace: EnginePace, usual_step: float, usual_reading: float
     ) -> tuple[float, float]:
-        """Return what lasts of the steps and, beside them, of the readings of one engine."""
+        """Return the long-term step slowness of one engine and its additional prefill slowness."""
         steps, reading = pace.lasting_steps, pace.lasting_reading
         if usual_step and pace.steps.known(_LEAST_STEPS):
             steps = _follow(steps, pace.steps.median / usual_step, _LEAST_DIFFERENCE)
@@ -255,14 +273,14 @@
 
 
 def _usual(times: list[UsualTime], slots: int) -> float:
-    """Return the median over the engines, 0 where too few are known to tell which are usual."""
+    """Return the median over the engines, 0 if too few are known to tell which are typical."""
     known = [item.median for item in times if item.known(slots)]
     enough = max(_LEAST_ENGINES, len(times) / 2)
     return statistics.median(known) if len(known) >= enough else 0.0
 
 
 def _follow(standing: float, seen: float, least: float) -> float:
-    """Return what lasts, after it stood at one value and another one was seen."""
+    """Return the new long-term value for a current one and a measured one."""
     if abs(math.log(seen / standing)) < math.log(_CHANGE):
         return standing
     return seen if abs(math.log(seen)) >= math.log(least) else 1.0
--- a/src/lotushill/placement/failure_rate.py
+++ b/src/lotushill/placement/failure_rate.py
@@ -1,4 +1,4 @@
-"""How often an upstream fails, from outcomes that fade with time."""
+"""Failure rate of an upstream, from outcomes whose weight decays with time."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 _PRIOR_FAILURES = 0.02
 _PRIOR_TOTAL = 1.0
 _MOST_TOTAL = 8.0
-"""Outcomes that count at most. All gateways tell theirs: without a bound, many streams lost at once
-would keep an upstream out for long, and a few that went well would not bring it back."""
+"""Maximum total weight of outcomes. All gateways report theirs: without a bound, many streams lost
+at once would exclude an upstream for long, and a few successes would not bring it back."""
 
 
 class FailureRate:
-    """Outcomes with exponential decay, of which the latest few count."""
+    """Outcomes with exponential decay and a bounded total weight."""
 
     def __init__(self) -> None:
         self._failed = 0.0
@@ -19,7 +19,7 @@
         self._at = 0.0
 
     def note(self, failed: bool, now: float, weight: float = 1.0) -> None:
-        """Note one outcome."""
+        """Record one outcome."""
         self._fade(now)
         self._total += weight
         if failed:
@@ -29,7 +29,7 @@
             self._total = _MOST_TOTAL
 
     def rate(self, now: float) -> float:
-        """Return the likely share of failures, in 0 to 1."""
+        """Return the expected fraction of failures, 0 to 1."""
         self._fade(now)
         return (self._failed + _PRIOR_FAILURES) / (self._total + _PRIOR_TOTAL)
 
--- a/src/lotushill/placement/fetch.py
+++ b/src/lotushill/placement/fetch.py
@@ -1,7 +1,7 @@
-"""Prompt parts taken from another upstream's memory in place of reading them again.
+"""Plans copies of cached prompt parts between upstreams, in place of another prefill.
 
-A part of some thousand tokens is copied in a third of the time that reading it takes, keeps nobody
-else waiting, and is priced at a small part of reading it. Pure.
+Copying a part of some thousand tokens takes a third of the time of its prefill, does not delay
+other requests, and costs a small fraction of a prefill. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -18,9 +18,10 @@
 _SETUP_SECONDS = 0.005
 _OTHER_HALL_FACTOR = 2.0
 _LEAST_TOKENS = 256
-"""Fewer are read as quickly as they are fetched."""
+"""Minimum number of tokens to copy; fewer are processed as quickly as they are copied."""
 _LARGEST_SHARE = 0.8
-"""Of the time that reading takes; a copy that saves less is not worth its price."""
+"""Maximum time of a copy as a fraction of the prefill time; a copy that saves less is not worth its
+price."""
 
 
 @dataclass(frozen=True)
@@ -30,7 +31,7 @@
     source: Upstream
     tokens: int
     seconds: float
-    """Predicted."""
+    """Predicted time of the copy."""
 
 
 class FetchPlanner:
@@ -39,7 +40,10 @@
     def __init__(
         self, engine: EngineProfile, kept: Mapping[str, int], upstreams: Mapping[str, Upstream]
     ) -> None:
-        """Plan copies; `kept` tells the leading prompt tokens that each sound upstream keeps."""
+        """Prepare copies between upstreams.
+
+        `kept` maps each healthy upstream to the number of leading prompt tokens that it caches.
+        """
         self._engine = engine
         self._best = max(kept.values(), default=0)
         sources = [upstreams[name] for name, held in kept.items() if held == self._best]
@@ -48,9 +52,9 @@
         self._near = {item.hall: item for item in reversed(sources)}
 
     def plan(self, target: Upstream, own: int, read_rate: float) -> Fetch | None:
-        """Return the copy that saves `target` most, which itself keeps `own` tokens.
+        """Return the copy that saves `target` the most tokens, None if no copy is worthwhile.
 
-        `read_rate` is in tokens a second.
+        The target itself caches `own` tokens. `read_rate` is in tokens per second.
         """
         tokens = self._best - own
         source = self._near.get(target.hall, self._source)
--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -1,7 +1,7 @@
-"""Chooses the upstream of a request by what it would cost, from a model of every upstream.
+"""Chooses the upstream with the lowest expected cost for a request, from a model of all upstreams.
 
-The model is fed by this gateway's own requests and by what the other gateways tell of theirs.
-Costs are shares of one request's credit. Nothing here reads a clock or does I/O.
+The model is updated from this gateway's own requests and from the reports of the other gateways.
+Costs are shares of one request's credit. This module reads no clock and performs no I/O.
 """
 
 from __future__ import annotations
@@ -57,21 +57,21 @@
     from lotushill.routing.upstream import Upstream
 
 _SOUND_RATE = 0.2
-"""Nothing is copied from an upstream that fails more often than this."""
+"""Failure rate above which nothing is copied from an upstream."""
 _FAR_WEIGHT = 0.3
-"""What an outcome of another hall counts beside one of the own hall."""
+"""Weight of an outcome reported from another hall, relative to one from the own hall."""
 _NOT_SENT_WEIGHT = 0.5
-"""What an upstream that one gateway could not reach counts beside one that failed it: the gateway
-may be what is cut off."""
+"""Weight of a failure to reach an upstream, relative to a failure of the upstream itself: the
+gateway may be what is disconnected."""
 _MOST_RANKED = 10_000
 _RANKS_KEPT = 32
 NO_UPSTREAM_RETRY = 1.0
-"""Seconds after which an upstream may have come."""
+"""Retry delay if there is no upstream; one may have been registered by then."""
 
 
 @dataclass(frozen=True)
 class _Where:
-    """Where a request runs."""
+    """The upstream and service that run a request."""
 
     upstream: str
     service: Service
@@ -86,10 +86,10 @@
         recent_seconds: float = 10.0,
         is_cut_off: Callable[[str], bool] = lambda _: False,
     ) -> None:
-        """Make a model seen from `hall`.
+        """Create a model for a gateway in `hall`.
 
-        Parts used within `recent_seconds` are worth keeping; `is_cut_off` tells whether a hall
-        seems out of reach.
+        Parts used within `recent_seconds` are worth caching; `is_cut_off` returns whether a hall
+        seems unreachable.
         """
         self._hall = hall
         self._is_cut_off = is_cut_off
@@ -101,8 +101,6 @@
         self._paces: dict[str, Pace] = {}
         self._where: dict[int, _Where] = {}
 
-    # Feeding the model
-
     def load(self, upstream_id: str) -> UpstreamLoad:
         """Return the load of an upstream."""
         found = self._loads.get(upstream_id)
@@ -118,16 +116,16 @@
         return found
 
     def note_arrival(self, need: Need, now: float) -> None:
-        """Learn of a request that has come; not again when it is looked for again."""
+        """Record the arrival of a request; not called again when its placement is retried."""
         self.shedding.usual.note_size(need.route, need.size)
         self.shares.note_arrival(need, now)
 
     def presume_pace(self, told: LastingPace, service: str) -> None:
-        """Take a pace that another scheduler has found, where nothing is known here."""
+        """Adopt a pace reported by another scheduler if none is known here."""
         self.engine_paces.presume(told, service, self.load(told.upstream).pace)
 
     def start(self, placed: Placed, service: Service, now: float) -> None:
-        """Count a request in, of this gateway or of another."""
+        """Add a running request of this gateway or another one."""
         engine = service.engine
         load = self.load(placed.upstream)
         load.start(placed, engine.memory_tokens if engine else 0, now)
@@ -139,7 +137,7 @@
         self._where[placed.request] = _Where(placed.upstream, service)
 
     def begin(self, began: Began, now: float) -> None:
-        """Note the first event of a request, and learn from when it came."""
+        """Record the first event of a request and update the estimates from its time."""
         where = self._where.get(began.request)
         if where is None:
             return
@@ -147,7 +145,7 @@
         load.begin(began.request, now)
         placed = load.running.get(began.request)
         if placed is not None:
-            # It may have stood in the engine's queue for longer than starts are remembered.
+            # It may have waited in the engine's queue for longer than starts are stored.
             self.shedding.starts.note(where.service.name, placed.tier, placed.prompt, now)
         if placed is None or not _is_time(began.seconds):
             return
@@ -156,7 +154,7 @@
         self.engine_paces.of(where.service.name).settle(now)
 
     def note_paced(self, paced: Paced, now: float) -> None:
-        """Learn how fast an upstream steps from one of its streams."""
+        """Update the step pace of an upstream from one of its streams."""
         where = self._where.get(paced.request)
         if where is None or not _is_time(paced.pause):
             return
@@ -165,9 +163,10 @@
         self.engine_paces.of(where.service.name).settle(now)
 
     def end(self, ended: Ended, now: float, near: bool = True) -> None:
-        """Count a request out, and learn from its end; `near` says that the own hall told it.
+        """Remove a request and update the estimates from its outcome.
 
-        What fails for another hall may be its way there, and counts for less here.
+        `near` tells that a gateway of the own hall reported it. A failure reported from another
+        hall may lie in the path from there, and has less weight here.
         """
         where = self._where.pop(ended.request, None)
         if where is None:
@@ -187,16 +186,19 @@
             self.pace(where.service.name).note_end(ended.seconds, ended.outcome, now)
 
     def knows(self, request: int) -> bool:
-        """Return whether a request is counted in."""
+        """Return whether a request is recorded as running."""
         return request in self._where
 
     def find(self, request: int) -> Placed | None:
-        """Return a request that is counted in, None without one."""
+        """Return a running request, None if it is not recorded."""
         where = self._where.get(request)
         return self._loads[where.upstream].running.get(request) if where else None
 
     def forget(self, known: set[str], now: float) -> None:
-        """Drop what is no longer of use: idle upstreams that no view knows, and old parts."""
+        """Remove data that is no longer needed.
+
+        That is, idle upstreams that are in no view, and old prompt parts.
+        """
         self.recent.forget(now)
         self.shares.forget(now)
         for upstream_id, load in list(self._loads.items()):
@@ -204,8 +206,6 @@
                 del self._loads[upstream_id]
         self.engine_paces.keep(self._loads)
 
-    # Choosing
-
     def choose(
         self,
         need: Need,
@@ -215,9 +215,10 @@
         now: float,
         closed: frozenset[str] = frozenset(),
     ) -> Choice | NoChoice:
-        """Return the cheapest upstream that can serve a request, or why there is none.
+        """Return the upstream with the lowest cost for a request, or the reason why there is none.
 
-        What is `closed` has no room now: it gets nothing, but counts for the room of all.
+        Upstreams in `closed` have no room now: they get no request, but count for the total number
+        of slots.
         """
         self.shares.note_ask(need, now)
         known = {item.id: item for item in upstreams}
@@ -243,8 +244,8 @@
             return refused
         if self._gives_way(need, service, choices, now):
             return self._explained(self.shedding.refuse_for_teams(need, choices, now), need, now)
-        # What waits for a slot keeps it from more urgent ones that come later: engines let them in
-        # first, but do not take a slot away.
+        # A request that waits for a slot on an engine keeps it from more urgent ones that arrive
+        # later: engines admit these first, but do not take a slot away.
         open_ones = [choice for choice in choices if not choice.full]
         best = min(open_ones or choices, key=lambda choice: choice.cost)
         if best.first > need.patience:
@@ -253,18 +254,18 @@
         return replace(best, returned=True) if returned else best
 
     def note_taken(self, need: Need, now: float) -> None:
-        """Note that a choice for a request is used, so that its caller's place is."""
+        """Record that a choice is used, which uses up the reserved place of its caller."""
         self.shares.note_placed(need, now)
         self.shedding.returns.note_placed(need.caller, now)
 
     def _keeps_slots_from(
         self, need: Need, service: Service, upstreams: Sequence[Upstream], now: float
     ) -> Refusal | None:
-        """Return why the slots that are left are kept from a long request, None if they are not.
+        """Return why the remaining slots are withheld from a long request, None if they are not.
 
-        They are for more urgent requests, or for teams that have had less. Asked before any
-        upstream is weighed: a long request that waits asks again some thirty times a second, just
-        when schedulers have the most to do.
+        They are reserved for more urgent requests, or for teams with less usage. This is checked
+        before any upstream is weighed: a waiting long request is tried again about thirty times a
+        second, just when schedulers are busiest.
         """
         if service.engine is None or not self.shedding.is_long(need):
             return None
@@ -287,7 +288,7 @@
         upstreams: Sequence[Upstream],
         most: float | None = None,
     ) -> bool:
-        """Return whether the free slots are no more than are kept for more urgent requests."""
+        """Return whether the free slots do not exceed those reserved for more urgent requests."""
         loads = [self.load(item.id) for item in upstreams]
         held = sum(len(load.running) for load in loads)
         urgent = sum(load.more_urgent(need.tier) for load in loads)
@@ -296,13 +297,13 @@
     def _gives_way(
         self, need: Need, service: Service, choices: Sequence[Choice], now: float
     ) -> bool:
-        """Return whether a request leaves the room to teams that have had less of their share."""
+        """Return whether a request yields the room to teams that have used less of their share."""
         if not has_to_wait(need, choices, service.engine is not None):
             return False
         return self.shares.over_share(need, now) and not self.shedding.must_serve(need, now)
 
     def _explained(self, refused: NoChoice, need: Need, now: float) -> NoChoice:
-        """Return a refusal with the standing of the team, where that is its reason."""
+        """Return a refusal with the relative usage of the team, if that is its reason."""
         if refused.refusal is not Refusal.SHARE:
             return refused
         return replace(refused, standing=self.shares.beside_others(need, now))
@@ -315,7 +316,7 @@
         upstreams: Iterable[Upstream],
         now: float,
     ) -> Upstream | None:
-        """Return where a copy of a run's memory is worth keeping, None if nowhere."""
+        """Return the upstream that should hold a copy of a run's memory, None if none should."""
         engine = service.engine
         if engine is None or not engine.backups:
             return None
@@ -366,7 +367,7 @@
         cut: frozenset[str],
         now: float,
     ) -> FetchPlanner | None:
-        """Return what can be copied from where, among upstreams that are sound."""
+        """Return the planner of copies from healthy upstreams, None if the engines cannot copy."""
         if not engine.link_rate:
             return None
         shared = chain[:-1]
@@ -379,13 +380,13 @@
 
 
 def _is_time(seconds: float) -> bool:
-    """Return whether something can be learned from a time that a gateway told."""
+    """Return whether a time reported by a gateway is usable as a sample."""
     return 0.0 < seconds < math.inf
 
 
 @lru_cache(maxsize=_RANKS_KEPT)
 def _ranks(service: str, upstreams: tuple[str, ...]) -> dict[str, float]:
-    """Return the place of each upstream, from 0 to 1, in an order that all gateways share."""
+    """Return the position of each upstream, from 0 to 1, in an order that all gateways share."""
     order = ranked(service, upstreams, _MOST_RANKED)
     last = max(1, len(order) - 1)
     return {upstream: place / last for place, upstream in enumerate(order)}
--- a/src/lotushill/placement/fleet_paces.py
+++ b/src/lotushill/placement/fleet_paces.py
@@ -1,4 +1,4 @@
-"""The lasting paces of the upstreams of all services."""
+"""Long-term paces of the upstreams of all services."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
         return found
 
     def known(self) -> list[LastingPace]:
-        """Return the lasting paces of all upstreams of which something is known."""
+        """Return the long-term paces of all upstreams of which something is known."""
         return [item for paces in self._services.values() for item in paces.known()]
 
     def lasting(self) -> list[LastingPace]:
-        """Return the upstreams that are known to differ from their like."""
+        """Return the long-term paces of the upstreams that differ from others of their service."""
         return [item for paces in self._services.values() for item in paces.lasting()]
 
     def presume(self, told: LastingPace, service: str, pace: EnginePace) -> None:
-        """Take what another scheduler has found, where nothing is known here."""
+        """Adopt a pace reported by another scheduler if none is known here."""
         self.of(service).presume(told, pace)
 
     def take_changes(self) -> list[LastingPace]:
-        """Return the lasting paces that changed since this was asked before."""
+        """Return the long-term paces that changed since the last call."""
         return [item for paces in self._services.values() for item in paces.take_changes()]
 
     def keep(self, upstreams: Collection[str]) -> None:
-        """Count out all upstreams but some."""
+        """Remove all upstreams except `upstreams`."""
         for paces in self._services.values():
             paces.keep(upstreams)
--- a/src/lotushill/placement/kept_parts.py
+++ b/src/lotushill/placement/kept_parts.py
@@ -1,4 +1,4 @@
-"""Which prompt parts an upstream still keeps, told by what was sent there."""
+"""Model of an upstream's prefix cache, derived from the prompts that were sent there."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
     from lotushill.routing.demand import PromptPart
 
     Chain = tuple[tuple[int, PromptPart], ...]
-    """Parts in order, each with a key that covers all parts before it as well."""
+    """Prompt parts in order, each with a key that also covers all parts before it."""
 
 _SEED = 0x9E3779B97F4A7C15
 _MASK = (1 << 64) - 1
 
 
 class KeptParts:
-    """Parts by their whole chain, the longest unused first to give way."""
+    """LRU cache of prompt parts, each identified by its whole chain of parts."""
 
     def __init__(self) -> None:
         self._tokens: OrderedDict[int, int] = OrderedDict()
         self._held = 0
 
     def matched(self, parts: Iterable[PromptPart]) -> int:
-        """Return how many leading tokens of a prompt are likely kept."""
+        """Return how many leading tokens of a prompt are probably cached."""
         return self.matched_chain(tuple(chained(parts)))
 
     def matched_chain(self, chain: Chain) -> int:
-        """Return the same for parts that were chained before, as for many upstreams at once."""
+        """Return the same for parts that are already chained.
+
+        The chain is computed once for many upstreams.
+        """
         total = 0
         for key, part in chain:
             if key not in self._tokens:
@@ -39,7 +42,7 @@
         return total
 
     def touch(self, parts: Iterable[PromptPart], room: int) -> None:
-        """Note that a prompt was read, where parts of `room` tokens in all can be kept."""
+        """Record that a prompt was processed, with a cache capacity of `room` tokens."""
         for key, part in chained(parts):
             if key in self._tokens:
                 self._tokens.move_to_end(key)
@@ -52,7 +55,7 @@
 
 
 def chained(parts: Iterable[PromptPart]) -> Iterator[tuple[int, PromptPart]]:
-    """Yield each part with a key that covers all parts before it as well."""
+    """Yield each part with a key that also covers all parts before it."""
     key = _SEED
     for part in parts:
         key = ((key ^ part.id) * _SEED + part.tokens) & _MASK
--- a/src/lotushill/placement/learning.py
+++ b/src/lotushill/placement/learning.py
@@ -1,4 +1,4 @@
-"""What an upstream's load and the pace of its service learn from the events of requests. Pure."""
+"""Updates an upstream's load and its service's pace from request events. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
     from lotushill.routing.service import Service
 
 PACED_EVENTS = 8
-"""Pauses of which the pace of a stream is told: a quarter of a second of a usual one."""
+"""Number of pauses from which the pace of a stream is reported: a quarter of a second of a typical
+stream."""
 _QUIET_EVENTS = 4
-"""Of these pauses, so many without readings beside them tell what lasts: it is the third shortest
-that is told."""
+"""Number of pauses without concurrent prefill that suffices for a long-term sample. The third
+shortest of the pauses is reported."""
 
 
 def learn_first_event(
     placed: Placed, seconds: float, load: UpstreamLoad, pace: Pace, service: Service, now: float
 ) -> None:
-    """Learn from the first event of a request, so long after it was sent."""
+    """Update the estimates from the first event of a request, `seconds` after it was sent."""
     if placed.first > 0.0:
         load.note_pace(seconds / placed.first, now)
     if service.engine is None:
         load.pace.note_answer(seconds, now)
         pace.note_answer(seconds / load.pace.lasting_reading)
         return
-    # What lasts is told only by a prompt that had no other one beside it.
+    # Only a prompt without any concurrent one is a sample for the long-term pace.
     alone = placed.ahead <= placed.reading and not load.unread.any_left
     a_token = reading_seconds(placed.ahead, seconds)
     if alone and a_token is not None:
@@ -39,10 +40,10 @@
 
 
 def learn_pause(pause: float, load: UpstreamLoad, quiet: QuietPause, now: float) -> None:
-    """Learn how fast an upstream steps from a typical pause of one of its streams.
+    """Update the step pace of an upstream from a typical pause of one of its streams.
 
-    Pauses beside the reading of prompts are longer and say nothing of it: with them, every busy
-    upstream would look slow.
+    Pauses during the prefill of other prompts are longer and unrelated to the pace: if they
+    counted, every busy upstream would look slow.
     """
     idle = load.unread.idle_for(now)
     if idle < _QUIET_EVENTS * pause:
--- a/src/lotushill/placement/memory_copies.py
+++ b/src/lotushill/placement/memory_copies.py
@@ -1,4 +1,4 @@
-"""Copies of engine memory that one attempt asks for."""
+"""Copies of engine memory requested by one attempt."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @dataclass(frozen=True)
 class MemoryCopies:
-    """Copies of engine memory that one attempt asks for; engines are told by their addresses."""
+    """Copies of engine memory requested by one attempt; engines are identified by address."""
 
     fetch_from: str = ""
-    """Engine to take kept prompt parts from."""
+    """Engine to copy cached prompt parts from."""
     backup_to: str = ""
     """Engine that is to hold a copy of the run's memory as it grows."""
     continues_at: str = ""
-    """Engine that holds such a copy, from which the run goes on, or that gave the handle."""
+    """Engine that holds such a copy, from which the run resumes, or that issued the handle."""
     run: str = ""
-    """Id of the request whose run goes on, or the handle of its memory."""
+    """Id of the request whose run resumes, or the handle of its memory."""
 
     @property
     def memory(self) -> str:
-        """Return what names the memory that the run goes on from, empty for none."""
+        """Return the identifier of the memory from which the run resumes, empty for none."""
         return f"{self.continues_at}/{self.run}" if self.continues_at else ""
 
 
--- a/src/lotushill/placement/messages.py
+++ b/src/lotushill/placement/messages.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of the requests that they run; times are seconds."""
+"""Messages between gateways about the requests that they run; times are in seconds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @lru_cache(maxsize=_ROUTES_KEPT)
 def route_number(name: str) -> int:
-    """Return the number that stands for a route, the same at all gateways."""
+    """Return the number that identifies a route, the same on all gateways."""
     return xxhash.xxh32_intdigest(name)
 
 
@@ -22,82 +22,82 @@
     """A request was sent to an upstream, or still runs there."""
 
     request: int
-    """Number of the attempt, the same at all gateways and hardly ever that of another."""
+    """Number of the attempt, the same on all gateways and practically unique."""
     upstream: str
     reading: int
-    """Prompt tokens that the upstream has to read for it."""
+    """Prompt tokens that the upstream has to process for this request."""
     memory: int
-    """Tokens of prompt and answer that it may hold in the end."""
+    """Maximum number of prompt and answer tokens that the request may occupy in the end."""
     gap: float
     """Longest pause between its events that is in time, 0 for none."""
     seconds: float
-    """How long it is expected to run."""
+    """Expected duration of the run."""
     age: float
-    """How long it has run already."""
+    """Time since the run started."""
     part_ids: tuple[int, ...] = ()
-    """The parts of its prompt, in order."""
+    """Ids of the parts of its prompt, in order."""
     part_tokens: tuple[int, ...] = ()
     began: bool = False
-    """Whether its first event has come, so that its prompt has been read."""
+    """Whether its first event has arrived, and its prompt is therefore processed."""
     route: int = 0
     """Number of its route."""
     tier: int = 0
-    """0 is the most urgent."""
+    """Tier; 0 is the most urgent."""
     prompt: int = 0
-    """Tokens of its whole prompt."""
+    """Tokens of the whole prompt."""
     first: float = 0.0
-    """Predicted time to its first event, 0 where that was not predicted."""
+    """Predicted time to its first event, 0 if it was not predicted."""
     ahead: int = 0
-    """Prompt tokens that are read until then, those of others included."""
+    """Prompt tokens processed until the first event, including those of other requests."""
     team: int = 0
     """Number of its team, 0 for none."""
 
 
 class Outcome(IntEnum):
-    """How an attempt ended."""
+    """Outcome of an attempt."""
 
     UNKNOWN = 0
-    """Nothing is learned of the upstream: the client left, or time ran out."""
+    """Says nothing about the upstream: the client disconnected, or the deadline expired."""
     WHOLE = 1
     FAILED = 2
-    """The upstream answered with a failure, refused it, or was silent."""
+    """The upstream answered with an error, refused the request, or did not answer."""
     CUT = 3
-    """The stream was broken off after its first event."""
+    """The stream was interrupted after its first event."""
     NOT_SENT = 4
     """The upstream could not be reached."""
 
 
 @dataclass(frozen=True)
 class Began:
-    """The first event of a request has come."""
+    """The first event of a request has arrived."""
 
     request: int
     seconds: float = 0.0
-    """After it was sent; 0 where that was told before."""
+    """Time since the request was sent; 0 if it was reported before."""
 
 
 @dataclass(frozen=True)
 class Paced:
-    """How quickly the events of a stream follow one another."""
+    """Interval between the events of a stream."""
 
     request: int
     pause: float
-    """A typical one of its shorter pauses, so that readings beside it hardly count."""
+    """A typical one of its shorter pauses, so that concurrent prefill hardly counts."""
 
 
 @dataclass(frozen=True)
 class Ended:
-    """A request no longer runs at its upstream."""
+    """A request no longer runs on its upstream."""
 
     request: int
     outcome: Outcome = Outcome.UNKNOWN
     seconds: float = 0.0
-    """How long it ran."""
+    """Duration of the run."""
 
 
 @dataclass(frozen=True)
 class Load:
-    """News of one gateway's requests; with `whole`, `running` names all that it runs."""
+    """Load report of one gateway; if `whole` is set, `running` lists all requests that it runs."""
 
     sender: str
     whole: bool
@@ -109,7 +109,7 @@
 
     @property
     def number(self) -> int:
-        """Return the number of the request that is told of, 0 where it is a list of all."""
+        """Return the number of the request that the report is about, 0 if it lists all requests."""
         if self.whole:
             return 0
         for told in (self.placed, self.began, self.paced, self.ended):
--- a/src/lotushill/placement/need.py
+++ b/src/lotushill/placement/need.py
@@ -1,4 +1,4 @@
-"""What placement has to know of a request."""
+"""Properties of a request that placement needs."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 _OUTPUT_WORTH = 10.0
-"""A token of an answer counts as so many of a prompt."""
+"""Number of prompt tokens that are as much work as one answer token."""
 
 
 @dataclass(frozen=True)
 class Need:
-    """One request in search of an upstream; times are seconds, lengths tokens."""
+    """One request to place; times are in seconds, lengths in tokens."""
 
     service: str
     route: str
@@ -27,23 +27,23 @@
     stream: bool
     prompt_tokens: int
     output_tokens: int
-    """Likely length of the answer."""
+    """Expected length of the answer."""
     parts: tuple[PromptPart, ...]
-    """The last one is the request's own; the others may be shared."""
+    """Parts of the prompt; the last one is specific to this request, the others may be shared."""
     tier: int = 0
-    """0 is the most urgent."""
+    """Tier; 0 is the most urgent."""
     team: str = ""
-    """Whose request it is, empty where requests need no key."""
+    """Team of the request, empty if requests need no key."""
     share: float = 1.0
-    """Weight of its team's part of the service, beside other teams of the tier."""
+    """Weight of its team's share of the service, relative to other teams of the tier."""
     waited: float = 0.0
-    """Seconds since it came to its gateway."""
+    """Seconds since it arrived at its gateway."""
     caller: int = 0
-    """Number of what stays the same when its caller sends it again; 0 where that is not known."""
+    """Number that stays the same when its client sends it again; 0 if unknown."""
 
     @property
     def size(self) -> float:
-        """Return the work that the request is worth, in prompt tokens."""
+        """Return the amount of work of the request, in prompt tokens."""
         return self.prompt_tokens + _OUTPUT_WORTH * self.output_tokens
 
     @property
--- a/src/lotushill/placement/pace.py
+++ b/src/lotushill/placement/pace.py
@@ -1,4 +1,4 @@
-"""How fast the upstreams of a service work, learned from what gateways see."""
+"""Pace of the upstreams of a service, measured from the events that gateways observe."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 _LIKELY = 2.0
 _FIRST_STREAM_SECONDS = 2.0
 _LEAST_READING = 400
-"""Tokens below which the time to the first event says little of the reading rate."""
+"""Number of prompt tokens below which the time to the first event says little about the prefill
+rate."""
 _CLEAR_READING = 1500
-"""Tokens below which it says little of the pace of one engine."""
+"""Number of prompt tokens below which the time to the first event says little about the pace of one
+engine."""
 _OVERHEAD_SECONDS = 0.012
 _LONG_RISE = 0.5
 _LONG_FALL = 0.01
@@ -25,7 +27,10 @@
 
 
 def reading_seconds(reading: float, seconds: float) -> float | None:
-    """Return the seconds that each token took until a first event; None if that says little."""
+    """Return the prefill seconds per prompt token until a first event.
+
+    None if too few tokens were processed to tell.
+    """
     if reading < _CLEAR_READING:
         return None
     return max(0.001, seconds - _OVERHEAD_SECONDS) / reading
@@ -36,42 +41,46 @@
 
     def __init__(self) -> None:
         self.read_rate = _FIRST_READ_RATE
-        """Prompt tokens that one engine reads in a second."""
+        """Prompt tokens that one engine processes per second."""
         self.pauses = Pauses()
-        """Between the events of a stream."""
+        """Pauses between the events of a stream."""
         self.cuts = CutRate()
-        """Of streams whose upstream was lost."""
+        """Rate of streams whose upstream was lost."""
         self.answer_seconds = _FIRST_ANSWER_SECONDS
         """Seconds that a plain request takes, without waiting."""
         self.long_reading = 0.0
-        """Seconds that reading the longer prompts of the moment takes."""
+        """Seconds of prefill of the longer prompts in the current mix."""
 
         self.stream_seconds = _FIRST_STREAM_SECONDS
         """Seconds that a stream runs."""
 
     def note_end(self, seconds: float, outcome: Outcome, now: float) -> None:
-        """Learn from the end of a stream that ran for some seconds."""
+        """Update the averages from the end of a stream that ran for `seconds`."""
         if outcome is Outcome.WHOLE:
             self.stream_seconds += _RATE_WEIGHT * (seconds - self.stream_seconds)
         self.cuts.note(seconds, outcome is Outcome.CUT, now)
 
     def note_first_event(self, reading: float, seconds: float) -> None:
-        """Learn from a stream's first event, with `reading` tokens read until then."""
+        """Update the prefill rate from a stream's first event.
+
+        `reading` is the number of prompt tokens processed until then.
+        """
         if reading < _LEAST_READING:
             return
         busy = max(0.001, seconds - _OVERHEAD_SECONDS)
         rate = min(_HIGHEST_RATE, max(_LOWEST_RATE, reading / busy))
-        # One far from the average waited behind, or overtook, what the model does not see.
+        # A rate far from the average belongs to a request that waited behind, or overtook, requests
+        # that the model does not cover.
         rate = min(_LIKELY * self.read_rate, max(self.read_rate / _LIKELY, rate))
         self.read_rate += _RATE_WEIGHT * (rate - self.read_rate)
 
     def note_answer(self, seconds: float) -> None:
-        """Learn from a plain answer."""
+        """Update the average from a plain answer."""
         weight = _WEIGHT if seconds < self.answer_seconds else _SLOW_WEIGHT
         self.answer_seconds += weight * (seconds - self.answer_seconds)
 
     def note_reading(self, tokens: int) -> None:
-        """Learn the mix of prompts: the level moves quickly up and slowly down."""
+        """Update the level of long prompts in the current mix; it rises fast and falls slowly."""
         seconds = tokens / self.read_rate
         weight = _LONG_RISE if seconds > self.long_reading else _LONG_FALL
         self.long_reading += weight * (seconds - self.long_reading)
--- a/src/lotushill/placement/pauses.py
+++ b/src/lotushill/placement/pauses.py
@@ -1,8 +1,8 @@
-"""How long the pauses between a stream's events are, learned from events that were relayed.
+"""Model of the pauses between a stream's events, measured on relayed events.
 
-An engine reads prompts in pieces, one piece a step, between the tokens of the streams that run. A
-pause beside a reading therefore grows with what waits to be read only until each step within it
-carries a full piece: however many prompts wait, it gets no longer. Pure.
+An engine processes prompts in chunks, one chunk per step, between the tokens of the running
+streams. During prefill a pause therefore grows with the queued prompt tokens only until each step
+within it carries a full chunk: more queued prompts do not lengthen it further. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -12,41 +12,46 @@
 from lotushill.placement.quiet_pause import QuietPause
 
 _FULL_SHARE = 1.5
-"""So many times the bound must have waited, as far as is known, for a pause to be at its bound."""
+"""Multiple of the bound that must have been queued, as far as is known, for a pause to be at its
+bound."""
 _BOUND_STEP = 0.1
-"""Share of the bound by which one pause moves it."""
+"""Fraction of the bound by which one pause moves it."""
 _BOUND_QUANTILE = 0.5
-"""Of the pauses at their bound: some are shorter, since what seemed to wait had been read."""
+"""Quantile of the pauses at their bound. Some are shorter, since prompts that seemed to be queued
+were already processed."""
 _LIKELY = 3.0
-"""A pause so many times the usual was disturbed by something that is not seen here."""
+"""Multiple of the typical pause above which a pause was disturbed by something that is not observed
+here."""
 _MISS_MIDDLE = 0.95
-"""Of the longest pause allowed; a reading that goes on for several pauses may miss in each."""
+"""Fraction of the longest allowed pause at which a miss has probability one half. A prefill that
+spans several pauses may miss in each."""
 _MISS_STEEPNESS = 10.0
-"""Pauses spread by about a twelfth around what is predicted."""
+"""Steepness of the miss probability: pauses vary by about a twelfth around the prediction."""
 _LEAST_ALLOWED_SECONDS = 0.001
 
 
 class Pauses:
-    """The pauses of one service's streams, in seconds.
+    """Pauses of one service's streams, in seconds.
 
-    `slowness` tells how many times slower than its like an upstream is.
+    `slowness` is the ratio of an upstream's pauses to those of a typical one.
     """
 
     def __init__(self) -> None:
         self.quiet = QuietPause()
-        """Pauses while nothing is read beside the stream, on an upstream like most."""
+        """Pauses without concurrent prefill, on a typical upstream."""
         self.bound = math.inf
-        """The longest that a pause grows by readings; infinite until one was seen at its bound."""
+        """Maximum extra length of a pause during prefill; infinite until a pause at its bound was
+        observed."""
 
     @property
     def bound_known(self) -> bool:
-        """Return whether a pause at its bound was seen."""
+        """Return whether a pause at its bound was observed."""
         return math.isfinite(self.bound)
 
     def note(self, pause: float, waiting: float, running: int, slowness: float) -> float | None:
-        """Learn from a pause at whose start readings of `waiting` seconds were due.
+        """Update the model from a pause; at its start, `waiting` seconds of prefill were queued.
 
-        Return how many times longer than usual it was, None where readings were due.
+        Return the ratio of the pause to the typical one, None if prefill was queued.
         """
         usual = self.quiet.at(running)
         if waiting <= 0.0:
@@ -59,7 +64,7 @@
         return None
 
     def _note_grown(self, grown: float, waiting: float) -> None:
-        """Follow a quantile of the pauses that are at their bound."""
+        """Track a quantile of the pauses that are at their bound."""
         if not self.bound_known:
             if waiting > _FULL_SHARE * grown:
                 self.bound = grown
@@ -68,41 +73,44 @@
             self.bound *= 1.0 + _BOUND_STEP * quantile
 
     def beside(self, waiting: float, running: int, slowness: float) -> float:
-        """Return the pause of a stream beside readings of `waiting` seconds."""
+        """Return the pause of a stream while `waiting` seconds of prefill are queued."""
         return self.at(running, slowness).beside(waiting)
 
     def missed(self, waiting: float, running: int, slowness: float, longest: float) -> float:
-        """Return how likely a pause beside readings of `waiting` seconds exceeds `longest`."""
+        """Return the probability that a pause exceeds `longest` seconds.
+
+        During the pause `waiting` seconds of prefill are queued.
+        """
         return missed(self.beside(waiting, running, slowness), longest)
 
     def at(self, running: int, slowness: float) -> UpstreamPauses:
-        """Return the pauses on one upstream, where so many requests run."""
+        """Return the pauses on one upstream that runs `running` requests."""
         return UpstreamPauses(self.quiet.at(running) * slowness, self.bound * slowness)
 
 
 class UpstreamPauses:
-    """The pauses on one upstream at one moment, worked out once for all that is asked of them."""
+    """Pauses on one upstream at one moment, computed once for all queries."""
 
     __slots__ = ("_bound", "quiet")
 
     def __init__(self, quiet: float, bound: float) -> None:
         self.quiet = quiet
-        """Seconds, while nothing is read."""
+        """Pause in seconds without concurrent prefill."""
         self._bound = bound
 
     def beside(self, waiting: float) -> float:
-        """Return the pause beside readings of `waiting` seconds."""
+        """Return the pause while `waiting` seconds of prefill are queued."""
         return self.quiet + (waiting if waiting < self._bound else self._bound)
 
 
 def missed(likely: float, longest: float) -> float:
-    """Return how likely a pause that is likely so long exceeds `longest`."""
+    """Return the probability that a pause predicted to last `likely` seconds exceeds `longest`."""
     share = likely / max(_LEAST_ALLOWED_SECONDS, longest)
     return logistic(_MISS_STEEPNESS * (share - _MISS_MIDDLE))
 
 
 _CERTAIN = 40.0
-"""Beyond it the logistic function is 1 as far as numbers go."""
+"""Argument beyond which the logistic function is 1 in floating-point precision."""
 
 
 def logistic(value: float) -> float:
--- a/src/lotushill/placement/placed.py
+++ b/src/lotushill/placement/placed.py
@@ -1,4 +1,4 @@
-"""What is told of a request that goes to an upstream."""
+"""Builds the message about a request that is sent to an upstream."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def placed(request: int, need: Need, choice: Choice, engine: bool) -> Placed:
-    """Return what others have to know; `engine` says that a model engine runs it."""
+    """Return the message for other gateways; `engine` tells that a model engine runs it."""
     return Placed(
         request=request,
         upstream=choice.upstream.id,
@@ -29,7 +29,7 @@
         tier=need.tier,
         prompt=need.prompt_tokens,
         first=choice.first,
-        # What is copied first says nothing of how fast prompts are read.
+        # Time to the first event after a copy says nothing about the prefill rate.
         ahead=0 if choice.fetch else choice.ahead,
         team=team_number(need.team),
     )
--- a/src/lotushill/placement/precedence.py
+++ b/src/lotushill/placement/precedence.py
@@ -1,4 +1,4 @@
-"""In which order requests that compete for room are served. Pure."""
+"""Order in which requests that compete for room are served. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 @dataclass(frozen=True, order=True)
 class Precedence:
-    """The place of one request; the least goes first, compared field by field."""
+    """Position of one request; the smallest is served first, compared field by field."""
 
     tier: int
-    """0 is the most urgent."""
+    """Tier; 0 is the most urgent."""
     newcomer: bool = True
-    """False for one that was refused and comes back when it was told to."""
+    """False for the request of a caller that was refused and returned after its Retry-After time.
+    """
     standing: float = 0.0
-    """What its team has had of late beside its share of the service."""
+    """Recent usage of its team relative to its share of the service."""
     since: float = 0.0
-    """When it came."""
+    """Arrival time."""
--- a/src/lotushill/placement/quiet_pause.py
+++ b/src/lotushill/placement/quiet_pause.py
@@ -1,19 +1,23 @@
-"""The pause between a stream's events while nothing is read beside it, by how many requests run."""
+"""Models the pause between a stream's events without concurrent prefill.
+
+The pause depends on the number of running requests.
+"""
 
 from __future__ import annotations
 
 _FIRST_SECONDS = 0.03
-"""Taken for usual before the first event was seen; engines make an event in 0.02 to 0.05 s."""
+"""Typical pause assumed before the first event; engines produce an event in 0.02 to 0.05 s."""
 _KEPT = 0.998
-"""What each earlier pause counts once another came: some 500 of them count."""
+"""Factor by which the weight of earlier pauses decays with each new one: about 500 count."""
 _LEAST_SECONDS = 0.001
-"""A step of an engine takes longer; events that came in one read tell nothing of its pause."""
+"""Minimum pause. A step of an engine takes longer; events that arrived in one read say nothing
+about its pause."""
 _LEAST_VARIANCE = 4.0
-"""Of the number of requests, below which the pauses say nothing of its effect."""
+"""Variance of the number of requests below which the pauses say nothing about its effect."""
 
 
 class QuietPause:
-    """A line fitted to pauses over running requests, earlier ones counting less and less."""
+    """Linear regression of pauses on the number of running requests, with decaying weights."""
 
     def __init__(self) -> None:
         self._weight = 0.0
@@ -23,9 +27,9 @@
         self._covariance = 0.0
 
     def note(self, running: int, seconds: float) -> None:
-        """Note one pause.
+        """Record one pause.
 
-        Without a lower bound the usual pause could become 0, by which others are divided.
+        Without a lower bound the typical pause could become 0, by which others are divided.
         """
         seconds = max(_LEAST_SECONDS, seconds)
         self._weight = _KEPT * self._weight + 1.0
@@ -39,12 +43,12 @@
         self._covariance = kept * (self._covariance + share * more * longer)
 
     def at(self, running: int) -> float:
-        """Return the usual pause, in seconds, where so many requests run."""
+        """Return the typical pause, in seconds, with `running` requests."""
         if self._variance < _LEAST_VARIANCE:
             return self._seconds
         slope = max(0.0, self._covariance / self._variance)
         return max(0.5 * self._seconds, self._seconds + slope * (running - self._running))
 
     def share(self, running: int) -> float:
-        """Return how many times longer the pause is than on average, where so many run."""
+        """Return the ratio of the pause with `running` requests to the average pause."""
         return self.at(running) / self._seconds
--- a/src/lotushill/placement/recent_parts.py
+++ b/src/lotushill/placement/recent_parts.py
@@ -1,4 +1,4 @@
-"""Which shared prompt parts any upstream has used of late."""
+"""Tracks which shared prompt parts any upstream has used recently."""
 
 from __future__ import annotations
 
@@ -14,24 +14,27 @@
 
 
 class RecentParts:
-    """When each part was last used anywhere; reading such a part again is wasted work."""
+    """Times of the last use of each part on any upstream.
+
+    Processing a recently used part again is wasted work.
+    """
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        """How long a part counts as used of late."""
+        """Seconds for which a part counts as recently used."""
         self._used: dict[int, float] = {}
 
     def note(self, parts: Sequence[PromptPart], now: float) -> None:
-        """Note that a prompt is being read; its last part is nobody else's."""
+        """Record that a prompt is being processed; its last part is not shared."""
         for key, _ in chained(parts[:-1]):
             self._used[key] = now
 
     def again(self, parts: Sequence[PromptPart], matched: int, now: float) -> int:
-        """Return the shared tokens behind the first `matched` that were read of late."""
+        """Return the recently used shared tokens after the first `matched` tokens."""
         return self.again_chain(tuple(chained(parts[:-1])), matched, now)
 
     def again_chain(self, shared: Chain, matched: int, now: float) -> int:
-        """Return the same for the shared parts of a prompt, chained before."""
+        """Return the same for the shared parts of a prompt that are already chained."""
         position = 0
         total = 0
         for key, part in shared:
@@ -41,5 +44,5 @@
         return total
 
     def forget(self, now: float) -> None:
-        """Drop parts that were not used of late."""
+        """Remove parts that were not used recently."""
         self._used = {key: used for key, used in self._used.items() if now - used < self.seconds}
--- a/src/lotushill/placement/recent_starts.py
+++ b/src/lotushill/placement/recent_starts.py
@@ -1,4 +1,4 @@
-"""The largest prompts that were begun of late, by all gateways; pure."""
+"""Tracks the largest prompts recently started by all gateways. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -6,27 +6,28 @@
 from dataclasses import dataclass
 
 SPAN_SECONDS = 5.0
-"""Users hold what was refused against what began within five seconds of it."""
+"""Users compare a refused request with what started within five seconds of it."""
 _SLICE_SECONDS = 0.5
-"""What began within one slice is kept as one, so that memory does not grow with traffic."""
+"""Length of a slice. The starts within one slice are stored as one, so that memory does not grow
+with traffic."""
 
 
 @dataclass
 class _Slice:
-    """What began in one tier within half a second."""
+    """The starts of one tier within half a second."""
 
     start: float
     largest: int
 
 
 class RecentStarts:
-    """Sizes of prompts by service and tier."""
+    """Sizes of started prompts by service and tier."""
 
     def __init__(self) -> None:
         self._slices: dict[str, dict[int, deque[_Slice]]] = {}
 
     def note(self, service: str, tier: int, prompt: int, at: float) -> None:
-        """Note a request of a tier that was sent to an upstream with so many prompt tokens."""
+        """Record a request of a tier that was sent to an upstream with `prompt` tokens."""
         slices = self._slices.setdefault(service, {}).setdefault(tier, deque())
         if slices and at - slices[-1].start < _SLICE_SECONDS:
             slices[-1].largest = max(slices[-1].largest, prompt)
@@ -35,7 +36,7 @@
         self._forget(slices, at)
 
     def largest_after(self, service: str, tier: int, now: float) -> int:
-        """Return the largest prompt of less urgent tiers that began of late, 0 without any."""
+        """Return the largest recently started prompt of less urgent tiers, 0 if there is none."""
         largest = 0
         for other, slices in self._slices.get(service, {}).items():
             if other > tier:
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -1,7 +1,7 @@
-"""Who may be refused while upstreams have more to do than is in time. Pure.
+"""Decides which requests are refused while upstreams are overloaded.
 
-Every gateway decides alone, but by what all gateways tell of the requests that they send: what one
-gateway sends itself is too little to tell the routes of a service apart.
+Every gateway decides alone, but from the reports of all gateways about the requests that they send:
+the requests of one gateway are too few to tell the routes of a service apart. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -24,21 +24,22 @@
     from lotushill.placement.need import Need
 
 _LONG_SHARE = 0.5
-"""Of the usual prompt of the longest route, from which another route counts as long too."""
+"""Fraction of the typical prompt of the longest route from which another route also counts as long.
+"""
 _TIMES_LARGER = 2.0
-"""Users hold a refusal against less urgent requests of over twice its size."""
+"""Users compare a refused request with less urgent requests of more than twice its size."""
 _LONG_WAIT = 0.5
-"""Of its target, how long a long request may wait until its prompt is read.
+"""Fraction of its target that a long request may wait until its prompt is processed.
 
-Held against the upstream that is best for a usual request of the route, so that large and small
-ones are refused alike.
+Evaluated on the upstream that is best for a typical request of the route, so that large and small
+requests are refused alike.
 """
 _SPREAD_STEPS = 1024
-"""Into so many parts returns are spread by the number of their caller."""
+"""Number of steps over which returns are spread by the number of the caller."""
 
 
 class Shedding:
-    """Refuses the least urgent and longest first."""
+    """Refuses the least urgent and longest requests first."""
 
     def __init__(self) -> None:
         self.usual = UsualRequests()
@@ -46,7 +47,7 @@
         self.returns = Returns()
 
     def note(self, placed: Placed, service: str, now: float) -> None:
-        """Learn from a request that any gateway has sent to an upstream."""
+        """Record a request that any gateway has sent to an upstream."""
         self.usual.note_prompt(service, placed.route, placed.prompt, placed.reading)
         self.starts.note(service, placed.tier, placed.prompt, now - placed.age)
         self.returns.room.note(service, placed.tier, now - placed.age)
@@ -54,28 +55,33 @@
     def is_long(self, need: Need) -> bool:
         """Return whether a request's route has the longest prompts of its service.
 
-        Under overload these are refused first: each leaves room for many short ones. The route
-        decides and not the request, so that the large ones of a route are served as often as the
-        small ones. Before any gateway has sent one of the route, the request stands for it.
+        Under overload these are refused first: each refusal leaves room for many short ones. The
+        route decides and not the request, so that the large requests of a route are served as often
+        as the small ones. Until any gateway has sent a request of the route, the size of this
+        request is used.
         """
         return self.is_long_route(need.service, need.route, need.prompt_tokens)
 
     def is_long_route(self, service: str, route: str, prompt_tokens: int) -> bool:
-        """Return the same of a request with so long a prompt."""
+        """Return whether a route has the longest prompts of its service.
+
+        `prompt_tokens` stands for its typical prompt until any gateway has sent a request of the
+        route.
+        """
         usual = self.usual.prompt(service, route) or prompt_tokens
         return 0.0 < _LONG_SHARE * self.usual.longest_prompt(service) < usual
 
     def must_serve(self, need: Need, now: float) -> bool:
-        """Return whether a refusal would put a request behind less urgent, larger ones.
+        """Return whether a refusal would disadvantage a request against less urgent, larger ones.
 
-        While such ones begin anywhere in the fleet they have to be refused before it.
+        While such requests start anywhere in the fleet, they have to be refused before it.
         """
         usual = self.usual.prompt(need.service, need.route) or need.prompt_tokens
         size = min(float(need.prompt_tokens), usual)
         return self.starts.largest_after(need.service, need.tier, now) > _TIMES_LARGER * size
 
     def refuse(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice | None:
-        """Return why a request is refused that could go to one of `choices`, None if it is not."""
+        """Return the refusal of a request, None if it may go to one of `choices`."""
         open_ones = [choice for choice in choices if not choice.full]
         wait = min(open_ones or choices, key=lambda choice: choice.usual_loss).wait
         first = min(choice.first for choice in choices)
@@ -94,11 +100,14 @@
         return self._told(need, Refusal.OVERLOAD if overload else Refusal.NO_ROOM, wait, first, now)
 
     def refuse_for_others(self, need: Need, refusal: Refusal, now: float) -> NoChoice:
-        """Return the refusal of a long request for which no slot is left beside others."""
+        """Return the refusal of a long request if the remaining slots are reserved for others."""
         return self._told(need, refusal, 0.0, 0.0, now)
 
     def refuse_for_teams(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice:
-        """Return the refusal of a request whose team has had its share while others want room."""
+        """Return the refusal of a request whose team has used its share while others wait.
+
+        `choices` are the upstreams that were weighed for it.
+        """
         wait = min(choice.wait for choice in choices)
         first = min(choice.first for choice in choices)
         return self._told(need, Refusal.SHARE, wait, first, now)
@@ -112,7 +121,7 @@
         now: float,
         final: bool = False,
     ) -> NoChoice:
-        """Return the refusal of a request, with when it is to come back."""
+        """Return the refusal of a request, with its Retry-After time."""
         early = self.returns.until_due(_asker(need, now), now)
         if early:
             return self._refused(need, Refusal.EARLY, early, wait, first)
@@ -125,18 +134,18 @@
         return self.returns.retry_after(_asker(need, now), spread, now, final)
 
     def early(self, need: Need, now: float) -> NoChoice | None:
-        """Return the refusal of one that comes sooner than it was told, None for all others."""
+        """Return the refusal of a caller that returned before its Retry-After time, else None."""
         seconds = self.returns.until_due(_asker(need, now), now)
         if not seconds or self.must_serve(need, now):
             return None
         return replace(self._refused(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
 
     def give_up(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
-        """Return the final refusal of a request that waits no longer, or would in vain."""
+        """Return the final refusal of a request that stops waiting, or would wait uselessly."""
         return replace(self._told(need, refusal, wait, wait, now, final=True), final=True)
 
     def refuse_without_room(self, need: Need) -> NoChoice:
-        """Return the refusal of a request for which no upstream has a slot now."""
+        """Return the refusal of a request for which no upstream has a free slot now."""
         return self._refused(need, Refusal.NO_ROOM, 0.0, 0.0, 0.0)
 
     def _refused(
@@ -153,6 +162,6 @@
 
 
 def _asker(need: Need, now: float) -> Asker:
-    # Plain requests of many callers are the same to the byte.
+    # Plain requests of many callers are byte-identical.
     caller = need.caller if need.stream else 0
     return Asker(caller, need.service, need.tier, now - need.waited, need.time_left)
--- a/src/lotushill/placement/shortlist.py
+++ b/src/lotushill/placement/shortlist.py
@@ -1,4 +1,4 @@
-"""Which upstreams are weighed at all where there are many, so that a choice costs the same."""
+"""Limits how many upstreams are weighed for a request, which bounds the time of a decision."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 def shortlist(need: Need, upstreams: Sequence[Upstream]) -> Sequence[Upstream]:
-    """Return the upstreams to weigh for a request: all of a few, or some of many.
+    """Return the upstreams to weigh for a request: all if there are few, else a subset.
 
-    Which of many is told by a hash of the prompt's first parts and of the upstream: requests that
-    share a prompt meet the same upstreams, and those of other prompts are spread over all.
+    The subset depends on a hash of the prompt's first parts and of the upstream: requests that
+    share a prompt get the same upstreams, and different prompts are spread over all upstreams.
     """
     if len(upstreams) <= MOST_WEIGHED:
         return upstreams
--- a/src/lotushill/placement/team_room.py
+++ b/src/lotushill/placement/team_room.py
@@ -1,8 +1,9 @@
-"""What room a team over its share leaves to the others. Pure.
+"""Limits the room that a team over its share takes from other teams. Performs no I/O.
 
-The load that it answers: one team asks many times its usual, and whoever of the other teams asks
-finds the upstreams filled by it. A team over its share still gets all room that nobody waits for:
-its requests begin at once or are refused, and never stand in line before those of other teams.
+Protects against this load: one team sends many times its normal rate, and requests of the other
+teams find the upstreams filled by it. A team over its share still gets all room for which no other
+team waits: its requests start at once or are refused, and never queue ahead of those of other
+teams.
 """
 
 from __future__ import annotations
@@ -16,21 +17,25 @@
     from lotushill.placement.need import Need
 
 _MOST_WAIT = 0.2
-"""Of its target, how long a request of such a team may wait at its upstream: short enough that one
-of another team that comes next is in time, long enough that no upstream runs out of work."""
+"""Fraction of its target that a request of such a team may wait on its upstream: short enough that
+the next request of another team is in time, long enough that no upstream runs out of work."""
 
 
 _KEPT_SHARE = 0.1
-"""Of all slots, how many such a team leaves: more than come free between two looks for room."""
+"""Fraction of all slots that such a team leaves free: more than become free between two checks for
+room."""
 
 
 def kept_slots(slots: int) -> int:
-    """Return how many of so many slots a team over its share leaves to the others."""
+    """Return how many of `slots` slots a team over its share leaves to the others."""
     return int(_KEPT_SHARE * slots)
 
 
 def has_to_wait(need: Need, choices: Iterable[Choice], engine: bool) -> bool:
-    """Return whether no upstream would take a request about at once; `engine`: of model engines."""
+    """Return whether no upstream would start a request almost at once.
+
+    `engine` tells that the upstreams are model engines.
+    """
     return not any(_is_free(need, choice, engine) for choice in choices)
 
 
--- a/src/lotushill/placement/unread_prompts.py
+++ b/src/lotushill/placement/unread_prompts.py
@@ -1,7 +1,7 @@
-"""The prompts that one upstream has still to read.
+"""Queue of the prompts that one upstream has still to process.
 
-An engine reads one prompt to its end and then takes up the most urgent that waits: a more urgent
-prompt overtakes all that wait, but not the one in turn.
+An engine processes one prompt to its end and then takes the most urgent one in the queue: a more
+urgent prompt overtakes all queued prompts, but not the one being processed.
 """
 
 from __future__ import annotations
@@ -17,19 +17,20 @@
 
 
 class UnreadPrompts:
-    """Prompts by request, in the order they came."""
+    """Prompts by request, in order of arrival."""
 
     def __init__(self) -> None:
         self._waiting: dict[int, _Prompt] = {}
         self._totals: Counter[int] = Counter()
-        """Tokens by tier, since what is due is asked for with each event of a stream."""
+        """Queued tokens by tier, kept as totals since they are queried with each event of a stream.
+        """
         self._in_turn: int | None = None
         self._since = 0.0
-        """When reading of the one in turn began."""
+        """Time when the current prompt's processing began."""
         self._idle_since = float("-inf")
 
     def add(self, request: int, tier: int, tokens: int, since: float) -> None:
-        """Count a prompt in that has waited since some moment."""
+        """Add a prompt that has been queued since `since`."""
         self._waiting[request] = _Prompt(tier, tokens)
         self._totals[tier] += tokens
         if self._in_turn is None:
@@ -37,22 +38,22 @@
             self._since = since
 
     def read(self, request: int, now: float) -> None:
-        """Count a prompt out that has been read, so that another one is in turn."""
+        """Remove a prompt that has been processed, and start the next one."""
         if self._remove(request):
             self._take_up_next(now)
 
     def give_up(self, request: int, now: float) -> None:
-        """Count a prompt out, if it is still counted in, that is not to be read."""
+        """Remove a prompt, if it is still queued, that is not to be processed."""
         self._remove(request)
         if request == self._in_turn:
             self._take_up_next(now)
 
     def all(self, read_rate: float, now: float) -> float:
-        """Return the tokens still to be read, less what the one in turn has had read."""
+        """Return the tokens still to be processed, less those processed of the current prompt."""
         return sum(self._totals.values()) - self._done(read_rate, now)
 
     def ahead(self, tier: int, read_rate: float, now: float) -> float:
-        """Return the same of what is read before a new prompt of a tier."""
+        """Return the tokens that are processed before a new prompt of a tier."""
         total = sum(tokens for other, tokens in self._totals.items() if other <= tier)
         if self._in_turn is not None and self._waiting[self._in_turn].tier > tier:
             total += self._waiting[self._in_turn].tokens
@@ -60,11 +61,11 @@
 
     @property
     def any_left(self) -> bool:
-        """Return whether a prompt waits or is read."""
+        """Return whether a prompt is queued or being processed."""
         return bool(self._waiting)
 
     def idle_for(self, now: float) -> float:
-        """Return for how many seconds nothing has been read, 0 while something is."""
+        """Return for how many seconds no prompt has been processed, 0 while one is."""
         return 0.0 if self._waiting else max(0.0, now - self._idle_since)
 
     def _remove(self, request: int) -> bool:
@@ -81,7 +82,7 @@
         return min(float(tokens), max(0.0, now - self._since) * read_rate)
 
     def _take_up_next(self, now: float) -> None:
-        """Take up the most urgent, and of these the oldest."""
+        """Start the most urgent prompt, and among these the oldest."""
         self._since = self._idle_since = now
         self._in_turn = min(
             self._waiting, key=lambda request: self._waiting[request].tier, default=None
--- a/src/lotushill/placement/upstream_load.py
+++ b/src/lotushill/placement/upstream_load.py
@@ -1,4 +1,4 @@
-"""What runs on one upstream and how it has been doing."""
+"""Running requests and observed health of one upstream."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 
 class UpstreamLoad:
-    """The requests of all gateways on one upstream, and its health as seen from here."""
+    """The requests of all gateways on one upstream, and its health as observed by this gateway."""
 
     def __init__(self) -> None:
         self.running: dict[int, Placed] = {}
         self._seconds = 0.0
-        """How long those that run are expected to take, all together."""
+        """Sum of the expected durations of the running requests."""
         self.memory = 0
-        """Tokens that the running requests may hold in the end."""
+        """Maximum number of tokens that the running requests may occupy in the end."""
         self._answers = 0
-        """Of the memory, what is not parts of prompts."""
+        """Tokens in `memory` that do not belong to prompt parts."""
         self.kept = KeptParts()
         self.failures = FailureRate()
         self.gaps: Counter[float] = Counter()
-        """Streams by the longest pause that is in time for them."""
+        """Number of streams by their longest allowed pause."""
         self.unread = UnreadPrompts()
         self._tiers: Counter[int] = Counter()
         self._begun: dict[int, int] = {}
-        """Requests whose first event has come, with their tiers."""
+        """Requests whose first event has arrived, with their tiers."""
         self._begun_tiers: Counter[int] = Counter()
         self.answered = 0
-        """Requests whose first event has come so far."""
+        """Number of requests so far whose first event has arrived."""
         self._slowness = 1.0
         self._slowness_at = 0.0
         self.pace = EnginePace()
@@ -49,7 +49,7 @@
         self._back_off = _FIRST_BACK_OFF
 
     def start(self, placed: Placed, memory_tokens: int, now: float) -> None:
-        """Count a request in, on an upstream with so much memory."""
+        """Add a request on an upstream with a memory of `memory_tokens`."""
         if placed.request in self.running:
             return
         self.running[placed.request] = placed
@@ -67,14 +67,14 @@
         self.kept.touch(parts, memory_tokens - self._answers)
 
     def begin(self, request: int, now: float) -> None:
-        """Note that the prompt of a request has been read."""
+        """Record that the prompt of a request has been processed."""
         self.unread.read(request, now)
         placed = self.running.get(request)
         if placed is not None:
             self._note_begun(placed)
 
     def end(self, request: int, now: float) -> Placed | None:
-        """Count a request out."""
+        """Remove a request."""
         placed = self.running.pop(request, None)
         if placed is None:
             return None
@@ -93,19 +93,19 @@
 
     @property
     def unanswered(self) -> int:
-        """Return how many run whose first event has not come."""
+        """Return the number of running requests whose first event has not arrived."""
         return len(self.running) - len(self._begun)
 
     @property
     def usual_seconds(self) -> float:
-        """Return how long one of those that run is expected to take, 0 where none does."""
+        """Return the mean expected duration of the running requests, 0 if there is none."""
         return self._seconds / len(self.running) if self.running else 0.0
 
     def before(self, tier: int) -> int:
-        """Return how many requests keep their slots from a new one of a tier.
+        """Return how many requests hold a slot against a new one of a tier.
 
-        Whoever has begun goes on to its end, however urgent the new one is; of those that have not,
-        the less urgent are let in after it.
+        A request that has begun keeps its slot to its end, however urgent the new one is; of the
+        others, the less urgent are admitted after it.
         """
         return sum(
             count if other <= tier else self._begun_tiers[other]
@@ -113,7 +113,7 @@
         )
 
     def more_urgent(self, tier: int) -> int:
-        """Return how many requests run that are more urgent than a tier."""
+        """Return how many running requests are more urgent than a tier."""
         return sum(count for other, count in self._tiers.items() if other < tier)
 
     def _note_begun(self, placed: Placed) -> None:
@@ -122,30 +122,31 @@
             self._begun_tiers[placed.tier] += 1
             self.answered += 1
 
-    # Health
-
     def slowness(self, now: float) -> float:
-        """Return how many times slower than its like it works; what is old fades to 1."""
+        """Return the ratio of its times to those of a typical upstream.
+
+        The ratio decays to 1 without new samples.
+        """
         age = max(0.0, now - self._slowness_at)
         fresh = max(0.0, 1.0 - age / _FORGET_SECONDS)
         return 1.0 + (self._slowness - 1.0) * fresh
 
     def note_pace(self, ratio: float, now: float) -> None:
-        """Learn from a time measured against what is usual."""
+        """Update the slowness from the ratio of a measured time to the typical one."""
         current = self.slowness(now)
         self._slowness = current + _SLOWNESS_WEIGHT * (min(20.0, max(0.3, ratio)) - current)
         self._slowness_at = now
 
     def away(self, now: float) -> bool:
-        """Return whether the upstream cannot be reached, as far as is known."""
+        """Return whether the upstream is believed to be unreachable."""
         return now < self._away_until
 
     def note_unreachable(self, now: float) -> None:
-        """Note that no connection could be opened; try again after a growing pause."""
+        """Record that no connection could be opened, and double the back-off up to its limit."""
         self._away_until = now + self._back_off
         self._back_off = min(_LONGEST_BACK_OFF, self._back_off * 2)
 
     def note_reached(self) -> None:
-        """Note that the upstream answers."""
+        """Record that the upstream answers."""
         self._back_off = _FIRST_BACK_OFF
         self._away_until = float("-inf")
--- a/src/lotushill/placement/usual_request.py
+++ b/src/lotushill/placement/usual_request.py
@@ -1,4 +1,4 @@
-"""What the requests of each route usually are, so that one request can be held against it."""
+"""Typical sizes of the requests of each route, with which single requests are compared."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from lotushill.placement.messages import route_number
 
 _WEIGHT = 0.02
-"""Of one request among many: some 50 of them count."""
+"""Weight of one request in the moving average: about the last 50 count."""
 _FLAT_SHARE = 0.3
 _MOST = 4.0
 
 
 class _Average:
-    """A mean of the first values, and then a moving average."""
+    """Mean of the first values, then a moving average."""
 
     def __init__(self) -> None:
         self.value = 0.0
         self._count = 0
 
     def note(self, value: float) -> None:
-        """Note one value."""
+        """Record one value."""
         self._count += 1
         self.value += max(_WEIGHT, 1.0 / self._count) * (value - self.value)
 
@@ -38,11 +38,11 @@
         )
 
     def note_size(self, route: str, size: float) -> None:
-        """Note the size of one request."""
+        """Record the size of one request."""
         self._sizes[route].note(size)
 
     def note_prompt(self, service: str, route: int, prompt: int, reading: int) -> None:
-        """Note the prompt tokens of one request, and those of them that had to be read.
+        """Record the prompt tokens of one request, and those of them that had to be processed.
 
         `route` is the number of its route.
         """
@@ -50,20 +50,20 @@
         self._readings[service][route].note(reading)
 
     def weight(self, route: str, size: float) -> float:
-        """Return what a request counts for beside a usual one of its route."""
+        """Return the weight of a request relative to a typical one of its route."""
         usual = self._sizes[route].value
         if usual <= 0:
             return 1.0
         return min(_MOST, _FLAT_SHARE + (1.0 - _FLAT_SHARE) * size / usual)
 
     def reading(self, service: str, route: str) -> float:
-        """Return the tokens usually read for a request of a route, 0 before the first."""
+        """Return the typical prefill tokens of a route's requests, 0 before the first request."""
         return self._readings[service][route_number(route)].value
 
     def prompt(self, service: str, route: str) -> float:
-        """Return the usual prompt tokens of a route, 0 before the first request."""
+        """Return the typical prompt tokens of a route, 0 before the first request."""
         return self._prompts[service][route_number(route)].value
 
     def longest_prompt(self, service: str) -> float:
-        """Return the usual prompt tokens of the service's route with the longest prompts."""
+        """Return the typical prompt tokens of the service's route with the longest prompts."""
         return max((item.value for item in self._prompts[service].values()), default=0.0)
--- a/src/lotushill/placement/weigher.py
+++ b/src/lotushill/placement/weigher.py
@@ -1,4 +1,7 @@
-"""What it would cost to run one request on each upstream; costs are shares of its credit. Pure."""
+"""Computes the expected cost of running one request on each upstream.
+
+Costs are shares of the request's credit. Performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -23,31 +26,35 @@
     from lotushill.routing.upstream import Upstream
 
 _LATE_LOSS = 0.6
-"""What a late answer loses."""
+"""Loss of a late answer."""
 _GAP_LOSS = 0.6
-"""What a stream loses by one pause that is too long."""
+"""Loss of a stream by one pause that is too long."""
 _FAILURE_LOSS = 0.9
 _REREAD_LOSS_PER_TOKEN = 2.0e-4
-"""What reading a shared token again costs that some upstream has read of late."""
+"""Cost of processing again a shared token that some upstream has processed recently."""
 _READING_LOSS_PER_TOKEN = 1e-5
-"""What reading any token costs, since it keeps others waiting."""
+"""Cost of processing any token, since it delays other requests."""
 _PACKED_SHARE = 0.6
-"""Of the slots; beyond it such streams are spread."""
+"""Fraction of the slots up to which streams with short allowed pauses are packed on one upstream;
+above it they are spread."""
 _OTHER_HALL_LOSS = 0.01
 _CUT_HALL_LOSS = 1.0
-"""What it costs to try a hall of whose gateways none is heard."""
+"""Cost of trying a hall none of whose gateways responds."""
 _ORDER_LOSS = 0.5
-"""What the farther end of the order of upstreams costs."""
+"""Cost of the far end of the order of upstreams."""
 _FAR_ORDER_LOSS = 0.1
-"""What the nearer end costs long prompts: less, since what they do to others is weighed itself."""
+"""Cost of the near end for long prompts. It is lower, since their effect on other streams is
+weighed separately."""
 _FEW_RUNNING = 8
-"""Requests beside which a pause is held against what is allowed, to tell delicate streams."""
+"""Number of running requests at which the pause is compared with the allowed one, to detect streams
+that are sensitive to long pauses."""
 _DELICATE_MARGIN = 1.05
 _UNTRIED_SHARE = 0.25
-"""Of the slots, filled as on any other upstream before its pace is known: if it is slow, as few
-are late, and a first event tells."""
+"""Fraction of the slots that are filled as on any other upstream before its pace is known: if it is
+slow, few requests are late, and the first event reveals it."""
 _UNTRIED_LOSS = 0.3
-"""Half of a late answer: less than being late for certain, so that it is not starved either."""
+"""Half the loss of a late answer: less than being late for certain, so that the upstream is not
+starved either."""
 _LATE_STEEPNESS = 6.0
 _MEMORY_SHARE = 0.95
 _FULL_MEMORY_LOSS = 1.0
@@ -56,14 +63,14 @@
 
 @dataclass(frozen=True)
 class Place:
-    """Where an upstream stands."""
+    """Location of this gateway, from which upstreams are reached."""
 
     hall: str
     cut: frozenset[str]
-    """Halls that seem out of reach."""
+    """Halls that seem unreachable."""
 
     def loss(self, upstream: Upstream) -> float:
-        """Return what the way to an upstream costs."""
+        """Return the cost of the network path to an upstream."""
         if upstream.hall == self.hall:
             return 0.0
         return _CUT_HALL_LOSS if upstream.hall in self.cut else _OTHER_HALL_LOSS
@@ -73,7 +80,10 @@
     """Weighs instances of a plain service for one request."""
 
     def __init__(self, need: Need, pace: Pace, place: Place, differing: bool, now: float) -> None:
-        """Take in what is the same for all; `differing` says that instances differ in pace."""
+        """Store the inputs that are the same for all instances.
+
+        `differing` tells that instances differ in pace.
+        """
         self._need = need
         self._pace = pace
         self._place = place
@@ -81,7 +91,7 @@
         self._now = now
 
     def weigh(self, upstream: Upstream, load: UpstreamLoad, rank: float) -> Choice:
-        """Return the choice of one upstream; its rank has no part in it."""
+        """Return the choice of one upstream; its rank is not used."""
         del rank
         usual = self._pace.answer_seconds * load.pace.lasting_reading * load.slowness(self._now)
         crowd = (len(load.running) + 1) / upstream.slots
@@ -95,45 +105,45 @@
 
 @dataclass(frozen=True)
 class Usual:
-    """What is usual for the route of a request."""
+    """Typical values for the route of a request."""
 
     reading: float
-    """Prompt tokens that an upstream has to read."""
+    """Prompt tokens that an upstream typically has to process."""
     weight: float
-    """What the request counts for beside a usual one."""
+    """Weight of the request relative to a typical one."""
     long: bool
     """Whether the route has the longest prompts of its service."""
 
 
 @dataclass(frozen=True)
 class _Forecast:
-    """What a request is likely to meet on one upstream; times are seconds, lengths tokens."""
+    """Predictions for a request on one upstream; times are in seconds, lengths in tokens."""
 
     pauses: UpstreamPauses
-    """Between the events of its streams."""
+    """Pauses between the events of its streams."""
     rate: float
-    """Prompt tokens that it reads in a second."""
+    """Prompt tokens that it processes per second."""
     due: float
-    """How long it reads what it was sent already."""
+    """Time to process the prompts that are already queued."""
     ahead: float
-    """Prompt tokens of others that are read first."""
+    """Prompt tokens of other requests that are processed first."""
     wait: float
-    """How long that takes."""
+    """Time to process the prompt tokens of other requests that are processed first."""
     queue: float
-    """How long a slot is waited for."""
+    """Time until a slot becomes free."""
     full: bool
-    """Whether requests as urgent take all slots."""
+    """Whether requests of the same or higher urgency take all slots."""
     fetch: Fetch | None
     reading: int
-    """Prompt tokens of its own that are read."""
+    """Prompt tokens of the request itself that are processed."""
     first: float
     """Time to the first event."""
     seconds: float
-    """Time to the whole answer, without the queue."""
+    """Time to the complete answer, without the wait for a slot."""
 
     @property
     def reading_seconds(self) -> float:
-        """Return how long its own prompt is read."""
+        """Return the time to process the request's own prompt."""
         return self.reading / self.rate
 
 
@@ -153,9 +163,9 @@
         differing: bool,
         now: float,
     ) -> None:
-        """Take in what is the same for all upstreams; `chain` is the request's prompt.
+        """Store the inputs that are the same for all upstreams; `chain` is the request's prompt.
 
-        `differing` says that engines of the service are known to differ in pace.
+        `differing` tells that engines of the service are known to differ in pace.
         """
         self._need = need
         self._engine = engine
@@ -173,14 +183,14 @@
         self._delicate = 0 < need.gap < _DELICATE_MARGIN * beside
 
     def weigh(self, upstream: Upstream, load: UpstreamLoad, rank: float) -> Choice:
-        """Return the choice of one upstream; `rank` is its place, 0 to 1, in the shared order."""
+        """Return the choice of one upstream; `rank` is its position, 0 to 1, in a shared order."""
         seen = self._forecast(upstream, load)
         harm = self._harm(load, seen, seen.reading_seconds) + self._own_gap_loss(seen)
         read = self._need.prompt_tokens - seen.reading
         again = self._recent.again_chain(self._shared, read, self._now)
         fetched = seen.fetch.tokens if seen.fetch else 0
-        # Held as if all that is due were read first: an upstream with much to read is soon late for
-        # whoever comes next, also where this request would overtake it.
+        # Computed as if all queued prompts were processed first: an upstream with a long prefill
+        # queue is soon late for the next requests, even if this request would overtake the queue.
         late = _late(seen.first + seen.due - seen.wait, self._need.target)
         cost = self._usual.weight * late + harm
         cost += self._packing_loss(rank, len(load.running) / self._engine.slots)
@@ -219,7 +229,8 @@
         first = max(wait, fetch.seconds if fetch else 0.0) + reading / rate + quiet
         seconds = first + self._events * quiet
         excess = load.before(need.tier) + 1 - slots
-        # A slot comes free as fast as those who hold the slots end, however short this request is.
+        # Slots become free at the rate at which the requests that hold them end, however short this
+        # request is.
         queue = max(0, excess) * load.usual_seconds / slots
         return _Forecast(
             pauses=pauses,
@@ -236,7 +247,7 @@
         )
 
     def _own_gap_loss(self, seen: _Forecast) -> float:
-        """Return what the request loses by readings that are due beside its own events."""
+        """Return the loss of the request by queued prefill that delays its own events."""
         gap = self._need.gap
         if not gap:
             return 0.0
@@ -252,10 +263,10 @@
         return late + harm + self._packing_loss(rank, crowd)
 
     def _harm(self, load: UpstreamLoad, seen: _Forecast, reading: float) -> float:
-        """Return what reading a prompt for so many seconds costs the streams beside it.
+        """Return the cost to the other streams of a prefill of `reading` seconds.
 
-        Those that run may miss a pause now. As many come again while the prompt is read, and
-        they miss theirs also where those that run have missed one already.
+        Running streams may miss a pause now. As many streams arrive again during the prefill, and
+        they miss theirs even if the running ones have already missed one.
         """
         harm = 0.0
         coming = min(1.0, reading / self._pace.stream_seconds)
@@ -268,11 +279,11 @@
         return _GAP_LOSS * harm
 
     def _packing_loss(self, rank: float, crowd: float) -> float:
-        """Return what it costs to leave fewer upstreams fit for the long prompts of the moment.
+        """Return the cost of leaving fewer upstreams suitable for the current long prompts.
 
-        Streams with short pauses fill the upstreams from one end of an order that all gateways
-        share, and long prompts from the other, so that each upstream keeps its kind of work and
-        its prompt parts while the border moves with the mix.
+        Streams with short allowed pauses fill the upstreams from one end of an order that all
+        gateways share, and long prompts from the other, so that each upstream keeps its kind of
+        work and its cached prompt parts while the border moves with the mix.
         """
         spread = max(0.0, crowd - _PACKED_SHARE) + _CROWDING_LOSS * crowd
         if self._delicate:
@@ -287,12 +298,12 @@
 
 
 def _untried_loss(load: UpstreamLoad, slots: int) -> float:
-    """Return what it costs to send more to an upstream of whose pace nothing is known yet."""
+    """Return the cost of sending more requests to an upstream whose pace is still unknown."""
     if load.pace.tried or len(load.running) < _UNTRIED_SHARE * slots:
         return 0.0
     return _UNTRIED_LOSS
 
 
 def _late(first: float, target: float) -> float:
-    """Return what a first event after so many seconds is likely to lose."""
+    """Return the expected loss of a first event after `first` seconds."""
     return _LATE_LOSS * logistic(_LATE_STEEPNESS * (first / target - 1.0))
