--- a/src/lotushill/starting/__init__.py
+++ b/src/lotushill/starting/__init__.py
@@ -1,3 +1,3 @@
-"""What a gateway does between its start and the moment when it knows its fleet."""
+"""Decisions of a gateway between its start and the time when it knows its fleet."""
 
 from __future__ import annotations
--- a/src/lotushill/starting/draw.py
+++ b/src/lotushill/starting/draw.py
@@ -1,8 +1,9 @@
-"""Where a request goes while nothing is known of what upstreams run. Pure.
+"""Chooses an upstream while the load of the upstreams is unknown. Performs no I/O.
 
-Each upstream has a credit at this gateway: one request, and one more for each that it has begun.
-Among those with credit left the choice is drawn, so that gateways which know nothing of each other
-spread; a choice by rank or by a small model would be the same at all of them.
+Each upstream has a credit at this gateway: one request, plus one for each request that it has
+begun. The choice among upstreams with remaining credit is random, so that gateways without
+knowledge of each other spread their requests; a choice by rank or by an incomplete model would be
+the same on all of them.
 """
 
 from __future__ import annotations
@@ -21,25 +22,25 @@
 
 @dataclass(frozen=True)
 class Seen:
-    """What this gateway has seen of an upstream since its start."""
+    """Requests of this gateway on one upstream since the gateway's start."""
 
     upstream: Upstream
     unanswered: int
-    """Own requests that it has not begun."""
+    """Own requests that the upstream has not begun."""
     answered: int
-    """Own requests that it has begun."""
+    """Own requests that the upstream has begun."""
 
     @property
     def credit(self) -> int:
-        """Return how many more requests it may be sent."""
+        """Return how many more requests may be sent to the upstream."""
         return _FIRST_CREDIT + self.answered - self.unanswered
 
 
 def draw(seen: Sequence[Seen], rng: random.Random) -> list[Upstream]:
-    """Return the one to take, none of none.
+    """Return a list of the chosen upstream, empty if there are no upstreams.
 
-    Without credit anywhere it is one of those with the most: no request is refused since too
-    little is known.
+    If no upstream has credit, one of those with the highest credit is chosen: no request is refused
+    because too little is known.
     """
     if not seen:
         return []
--- a/src/lotushill/starting/knowledge.py
+++ b/src/lotushill/starting/knowledge.py
@@ -1,37 +1,40 @@
-"""Whether a gateway that has started knows enough of its fleet to choose by its model. Pure.
+"""Decides whether a started gateway knows enough of its fleet to use its model.
 
-The load that it answers: all hosts lose power, all gateways start within a second, and all callers
-come back at once. For 0.1 to 1 s a gateway then knows few others and takes the fleet for a small
-one, or schedules before it was told what runs: it would choose by its own few requests, and all
-gateways would send to the same few upstreams.
+Protects against this load: all hosts lose power, all gateways start within a second, and all
+clients return at once. For 0.1 to 1 s a gateway then knows few others and takes the fleet for a
+small one, or schedules before it has received the load of the upstreams: it would choose by its own
+few requests, and all gateways would send to the same few upstreams. Performs no I/O.
 """
 
 from __future__ import annotations
 
 START_SECONDS = 5.0
-"""After its start a gateway counts as new for so long: members find each other within a second, a
-model is pulled within 1.5 s more. Later, few members are a cut, and its side is known."""
+"""Time after its start in which a gateway counts as new: members discover each other within a
+second, and a model is pulled within 1.5 s more. Later, few members mean a partition, and the
+members on its own side are known."""
 _KNOWN_SHARE = 0.5
-"""Of the gateways that are registered: with more of them heard, their news tell what runs."""
+"""Fraction of the registered gateways that have to be reachable; their updates then cover the
+running requests."""
 
 
 class Start:
-    """The start of one gateway."""
+    """Startup phase of one gateway."""
 
     def __init__(self, small_fleet: int, started_at: float) -> None:
-        """Start in a fleet that is small with so many gateways, all of which schedule then."""
+        """Record the start; a fleet of up to `small_fleet` gateways is small: all schedule in it."""
         self._small_fleet = small_fleet
         self._started_at = started_at
 
     def is_new(self, now: float) -> bool:
-        """Return whether the start is so lately that little may be known."""
+        """Return whether the start is so recent that the fleet may be largely unknown."""
         return now - self._started_at < START_SECONDS
 
     def knows_fleet(self, heard: int, registered: int, has_model: bool, now: float) -> bool:
         """Return whether to choose by the own model.
 
-        `heard` gateways are known to live, this one included; `registered` are in the store's list,
-        0 while it was not read; `has_model` tells whether somebody told this one what runs.
+        `heard` is the number of live gateways, including this one; `registered` is the number in
+        the store's list, 0 while it has not been read; `has_model` tells whether this gateway has
+        received the load of the upstreams from another one.
         """
         if not self.is_new(now):
             return True
--- a/src/lotushill/starting/patience.py
+++ b/src/lotushill/starting/patience.py
@@ -1,29 +1,30 @@
-"""What a request meets at a gateway that is not ready yet. Pure.
+"""Bounds how long and how many requests wait at a gateway that is not ready yet.
 
-The load that it answers: all gateways have just started, and callers come while some lack their
-configuration or the requests that are held from upstreams. Most clients come back once: told the
-same half second, all of them would use that up together, some again before anybody is ready.
+Protects against this load: all gateways have just started, and requests arrive while some of them
+lack their configuration or the list of requests that are held back from upstreams. Most clients
+return once: if all were given the same half second, all of them would use up that return together,
+some before any gateway is ready. Performs no I/O.
 """
 
 from __future__ import annotations
 
 LONGEST_WAIT = 0.6
-"""Seconds that a request waits for readiness: what is missing comes within some tenths, and clients
-leave a host that does not read their request within a second."""
+"""Maximum seconds that a request waits for readiness: what is missing arrives within some tenths of
+a second, and clients leave a host that does not read their request within a second."""
 _WAIT_SHARE = 0.2
-"""Of the time that its client has left; clients leave after a third."""
+"""Fraction of the client's remaining time that a request may wait; clients leave after a third."""
 MOST_WAITING = 256
-"""Requests that wait at one gateway, with their heads only."""
+"""Maximum number of requests that wait at one gateway, with only their heads in memory."""
 _SHORTEST_RETRY = 0.25
 _LONGEST_RETRY = 1.0
-"""Seconds between which those who are turned away come back."""
+"""Bounds in seconds of the Retry-After times of refused requests."""
 
 
 def ready_wait(time_left: float) -> float:
-    """Return how many seconds a request may wait; `time_left` is 0 where its client tells none."""
+    """Return how many seconds a request may wait; `time_left` is 0 if its client states none."""
     return min(LONGEST_WAIT, _WAIT_SHARE * time_left) if time_left > 0.0 else LONGEST_WAIT
 
 
 def ready_retry(spread: float) -> float:
-    """Return after how many seconds to come back; `spread`, from 0 to 1, is drawn for each."""
+    """Return the Retry-After time in seconds; `spread`, from 0 to 1, is random per request."""
     return _SHORTEST_RETRY + (_LONGEST_RETRY - _SHORTEST_RETRY) * spread
