--- a/src/lotushill/clock.py
+++ b/src/lotushill/clock.py
@@ -1,4 +1,4 @@
-"""The clock that everything but the loop's own timers goes by."""
+"""The clock of all timing except the event loop's own timers."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def now() -> float:
-    """Return seconds on a clock that is never set and goes on while the host is suspended.
+    """Return the seconds of a clock that is never set and continues while the host is suspended.
 
-    The steady clock, by which the loop's timers go, stands still in a suspension: a holder that
-    slept ten seconds would believe its lease fresh, and a request would outlive its deadline.
+    The monotonic clock of the loop's timers stops during a suspension: a lease holder suspended for
+    ten seconds would consider its lease valid, and a request would outlive its deadline.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/lotushill/rendezvous.py
+++ b/src/lotushill/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every member works out the same owner from the same members."""
+"""Rendezvous hashing: every member computes the same owner from the same members."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def owner(key: str, members: Iterable[str]) -> str | None:
-    """Return the member with the highest hash for a key, None without members."""
+    """Return the member with the highest hash for a key, None if there are no members."""
     return max(members, key=lambda name: (_weight(key, name), name), default=None)
 
 
 def ranked(key: str, members: Iterable[str], count: int) -> tuple[str, ...]:
-    """Return the `count` members with the highest hashes for a key."""
+    """Return the `count` members with the highest hashes for a key, highest first."""
     order = sorted(members, key=lambda name: (_weight(key, name), name), reverse=True)
     return tuple(order[:count])
 
--- a/src/lotushill/routing/__init__.py
+++ b/src/lotushill/routing/__init__.py
@@ -1,3 +1,3 @@
-"""Which service a request goes to: routes, services, teams and limits."""
+"""Routing of requests to services: routes, services, teams and limits."""
 
 from __future__ import annotations
--- a/src/lotushill/routing/demand.py
+++ b/src/lotushill/routing/demand.py
@@ -1,4 +1,4 @@
-"""What one request asks for, read from its head."""
+"""Parameters of one request, read from its head."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """A part of a prompt that other requests may share, in tokens."""
+    """A part of a prompt that other requests may share; its length is in tokens."""
 
     id: int
     tokens: int
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """One request's needs; lengths are tokens, 0 where nothing is said."""
+    """Parameters of one request; lengths are in tokens, 0 if the request does not state them."""
 
     request_id: str
     host: str
     api_key: str
     time_left: float | None
-    """Seconds that the client will wait, None if it does not say."""
+    """Seconds that the client will wait, None if it does not state them."""
     prompt_tokens: int
     output_limit: int
-    """Most tokens that the answer may have."""
+    """Maximum number of tokens of the answer."""
     output_hint: int
-    """The client's guess of the answer's length: right in the median, often far off."""
+    """The client's estimate of the answer's length: right in the median, often far off."""
     parts: tuple[PromptPart, ...]
-    """The parts of the prompt in order."""
+    """Parts of the prompt, in order."""
     last_event_id: str
--- a/src/lotushill/routing/exceptions.py
+++ b/src/lotushill/routing/exceptions.py
@@ -1,10 +1,10 @@
-"""Errors of routing."""
+"""Exceptions of the routing package."""
 
 from __future__ import annotations
 
 
 class InvalidTableError(Exception):
-    """A configuration that cannot be used, with the path of the value at fault."""
+    """The configuration is invalid; holds the path of the value at fault."""
 
     def __init__(self, path: str, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
--- a/src/lotushill/routing/limits.py
+++ b/src/lotushill/routing/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what a client may send."""
+"""Limits on the requests of clients."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class ClientLimits:
-    """Bounds in bytes and seconds."""
+    """Limits in bytes and seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
--- a/src/lotushill/routing/rate_limit.py
+++ b/src/lotushill/routing/rate_limit.py
@@ -1,4 +1,4 @@
-"""How many requests of a team the whole fleet takes."""
+"""Limit on the requests that the whole fleet accepts from a team."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True)
 class RateLimit:
-    """One limit; all requests with the same scope count together."""
+    """One rate limit; all requests with the same scope are counted together."""
 
     scope: str
-    """The team, and the level of the settings tree that sets the limit."""
+    """Identifies the team and the level of the settings tree that sets the limit."""
     rate: float
-    """Requests a second."""
+    """Requests per second."""
--- a/src/lotushill/routing/route.py
+++ b/src/lotushill/routing/route.py
@@ -1,4 +1,4 @@
-"""A route: which requests it takes, what they may cost, and which services answer them."""
+"""Routes: the requests that they match, their limits, and the services that answer them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RouteKind(Enum):
-    """What a request on a route is, and so how often it may run."""
+    """Kind of the requests on a route, which determines how often a request may run."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class WeightedService:
-    """One of the services of a route, with its share of the requests."""
+    """A service of a route and its weight among the route's services."""
 
     service: str
     weight: float
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Route:
-    """One route; times are seconds."""
+    """One route; times are in seconds."""
 
     name: str
     host: str
@@ -37,24 +37,24 @@
     kind: RouteKind
     services: tuple[WeightedService, ...]
     timeout: float
-    """The longest that a request is held."""
+    """Maximum time that a request may take."""
     target: float
-    """The time to the answer, or to a stream's first event, that earns full credit."""
+    """Time to the answer, or to a stream's first event, that earns full credit."""
     target_gap: float
-    """The longest pause between events of a stream that is still in time; 0 for none."""
+    """Longest pause between events of a stream that is still in time; 0 for none."""
     urgency: Urgency
     max_attempts: int
-    """Most upstreams that may run one request."""
+    """Maximum number of upstreams that may run one request."""
     public: bool
-    """Whether a request needs no API key."""
+    """Whether requests need no API key."""
     resumable: bool
     """Whether a stream may be continued on another upstream."""
     may_repeat: bool = True
-    """False where the settings tree forbids what the kind of the route allows."""
+    """False if the settings tree forbids repeats that the kind of the route allows."""
     share: float = 1.0
-    """Weight of the team's part of the service, beside other teams of the tier."""
+    """Weight of the team's share of the service, relative to other teams of the tier."""
     limit: RateLimit | None = None
-    """What the whole fleet takes of the team, None for any number of requests."""
+    """Rate limit of the team over the whole fleet, None for no limit."""
 
     @property
     def repeatable(self) -> bool:
@@ -62,7 +62,10 @@
         return self.may_repeat and (self.kind is RouteKind.IDEMPOTENT or self.resumable)
 
     def service_for(self, point: float) -> str:
-        """Return the service for a point in [0, 1): each gets its share of all points."""
+        """Return the service for a point in [0, 1).
+
+        Each service covers a part of the range in proportion to its weight.
+        """
         total = sum(item.weight for item in self.services)
         left = point * total
         for item in self.services:
--- a/src/lotushill/routing/service.py
+++ b/src/lotushill/routing/service.py
@@ -1,4 +1,4 @@
-"""A service: a set of upstreams that are alike."""
+"""Services: sets of equivalent upstreams."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True)
 class EngineProfile:
-    """What is told of a service's model engines."""
+    """Properties of a service's model engines."""
 
     slots: int
     """Requests that run in one batch."""
     memory_tokens: int
-    """Tokens of running requests and kept prompt parts that fit one engine."""
+    """Capacity of one engine's memory, in tokens of running requests and cached prompt parts."""
     tokens_per_event: int
-    """Tokens that one event of a stream carries, at most."""
+    """Maximum number of tokens in one event of a stream."""
     token_bytes: int = 0
-    """Bytes of memory that one token takes."""
+    """Bytes of memory per token."""
     link_rate: float = 0.0
-    """Bytes a second that go from one engine to another; 0 where memory cannot be moved."""
+    """Transfer rate between engines in bytes per second; 0 if memory cannot be moved."""
     backups: bool = False
     """Whether an engine can copy a run's memory to another one while it grows."""
 
@@ -30,17 +30,18 @@
 
 @dataclass(frozen=True)
 class ScalingProfile:
-    """Within what bounds engines of a service may be ordered."""
+    """Bounds within which engines of a service may be ordered."""
 
     least: int
-    """Engines in one hall, of both kinds together."""
+    """Minimum number of engines in one hall, ordinary and reclaimable ones together."""
     most: int
     reclaimable_price: float | None
-    """Price of an engine that may be taken away, as a share of an ordinary one; None for none."""
+    """Price of an engine that may be reclaimed, relative to an ordinary one; None if there are
+    none."""
     boot_seconds: float = 5.0
-    """From an order until its engines serve."""
+    """Seconds from an order until its engines serve."""
     hall_prices: tuple[tuple[str, float], ...] = ()
-    """Price of an ordinary engine by hall; 1 where it is not told."""
+    """Price of an ordinary engine by hall; 1 for halls that are not listed."""
 
     def price(self, hall: str) -> float:
         """Return the price of an ordinary engine in a hall."""
@@ -53,7 +54,7 @@
 
     name: str
     max_connections: int
-    """Connections that one upstream accepts from all gateways together."""
+    """Maximum number of connections that one upstream accepts from all gateways together."""
     engine: EngineProfile | None
     scaling: ScalingProfile | None = None
-    """None where its engines cannot be ordered."""
+    """Bounds for ordering engines, None if they cannot be ordered."""
--- a/src/lotushill/routing/table.py
+++ b/src/lotushill/routing/table.py
@@ -1,4 +1,4 @@
-"""The routing table: everything that one version of the configuration says."""
+"""The routing table: the contents of one version of the configuration."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RoutingTable:
-    """Finds the route, the team and the service of a request; never changes."""
+    """Immutable lookup of the route, the team and the service of a request."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._by_key = {key: team for team in self.teams for key in team.api_keys}
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix of a path, None without one."""
+        """Return the route of a host with the longest matching path prefix, None without a match."""
         routes = self._by_host.get(host.lower())
         if routes is None:
             return None
@@ -49,7 +49,7 @@
         return None
 
     def route(self, name: str) -> Route | None:
-        """Return the route of a name."""
+        """Return the route with a name."""
         for routes in self._by_host.values():
             for route in routes.values():
                 if route.name == name:
@@ -57,11 +57,11 @@
         return None
 
     def team_by_name(self, name: str) -> Team | None:
-        """Return the team of a name."""
+        """Return the team with a name."""
         return next((team for team in self.teams if team.name == name), None)
 
     def team(self, api_key: str) -> Team | None:
-        """Return the team that holds an API key."""
+        """Return the team that owns an API key."""
         return self._by_key.get(api_key)
 
     @property
--- a/src/lotushill/routing/team.py
+++ b/src/lotushill/routing/team.py
@@ -1,4 +1,4 @@
-"""A team: whose request it is, told by its API key."""
+"""Teams, which are identified by the API keys of their requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Team:
-    """One team; its priority, if it has one, orders its requests among those of a tier."""
+    """One team; its priority, if set, orders its requests among those of a tier."""
 
     name: str
     api_keys: tuple[str, ...]
@@ -21,5 +21,5 @@
 
 @lru_cache(maxsize=_TEAMS_KEPT)
 def team_number(name: str) -> int:
-    """Return the number that stands for a team, the same at all gateways; 0 for none."""
+    """Return the number that identifies a team, the same on all gateways; 0 for none."""
     return xxhash.xxh32_intdigest(name) if name else 0
--- a/src/lotushill/routing/upstream.py
+++ b/src/lotushill/routing/upstream.py
@@ -1,4 +1,4 @@
-"""An upstream: one running instance of a service, as it tells of itself."""
+"""Upstreams: running instances of a service, as they register themselves."""
 
 from __future__ import annotations
 
@@ -7,26 +7,27 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """One life of an instance: whoever starts again holds and knows nothing of before."""
+    """One incarnation of an instance; a restarted instance keeps no state of earlier ones."""
 
     id: str
-    """Of the life: all that is known, kept or connected hangs on it."""
+    """Id of the incarnation; all data, memory and connections of an upstream are bound to it."""
     service: str
     address: str
-    """IP number and port."""
+    """IP address and port."""
     hall: str
     slots: int
     draining: bool
     """Whether it is leaving and gets no new requests."""
     slow_seconds: float = 0.0
-    """How much longer it is slow from its start."""
+    """Seconds for which it is still slow after its start."""
     instance: str = ""
-    """Its name at the platform, which later lives may share; empty where it is the `id`."""
+    """Name of the instance on the platform, which later incarnations may share; empty if it equals
+    `id`."""
 
     leaves_seconds: float | None = None
-    """In how many seconds it ends, as it said when it wrote its entry; None if it did not."""
+    """Seconds until it ends, as stated when it wrote its entry; None if not stated."""
 
     @property
     def name(self) -> str:
-        """Return what requests to it are addressed with."""
+        """Return the name to which requests are addressed."""
         return self.instance or self.id
--- a/src/lotushill/routing/urgency.py
+++ b/src/lotushill/routing/urgency.py
@@ -1,18 +1,18 @@
-"""Which of two requests goes first."""
+"""Urgency of requests, which orders them for service."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 USUAL_TEAM = 1
-"""Of a team of which nothing is said: between those that go first and those that go last."""
+"""Rank of a team without a setting: between the teams served first and those served last."""
 
 
 @dataclass(frozen=True, order=True)
 class Urgency:
-    """How urgent a request is: the smaller, the more; teams are ordered within a tier."""
+    """Urgency of a request; smaller is more urgent, and teams are ordered within a tier."""
 
     tier: int
-    """Rank of the route, or what the settings tree puts in its place."""
+    """Rank of the route, or the value that replaces it in the settings tree."""
     team: int = USUAL_TEAM
-    """Rank of the team among others."""
+    """Rank of the team relative to other teams."""
