--- a/tests/placement/placing.py
+++ b/tests/placement/placing.py
@@ -1,4 +1,4 @@
-"""What tests tell a model of a request that was placed."""
+"""Builds messages about placed requests for tests of the placement model."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def placed(request: int, need: Need, choice: Choice) -> Placed:
-    """Return what a gateway tells of a request that it has sent where `choice` says."""
+    """Return the message of a gateway that has sent a request to the upstream of `choice`."""
     return Placed(
         request,
         choice.upstream.id,
--- a/tests/placement/test_engine_pace.py
+++ b/tests/placement/test_engine_pace.py
@@ -1,4 +1,4 @@
-"""What is learned of an engine's pace: what lasts, what passes, and against what it is held."""
+"""Estimated engine paces: long-term pace, short disturbances, and the reference of comparison."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Engines:
-    """Engines of given slowness, from each of which a stream tells now and then."""
+    """Engines of given slowness, each with a stream that reports at regular intervals."""
 
     def __init__(self, slowness: list[float], seed: int = 1) -> None:
         self.slowness = slowness
@@ -23,7 +23,7 @@
             self.service.add(f"e{number}", pace)
 
     def run(self, seconds: float, disturbed: int | None = None, every: float = 0.1) -> None:
-        """Let time pass, with one engine 2.5 times slower than it is."""
+        """Advance the time; one engine may be disturbed, 2.5 times slower than its own pace."""
         ends = self.now + seconds
         while self.now < ends:
             self.now += every
@@ -44,7 +44,7 @@
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(2.0)
         self.assert_slow(engines)
-        # Nothing is sent to them for a minute.
+        # No requests are sent to them for a minute.
         self.assertGreater(engines.paces[0].step_slowness(engines.now + 60.0), 1.7)
 
     def test_engines_that_are_alike_have_no_lasting_pace(self) -> None:
@@ -55,7 +55,7 @@
                 self.assertEqual(0, engines.service.changes)
 
     def assert_slow(self, engines: Engines) -> None:
-        """The first three, and no others, are about as slow as they are."""
+        """Check that exactly the first three engines have about their true slowness."""
         self.assertEqual({"e0", "e1", "e2"}, set(engines.lasting()))
         for steps in engines.lasting().values():
             self.assertAlmostEqual(1.82 / 0.83, steps, delta=0.4)
@@ -83,7 +83,7 @@
     def test_the_usual_pace_is_that_of_the_median_engine_and_not_of_the_median_request(
         self,
     ) -> None:
-        """Slow engines are sent one request in a hundred, and then all are."""
+        """The slow engines receive no more requests after 4 s, and the reference stays the same."""
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(4.0)
         for _ in range(400):
--- a/tests/placement/test_fetch.py
+++ b/tests/placement/test_fetch.py
@@ -1,4 +1,4 @@
-"""Copies of kept prompt parts: from where, and when they are worth it."""
+"""Copies of cached prompt parts: the source, and the cases in which a copy is worthwhile."""
 
 from __future__ import annotations
 
--- a/tests/placement/test_fleet.py
+++ b/tests/placement/test_fleet.py
@@ -38,7 +38,7 @@
 
 
 class Driver:
-    """Places requests as a gateway does."""
+    """Places requests in the way of a gateway."""
 
     def __init__(self) -> None:
         self.fleet = Fleet("z")
@@ -60,7 +60,7 @@
 
 
 class TestFullEngines(unittest.TestCase):
-    """Engines whose slots are held by less urgent requests were taken for empty ones."""
+    """Engines whose slots were held by less urgent requests were treated as empty."""
 
     def setUp(self) -> None:
         self.driver = Driver()
--- a/tests/placement/test_pauses.py
+++ b/tests/placement/test_pauses.py
@@ -16,7 +16,7 @@
 
 
 def pause(waiting: float, slowness: float, rng: random.Random) -> float:
-    """Return a pause as an engine makes it that reads one piece a step."""
+    """Return a pause of an engine that processes one prompt chunk per step."""
     return slowness * (QUIET + min(waiting, BOUND)) * rng.uniform(0.95, 1.05)
 
 
@@ -31,11 +31,11 @@
 
 class TestPauses(unittest.TestCase):
     def test_events_that_arrive_together_from_the_start_are_borne(self) -> None:
-        """Streams ended in mid-answer with a division by zero.
+        """Guards against a division by zero that aborted streams in mid-answer.
 
-        The first two events of a service came in one read, so that the usual pause was 0 s; the
-        next pause was divided by it. `request.ended` told the fault ten times in 16 s, at gateways
-        that had just started and for streams whose first event had come.
+        The first two events of a service arrived in one read, so the typical pause was 0 s, and the
+        next pause was divided by it. `request.ended` recorded the fault ten times in 16 s, at
+        gateways that had just started and for streams whose first event had arrived.
         """
         pauses = Pauses()
         for _ in range(3):
--- a/tests/placement/test_shedding.py
+++ b/tests/placement/test_shedding.py
@@ -33,7 +33,7 @@
 
 @dataclass
 class History:
-    """What began in a fleet, and what one gateway that hears of all of it refused."""
+    """Requests started in a fleet, and the refusals of one gateway that receives all reports."""
 
     shedding: Shedding = field(default_factory=Shedding)
     began: list[tuple[float, int, int]] = field(default_factory=list)
@@ -58,7 +58,7 @@
 
 class TestShedding(unittest.TestCase):
     def test_the_longest_take_no_slot_that_is_not_free(self) -> None:
-        """Of many upstreams only some are weighed: these may be full where others are not."""
+        """Only some of many upstreams are weighed, and these may be full while others are not."""
         shedding = Shedding()
         for number in range(4):
             shedding.note(placed(number, 2, 12_000), "llm", 0.0)
--- a/tests/placement/test_shortlist.py
+++ b/tests/placement/test_shortlist.py
@@ -38,7 +38,7 @@
 
 
 class TestAmongMany(unittest.TestCase):
-    """Of many upstreams the one that fits is found."""
+    """Among many upstreams, the suitable one is found."""
 
     def test_the_one_that_keeps_the_prompt_is_found_among_many(self) -> None:
         driver = Driver()
--- a/tests/placement/test_team_room.py
+++ b/tests/placement/test_team_room.py
@@ -1,4 +1,4 @@
-"""What a team over its share leaves to others: decided before any upstream has the request."""
+"""Room that a team over its share leaves to others, decided before a request is sent."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     def ask(
         self, team: str, service: Service, now: float = 0.0, kind: str = "long", tier: int = 0
     ) -> Choice | NoChoice:
-        """Ask for one request of a team, which runs from then on if it is placed."""
+        """Place one request of a team; if it is placed, it keeps running."""
         self.count += 1
         need = long(self.count) if kind == "long" else short()
         need = replace(need, team=team, tier=tier, service=service.name)
--- a/tests/placement/test_uneven_fleet.py
+++ b/tests/placement/test_uneven_fleet.py
@@ -1,4 +1,4 @@
-"""Placing before upstreams of unequal pace: plain ones, and ones of which nothing is known yet."""
+"""Placement on upstreams of different pace: plain instances, and upstreams of unknown pace."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class TestUntried(unittest.TestCase):
-    """A new engine was empty, so that all requests of a burst went there, however slow it was."""
+    """A new engine was empty and received all requests of a burst, however slow it was."""
 
     def setUp(self) -> None:
         self.fleet = Fleet("z")
@@ -60,10 +60,10 @@
 
 
 class TestPlain(unittest.TestCase):
-    """Instances of a plain service of which one is less than half as fast as its like."""
+    """One instance of a plain service is less than half as fast as the others."""
 
     def serve(self, seconds: dict[str, float], count: int) -> tuple[Fleet, Counter[str]]:
-        """Have requests served, a hundred a second; return where the last half went."""
+        """Serve a hundred requests per second; return where the last half of them were sent."""
         fleet, sent = Fleet("z"), Counter[str]()
         known = upstreams("app", len(seconds), 6)
         due: list[tuple[float, int, str]] = []
--- a/tests/placement/test_upstream_load.py
+++ b/tests/placement/test_upstream_load.py
@@ -81,10 +81,10 @@
 
 
 class TestSlots(unittest.TestCase):
-    """Who keeps a slot from a new request.
+    """Requests that hold a slot against a new request.
 
-    Requests of the middle tier got nothing for 2.4 s at engines where they had been predicted to
-    begin after 0.08 s: less urgent ones held the slots to their end, and were not counted.
+    Requests of the middle tier were not served for 2.4 s at engines where they had been predicted
+    to begin after 0.08 s: less urgent requests held the slots to their end, and were not counted.
     """
 
     def load_of(self, tiers: list[int], begun: int) -> UpstreamLoad:
--- a/tests/starting/test_starting.py
+++ b/tests/starting/test_starting.py
@@ -1,4 +1,4 @@
-"""What a gateway does while it knows nothing of what its fleet runs."""
+"""Decisions of a gateway while it does not know the load of its fleet."""
 
 from __future__ import annotations
 
