--- a/src/lotushill/routing/table.py
+++ b/src/lotushill/routing/table.py
@@ -37,7 +37,7 @@
         self._by_key = {key: team for team in self.teams for key in team.api_keys}
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest matching path prefix, None without a match."""
+        """Return the route with the longest matching path prefix on a host, None if there is none."""
         routes = self._by_host.get(host.lower())
         if routes is None:
             return None
@@ -71,8 +71,10 @@
 
     def _add(self, route: Route) -> None:
         if not route.services:
-            raise InvalidTableError(f"routes.{route.name}", "names no service")
+            raise InvalidTableError(f"routes.{route.name}", "the route lists no service")
         for item in route.services:
             if item.service not in self.services:
-                raise InvalidTableError(f"routes.{route.name}", f"no service {item.service!r}")
+                raise InvalidTableError(
+                    f"routes.{route.name}", f"service {item.service!r} is not defined"
+                )
         self._by_host[route.host.lower()][route.path_prefix] = route
--- a/src/lotushill/starting/knowledge.py
+++ b/src/lotushill/starting/knowledge.py
@@ -21,7 +21,7 @@
     """Startup phase of one gateway."""
 
     def __init__(self, small_fleet: int, started_at: float) -> None:
-        """Record the start; a fleet of up to `small_fleet` gateways is small: all schedule in it."""
+        """Record the start; in a fleet of up to `small_fleet` gateways, all of them schedule."""
         self._small_fleet = small_fleet
         self._started_at = started_at
 
