--- a/src/lotushill/routing/table.py
+++ b/src/lotushill/routing/table.py
@@ -37,7 +37,7 @@
         self._by_key = {key: team for team in self.teams for key in team.api_keys}
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest matching path prefix on a host, None if there is none."""
+        """Return the route of a host with the longest matching path prefix, or None."""
         routes = self._by_host.get(host.lower())
         if routes is None:
             return None
