--- a/tests/placement/test_backup.py
+++ b/tests/placement/test_backup.py
@@ -32,12 +32,12 @@
 
 
 class TestWorth(unittest.TestCase):
-    def test_short_prompts_of_streams_that_are_often_cut_are_copied(self) -> None:
+    def test_short_prompts_are_copied_if_streams_are_often_lost(self) -> None:
         self.assertTrue(is_worth_copying(need(800), 2.0, 0.02))
         self.assertFalse(is_worth_copying(need(12_000), 2.0, 0.02))
         self.assertFalse(is_worth_copying(need(800), 2.0, 0.001))
 
-    def test_a_minute_of_calm_ends_copying_and_some_cuts_begin_it(self) -> None:
+    def test_copying_stops_after_a_minute_without_losses_and_starts_after_some(self) -> None:
         rate = CutRate()
         self.assertTrue(is_worth_copying(need(800), 2.0, rate.rate))
         for second in range(60):
@@ -47,7 +47,7 @@
             rate.note(1.0, True, 60.0)
         self.assertTrue(is_worth_copying(need(800), 2.0, rate.rate))
 
-    def test_old_cuts_are_forgotten(self) -> None:
+    def test_old_losses_decay(self) -> None:
         rate = CutRate()
         for _ in range(100):
             rate.note(0.0, True, 0.0)
@@ -57,7 +57,7 @@
 
 class TestTarget(unittest.TestCase):
     @given(st.lists(st.integers(0, 12_000), min_size=1, max_size=6), st.integers(0, 5))
-    def test_it_is_another_upstream_with_room(self, held: list[int], index: int) -> None:
+    def test_target_is_another_upstream_with_free_memory(self, held: list[int], index: int) -> None:
         among = [upstream(f"b{n}", "z" if n % 2 else "y") for n in range(len(held))]
         loads = {item.id: loaded(tokens) for item, tokens in zip(among, held)}
         chosen = among[index % len(among)]
@@ -70,7 +70,7 @@
         elsewhere = [item for item in fit if item.hall != chosen.hall]
         self.assertTrue(found in elsewhere or not elsewhere)
 
-    def test_one_that_cannot_be_reached_keeps_no_copy(self) -> None:
+    def test_unreachable_upstream_holds_no_copy(self) -> None:
         load = UpstreamLoad()
         load.note_unreachable(0.0)
         among = [upstream("a"), upstream("b")]
--- a/tests/placement/test_engine_pace.py
+++ b/tests/placement/test_engine_pace.py
@@ -40,14 +40,14 @@
 
 
 class TestLasting(unittest.TestCase):
-    def test_slow_engines_are_known_within_seconds_and_stay_known(self) -> None:
+    def test_slow_engines_are_detected_within_seconds_and_stay_detected(self) -> None:
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(2.0)
         self.assert_slow(engines)
         # No requests are sent to them for a minute.
         self.assertGreater(engines.paces[0].step_slowness(engines.now + 60.0), 1.7)
 
-    def test_engines_that_are_alike_have_no_lasting_pace(self) -> None:
+    def test_equal_engines_have_no_long_term_difference(self) -> None:
         for seed in range(20):
             with self.subTest(seed=seed):
                 engines = Engines([1.0] * 12, seed)
@@ -60,7 +60,7 @@
         for steps in engines.lasting().values():
             self.assertAlmostEqual(1.82 / 0.83, steps, delta=0.4)
 
-    def test_a_disturbance_shows_at_once_and_leaves_what_lasts(self) -> None:
+    def test_disturbance_changes_the_short_term_pace_only(self) -> None:
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(6.0)
         engines.run(0.6, disturbed=5)
@@ -70,7 +70,7 @@
         self.assert_slow(engines)
         self.assertLess(engines.paces[5].step_slowness(engines.now), 1.15)
 
-    def test_one_that_changes_for_good_is_learned_anew(self) -> None:
+    def test_permanent_change_updates_the_long_term_pace(self) -> None:
         engines = Engines([1.0] * 8)
         engines.run(6.0)
         engines.slowness[2] = 2.0
@@ -80,7 +80,7 @@
         engines.run(6.0)
         self.assertEqual({}, engines.lasting())
 
-    def test_the_usual_pace_is_that_of_the_median_engine_and_not_of_the_median_request(
+    def test_reference_is_the_median_engine_and_not_the_median_request(
         self,
     ) -> None:
         """The slow engines receive no more requests after 4 s, and the reference stays the same."""
@@ -93,7 +93,7 @@
             engines.service.settle(engines.now)
         self.assert_slow(engines)
 
-    def test_one_of_which_nothing_is_seen_for_minutes_is_tried_again(self) -> None:
+    def test_long_term_pace_is_reset_after_minutes_without_samples(self) -> None:
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(4.0)
         for seconds, names in ((60.0, {"e0", "e1", "e2"}), (61.0, set())):
@@ -102,14 +102,14 @@
             engines.service.settle(engines.now)
             self.assertEqual(names, set(engines.lasting()))
 
-    def test_two_engines_have_no_like_to_be_held_against(self) -> None:
+    def test_two_engines_are_not_compared(self) -> None:
         engines = Engines([2.0, 1.0])
         engines.run(10.0)
         self.assertEqual(0, engines.service.changes)
 
 
 class TestTold(unittest.TestCase):
-    def test_what_another_gateway_found_holds_until_own_evidence_comes(self) -> None:
+    def test_reported_pace_holds_until_own_samples_exist(self) -> None:
         engines = Engines([1.0] * 6)
         engines.service.presume(LastingPace("e1", 2.2, 1.0), engines.paces[1])
         self.assertTrue(engines.service.differing)
@@ -117,7 +117,7 @@
         engines.run(4.0)
         self.assertEqual({}, engines.lasting())
 
-    def test_it_does_not_replace_what_was_seen(self) -> None:
+    def test_reported_pace_does_not_replace_own_samples(self) -> None:
         engines = Engines([1.0] * 6)
         engines.run(4.0)
         engines.service.presume(LastingPace("e1", 2.2, 1.0), engines.paces[1])
--- a/tests/placement/test_fetch.py
+++ b/tests/placement/test_fetch.py
@@ -24,27 +24,27 @@
 
 
 class TestFetch(unittest.TestCase):
-    def test_what_another_keeps_is_copied_and_the_nearer_one_gives_it(self) -> None:
+    def test_cached_parts_are_copied_from_the_nearer_upstream(self) -> None:
         planner = FetchPlanner(MOVES, {"b1": 0, "b2": 5000, "b3": 5000}, ALL)
         fetch = planner.plan(ALL["b1"], 0, READ_RATE)
         assert fetch is not None
         self.assertEqual(("b2", 5000), (fetch.source.id, fetch.tokens))
         self.assertLess(fetch.seconds, 5000 / READ_RATE)
 
-    def test_only_what_the_target_lacks_is_copied(self) -> None:
+    def test_only_missing_tokens_are_copied(self) -> None:
         planner = FetchPlanner(MOVES, {"b1": 3000, "b2": 5000}, ALL)
         fetch = planner.plan(ALL["b1"], 3000, READ_RATE)
         self.assertEqual(2000, fetch.tokens if fetch else 0)
 
-    def test_a_few_tokens_are_read(self) -> None:
+    def test_few_tokens_are_not_copied(self) -> None:
         planner = FetchPlanner(MOVES, {"b2": 200}, ALL)
         self.assertIsNone(planner.plan(ALL["b1"], 0, READ_RATE))
 
-    def test_an_upstream_that_keeps_it_copies_nothing(self) -> None:
+    def test_upstream_with_cached_parts_copies_nothing(self) -> None:
         planner = FetchPlanner(MOVES, {"b1": 5000}, ALL)
         self.assertIsNone(planner.plan(ALL["b1"], 5000, READ_RATE))
 
-    def test_without_moves_nothing_is_copied(self) -> None:
+    def test_nothing_is_copied_without_a_transfer_rate(self) -> None:
         planner = FetchPlanner(KEEPS, {"b2": 5000}, ALL)
         self.assertIsNone(planner.plan(ALL["b1"], 0, READ_RATE))
 
@@ -54,7 +54,7 @@
         st.integers(0, 20_000),
         st.floats(1_000, 1_000_000),
     )
-    def test_a_copy_never_takes_longer_than_reading(
+    def test_copy_never_takes_longer_than_prefill(
         self, kept: dict[str, int], target: str, own: int, rate: float
     ) -> None:
         fetch = FetchPlanner(MOVES, kept, ALL).plan(ALL[target], own, rate)
--- a/tests/placement/test_fleet.py
+++ b/tests/placement/test_fleet.py
@@ -75,7 +75,7 @@
         found = {self.driver.place(short(), self.service, self.among, 0.3) for _ in range(3)}
         self.assertEqual({"b1"}, found)
 
-    def test_its_wait_is_told_by_those_who_hold_the_slots(self) -> None:
+    def test_predicted_wait_depends_on_the_requests_that_hold_the_slots(self) -> None:
         chosen = self.driver.fleet.choose(
             short(output_tokens=5), self.service, self.among[:1], NOTHING, 0.3
         )
@@ -85,7 +85,7 @@
 
 
 class TestEngines(unittest.TestCase):
-    def test_long_prompts_stay_away_from_streams_with_short_pauses(self) -> None:
+    def test_long_prompts_are_placed_apart_from_streams_with_short_pauses(self) -> None:
         driver = Driver()
         among = upstreams("llm")
         driver.place(long(1), ENGINE, among, 0.0)
@@ -93,7 +93,7 @@
         far = {driver.place(long(100 + n), ENGINE, among, 0.7) for n in range(2)}
         self.assertFalse(delicate & far)
 
-    def test_streams_with_short_pauses_go_together_while_long_prompts_come(self) -> None:
+    def test_streams_with_short_pauses_are_packed_while_long_prompts_arrive(self) -> None:
         driver = Driver()
         among = upstreams("llm", 6)
         driver.place(long(1), ENGINE, among, 0.0)
@@ -102,7 +102,7 @@
         used = {item.id for item in among if driver.fleet.load(item.id).gaps.get(short().gap)}
         self.assertEqual(1, len(used))
 
-    def test_a_prompt_goes_where_its_shared_part_is_kept(self) -> None:
+    def test_prompt_is_placed_where_its_shared_part_is_cached(self) -> None:
         driver = Driver()
         among = upstreams("llm", 5)
         first = driver.place(long(1), ENGINE, among, 0.0)
@@ -110,7 +110,7 @@
         driver.fleet.end(Ended(1), 0.5)
         self.assertEqual(first, driver.place(long(2), ENGINE, among, 2.0))
 
-    def test_a_shared_part_kept_on_a_full_upstream_is_copied_to_another(self) -> None:
+    def test_shared_part_cached_on_a_full_upstream_is_copied_to_another(self) -> None:
         service = Service(
             "llm", 100, EngineProfile(1, 400_000, 5, token_bytes=160_000, link_rate=3.0e10)
         )
@@ -123,7 +123,7 @@
         self.assertEqual((first, 5000), (choice.fetch.source.id, choice.fetch.tokens))
         self.assertEqual((0, 6500), (choice.again, choice.reading))
 
-    def test_slots_of_upstreams_out_of_reach_are_not_left_for_anybody(self) -> None:
+    def test_slots_of_unreachable_upstreams_do_not_count_as_free(self) -> None:
         driver = Driver()
         need = replace(long(2), tier=2)
         among = upstreams("llm", 4)
@@ -155,7 +155,7 @@
         self.assertGreater(refused.retry_after, 0.0)
         self.assertIsInstance(driver.fleet.choose(short(), ENGINE, among, NOTHING, 0.0), Choice)
 
-    def test_a_gateway_that_has_just_started_refuses_long_prompts_by_what_others_place(
+    def test_started_gateway_refuses_long_prompts_from_reports_of_others(
         self,
     ) -> None:
         among = upstreams("llm", 2)
@@ -186,7 +186,7 @@
             found = driver.fleet.choose(need, ENGINE, among, NOTHING, 0.0)
             self.assertIsInstance(found, NoChoice)
 
-    def test_a_hall_that_is_cut_off_is_passed_over_while_another_serves(self) -> None:
+    def test_unreachable_hall_is_avoided_while_another_serves(self) -> None:
         fleet = Fleet("z", is_cut_off=lambda hall: hall == "far")
         near, far = upstreams("llm", 2)
         far = replace(far, hall="far")
@@ -198,7 +198,7 @@
         alone = fleet.choose(short(), ENGINE, [far], NOTHING, 0.0)
         self.assertIsInstance(alone, Choice)
 
-    def test_an_upstream_that_fails_is_passed_over_and_forgiven(self) -> None:
+    def test_failing_upstream_is_avoided_until_its_failures_decay(self) -> None:
         driver = Driver()
         among = upstreams("llm", 2)
         for _ in range(6):
@@ -212,7 +212,7 @@
         found = Fleet("z").choose(short(), ENGINE, upstreams("llm", 1), frozenset({"b0"}), 0.0)
         self.assertIsInstance(found, NoChoice)
 
-    def test_a_fleet_that_cannot_be_reached_is_tried_all_the_same(self) -> None:
+    def test_unreachable_upstreams_are_tried_if_there_are_no_others(self) -> None:
         fleet = Fleet("z")
         for item in upstreams("llm"):
             fleet.load(item.id).note_unreachable(0.0)
@@ -221,7 +221,7 @@
 
 
 class TestPlainServices(unittest.TestCase):
-    def test_requests_are_spread_by_what_runs(self) -> None:
+    def test_requests_are_spread_by_running_requests(self) -> None:
         driver = Driver()
         among = upstreams("app", 3)
         need = Need("app", "note", 0.4, 0.0, 1.5, False, 0, 0, ())
--- a/tests/placement/test_kept_parts.py
+++ b/tests/placement/test_kept_parts.py
@@ -16,7 +16,7 @@
 
 class TestKeptParts(unittest.TestCase):
     @given(st.lists(_PROMPT, max_size=20), st.integers(0, 400))
-    def test_never_more_is_matched_than_fits_and_than_was_sent(
+    def test_matched_tokens_exceed_neither_capacity_nor_prompt(
         self, prompts: list[list[PromptPart]], capacity: int
     ) -> None:
         kept = KeptParts()
@@ -25,13 +25,13 @@
             matched = kept.matched(prompt)
             self.assertLessEqual(matched, min(capacity, sum(part.tokens for part in prompt)))
 
-    def test_a_part_behind_another_part_is_another_part(self) -> None:
+    def test_part_after_a_different_prefix_is_a_different_part(self) -> None:
         kept = KeptParts()
         kept.touch([PromptPart(1, 10), PromptPart(2, 10)], 1000)
         self.assertEqual(0, kept.matched([PromptPart(2, 10)]))
         self.assertEqual(10, kept.matched([PromptPart(1, 10), PromptPart(3, 10)]))
 
-    def test_the_longest_unused_gives_way(self) -> None:
+    def test_least_recently_used_part_is_evicted(self) -> None:
         kept = KeptParts()
         for name in (1, 2, 3):
             kept.touch([PromptPart(name, 10)], 30)
@@ -42,7 +42,7 @@
 
 
 class TestRecentParts(unittest.TestCase):
-    def test_only_shared_parts_used_of_late_count(self) -> None:
+    def test_only_recently_used_shared_parts_count(self) -> None:
         recent = RecentParts(10.0)
         prompt = [PromptPart(1, 100), PromptPart(2, 200), PromptPart(3, 300)]
         recent.note(prompt, 0.0)
--- a/tests/placement/test_pauses.py
+++ b/tests/placement/test_pauses.py
@@ -30,7 +30,7 @@
 
 
 class TestPauses(unittest.TestCase):
-    def test_events_that_arrive_together_from_the_start_are_borne(self) -> None:
+    def test_first_events_that_arrive_together_do_not_give_a_zero_pause(self) -> None:
         """Guards against a division by zero that aborted streams in mid-answer.
 
         The first two events of a service arrived in one read, so the typical pause was 0 s, and the
@@ -43,7 +43,7 @@
         self.assertGreater(pauses.beside(0.0, 10, 1.0), 0.0)
 
     @given(st.integers(0, 2**32), st.floats(0.0, 3.0), st.floats(0.7, 1.6))
-    def test_prediction_meets_what_an_engine_does(
+    def test_prediction_matches_the_engine(
         self, seed: int, waiting: float, slowness: float
     ) -> None:
         rng = random.Random(seed)
@@ -52,19 +52,19 @@
         self.assertAlmostEqual(likely, slowness * (QUIET + min(waiting, BOUND)), delta=0.03)
 
     @given(st.integers(0, 2**32))
-    def test_many_waiting_prompts_lengthen_a_pause_no_more_than_a_few(self, seed: int) -> None:
+    def test_many_queued_prompts_lengthen_a_pause_no_more_than_a_few(self, seed: int) -> None:
         pauses = taught(random.Random(seed))
         few = pauses.missed(2 * BOUND, 10, 1.0, 0.3)
         many = pauses.missed(50 * BOUND, 10, 1.0, 0.3)
         self.assertAlmostEqual(few, many, delta=0.1)
         self.assertLess(many, 0.1)
 
-    def test_a_slow_upstream_misses_what_one_like_most_keeps(self) -> None:
+    def test_slow_upstream_misses_pauses_that_a_typical_one_meets(self) -> None:
         pauses = taught(random.Random(1))
         self.assertLess(pauses.missed(1.0, 10, 1.0, 0.24), 0.35)
         self.assertGreater(pauses.missed(1.0, 10, 1.5, 0.24), 0.7)
 
-    def test_the_bound_is_known_within_a_few_pauses(self) -> None:
+    def test_bound_is_learned_within_a_few_pauses(self) -> None:
         rng = random.Random(2)
         pauses = Pauses()
         self.assertFalse(pauses.bound_known)
@@ -75,7 +75,7 @@
         self.assertTrue(pauses.bound_known)
         self.assertAlmostEqual(BOUND, pauses.bound, delta=0.04)
 
-    def test_a_reading_that_was_not_seen_does_not_count_as_quiet(self) -> None:
+    def test_unobserved_prefill_does_not_change_the_baseline(self) -> None:
         rng = random.Random(3)
         pauses = taught(rng)
         before = pauses.quiet.at(10)
@@ -85,7 +85,7 @@
 
 
 class TestQuietPause(unittest.TestCase):
-    def test_it_grows_with_what_runs(self) -> None:
+    def test_pause_grows_with_the_running_requests(self) -> None:
         quiet = QuietPause()
         rng = random.Random(4)
         for _ in range(3000):
@@ -94,7 +94,7 @@
         self.assertAlmostEqual(0.022, quiet.at(10), delta=0.001)
         self.assertAlmostEqual(0.030, quiet.at(50), delta=0.001)
 
-    def test_it_is_flat_while_all_pauses_had_as_much_running(self) -> None:
+    def test_pause_is_constant_without_variance_of_the_running_requests(self) -> None:
         quiet = QuietPause()
         for _ in range(100):
             quiet.note(5, 0.025)
--- a/tests/placement/test_shedding.py
+++ b/tests/placement/test_shedding.py
@@ -57,7 +57,7 @@
 
 
 class TestShedding(unittest.TestCase):
-    def test_the_longest_take_no_slot_that_is_not_free(self) -> None:
+    def test_long_requests_are_refused_if_all_weighed_upstreams_are_full(self) -> None:
         """Only some of many upstreams are weighed, and these may be full while others are not."""
         shedding = Shedding()
         for number in range(4):
@@ -82,18 +82,18 @@
             if refused is not None:
                 self.assertFalse(history.larger_began(now, tier, tokens), (now, tier, tokens))
 
-    def test_the_least_urgent_is_refused_when_nothing_less_urgent_begins(self) -> None:
+    def test_least_urgent_request_is_refused_if_no_less_urgent_one_starts(self) -> None:
         history = History()
         history.begin(0.0, 0, 50_000)
         self.assertIsNotNone(history.shedding.refuse(need(2, 9_000), [HOPELESS], 1.0))
 
-    def test_what_began_long_ago_protects_nobody(self) -> None:
+    def test_old_starts_do_not_prevent_a_refusal(self) -> None:
         history = History()
         history.begin(0.0, 2, 50_000)
         later = SPAN_SECONDS + 1.0
         self.assertIsNotNone(history.shedding.refuse(need(1, 100), [HOPELESS], later))
 
-    def test_a_route_is_long_by_what_all_gateways_send(self) -> None:
+    def test_long_routes_are_determined_from_requests_of_all_gateways(self) -> None:
         shedding = Shedding()
         for n in range(30):
             shedding.note(placed(n, n % 3, (800, 2_400, 12_000)[n % 3]), "llm", 0.0)
@@ -104,7 +104,7 @@
 
 
 class TestRecentStarts(unittest.TestCase):
-    def test_what_is_kept_does_not_grow_with_traffic(self) -> None:
+    def test_stored_slices_do_not_grow_with_traffic(self) -> None:
         starts = RecentStarts()
         for n in range(10_000):
             starts.note("llm", 2, 100 + n % 7, n * 0.01)
--- a/tests/placement/test_shortlist.py
+++ b/tests/placement/test_shortlist.py
@@ -18,17 +18,17 @@
 
 
 class TestShortlist(unittest.TestCase):
-    def test_of_a_few_all_are_weighed(self) -> None:
+    def test_all_of_few_upstreams_are_weighed(self) -> None:
         few = upstreams("llm", MOST_WEIGHED)
         self.assertEqual(few, list(shortlist(long(), few)))
 
-    def test_of_many_the_same_are_weighed_for_the_same_prompt_whatever_its_own_part(self) -> None:
+    def test_shortlist_depends_only_on_the_shared_prompt_parts(self) -> None:
         many = upstreams("llm", 600)
         one, other = shortlist(long(1), many), shortlist(long(2), list(reversed(many)))
         self.assertEqual(MOST_WEIGHED, len(one))
         self.assertEqual({item.id for item in one}, {item.id for item in other})
 
-    def test_other_prompts_are_spread_over_all(self) -> None:
+    def test_different_prompts_are_spread_over_all_upstreams(self) -> None:
         many = upstreams("llm", 600)
         met = set()
         for prompt in range(200):
@@ -40,7 +40,7 @@
 class TestAmongMany(unittest.TestCase):
     """Among many upstreams, the suitable one is found."""
 
-    def test_the_one_that_keeps_the_prompt_is_found_among_many(self) -> None:
+    def test_upstream_with_the_cached_prompt_is_found_among_many(self) -> None:
         driver = Driver()
         among = upstreams("llm", 60)
         first = driver.place(long(1), ENGINE, among, 0.0)
@@ -48,7 +48,7 @@
         driver.fleet.end(Ended(1), 0.5)
         self.assertEqual(first, driver.place(long(2), ENGINE, among, 2.0))
 
-    def test_one_with_free_slots_is_found_among_many_that_are_full(self) -> None:
+    def test_upstream_with_free_slots_is_found_among_many_full_ones(self) -> None:
         driver = Driver()
         among = upstreams("llm", 60)
         slots = ENGINE.engine.slots if ENGINE.engine else 0
--- a/tests/placement/test_team_room.py
+++ b/tests/placement/test_team_room.py
@@ -27,7 +27,7 @@
     def choice(self, **changes: object) -> Choice:
         return replace(Choice(upstreams("s", 1)[0], 0.0, 0.1, 0, 0, 1.0), **changes)  # type: ignore[arg-type]
 
-    def test_few_slots_are_kept_of_many_and_none_of_a_few(self) -> None:
+    def test_reserved_slots_are_a_tenth_rounded_down(self) -> None:
         self.assertEqual((10, 1, 0), tuple(kept_slots(slots) for slots in (100, 10, 4)))
 
     def test_one_free_upstream_is_enough(self) -> None:
@@ -68,25 +68,25 @@
                 return found
         raise AssertionError("never refused")
 
-    def test_the_last_slots_stay_for_teams_that_have_had_less(self) -> None:
+    def test_last_slots_are_reserved_for_teams_with_less_usage(self) -> None:
         self.assertIsInstance(self.ask("some", ENGINE), Choice)
         refused = self.ask_until_refused("much", ENGINE)
         self.assertEqual(Refusal.SHARE, refused.refusal)
         self.assertGreater(refused.standing, 1.5)
         self.assertIsInstance(self.ask("some", ENGINE), Choice)
 
-    def test_while_nobody_else_asks_all_slots_are_lent(self) -> None:
+    def test_all_slots_are_available_without_demand_of_other_teams(self) -> None:
         refused = self.ask_until_refused("much", ENGINE)
         self.assertNotEqual(Refusal.SHARE, refused.refusal)
 
-    def test_instances_of_plain_services_are_shared_as_well(self) -> None:
+    def test_plain_service_instances_are_shared_between_teams(self) -> None:
         self.assertIsInstance(self.ask("some", PLAIN, kind="short"), Choice)
         refused = self.ask_until_refused("much", PLAIN, kind="short")
         self.assertEqual(Refusal.SHARE, refused.refusal)
         self.assertEqual(9, self.count)
         self.assertIsInstance(self.ask("some", PLAIN, kind="short"), Choice)
 
-    def test_no_share_puts_a_request_behind_larger_less_urgent_ones(self) -> None:
+    def test_shares_do_not_delay_requests_behind_larger_less_urgent_ones(self) -> None:
         self.ask("some", PLAIN, kind="short")
         self.ask("some", PLAIN, tier=2)
         for _ in range(20):
--- a/tests/placement/test_uneven_fleet.py
+++ b/tests/placement/test_uneven_fleet.py
@@ -46,15 +46,15 @@
             sent[choice.upstream.id] += 1
         return sent
 
-    def test_it_is_tried_with_little_until_something_is_known(self) -> None:
+    def test_unknown_engine_receives_few_requests(self) -> None:
         sent = self.fill(96)
         self.assertLessEqual(1, sent["u11"])
         self.assertLessEqual(sent["u11"], 4)
 
-    def test_it_is_not_starved_where_all_are_wanted(self) -> None:
+    def test_unknown_engine_is_not_starved_under_high_load(self) -> None:
         self.assertGreater(self.fill(190)["u11"], 8)
 
-    def test_once_it_has_answered_it_is_filled_as_others_are(self) -> None:
+    def test_engine_is_filled_like_others_once_its_pace_is_known(self) -> None:
         self.fleet.presume_pace(LastingPace("u11", 1.0, 1.0), "llm")
         self.assertGreater(self.fill(96)["u11"], 4)
 
@@ -81,13 +81,13 @@
             sent[choice.upstream.id] += number >= count / 2
         return fleet, sent
 
-    def test_a_slow_one_is_known_and_stays_known(self) -> None:
+    def test_slow_instance_is_detected_and_stays_detected(self) -> None:
         fleet, sent = self.serve({"u0": 0.18, "u1": 0.08, "u2": 0.08, "u3": 0.08}, 2000)
         (slow,) = fleet.engine_paces.of("app").lasting()
         self.assertEqual("u0", slow.upstream)
         self.assertAlmostEqual(2.25, slow.reading, delta=0.3)
         self.assertLess(sent["u0"], min(sent["u1"], sent["u2"], sent["u3"]))
 
-    def test_even_ones_have_no_lasting_pace(self) -> None:
+    def test_equal_instances_have_no_long_term_difference(self) -> None:
         fleet, _ = self.serve(dict.fromkeys(("u0", "u1", "u2", "u3"), 0.08), 600)
         self.assertEqual([], fleet.engine_paces.of("app").lasting())
--- a/tests/placement/test_unread_prompts.py
+++ b/tests/placement/test_unread_prompts.py
@@ -21,7 +21,7 @@
 
 
 class TestUnreadPrompts(unittest.TestCase):
-    def test_the_more_urgent_overtake_what_waits_but_not_what_is_being_read(self) -> None:
+    def test_urgent_prompts_overtake_queued_ones_but_not_the_current_one(self) -> None:
         prompts = UnreadPrompts()
         for request in range(3):
             prompts.add(request, 2, 4_000, 0.0)
@@ -32,7 +32,7 @@
         prompts.read(0, 4.0)
         self.assertAlmostEqual(400.0, prompts.ahead(0, RATE, 4.1))
 
-    def test_what_is_given_up_while_it_waits_leaves_the_one_in_turn(self) -> None:
+    def test_cancelling_a_queued_prompt_leaves_the_current_one(self) -> None:
         prompts = UnreadPrompts()
         prompts.add(1, 2, 4_000, 0.0)
         prompts.add(2, 0, 500, 0.0)
@@ -40,7 +40,7 @@
         self.assertEqual(2_000.0, prompts.all(RATE, 2.0))
 
     @given(EVENTS)
-    def test_counts_hold_over_any_history(
+    def test_totals_are_consistent_after_any_history(
         self, events: list[tuple[str, int, int, int, float]]
     ) -> None:
         prompts = UnreadPrompts()
--- a/tests/placement/test_upstream_load.py
+++ b/tests/placement/test_upstream_load.py
@@ -25,7 +25,7 @@
 
 class TestUpstreamLoad(unittest.TestCase):
     @given(_OPERATIONS)
-    def test_counts_hold_over_any_history_and_end_at_nothing(
+    def test_totals_are_consistent_after_any_history_and_end_at_zero(
         self, operations: list[tuple[str, int, float]]
     ) -> None:
         load = UpstreamLoad()
@@ -53,7 +53,7 @@
             load.end(name, now)
         self.assertEqual((0, 0.0, {}), (load.memory, load.unread.all(RATE, now), dict(load.gaps)))
 
-    def test_a_prompt_counts_as_unread_until_its_first_event(self) -> None:
+    def test_prompt_is_queued_until_its_first_event(self) -> None:
         load = UpstreamLoad()
         load.start(placed(97, 500), 100_000, 0.0)
         load.start(placed(98, 2000), 100_000, 0.0)
@@ -63,14 +63,14 @@
         load.begin(98, 61.0)
         self.assertEqual(0.0, load.unread.all(RATE, 61.0))
 
-    def test_slowness_fades_when_nothing_is_seen(self) -> None:
+    def test_slowness_decays_without_samples(self) -> None:
         load = UpstreamLoad()
         for _ in range(50):
             load.note_pace(4.0, 10.0)
         self.assertGreater(load.slowness(10.0), 3.0)
         self.assertEqual(1.0, load.slowness(30.0))
 
-    def test_an_unreachable_upstream_is_tried_again_and_forgiven(self) -> None:
+    def test_unreachable_upstream_is_tried_again_after_the_back_off(self) -> None:
         load = UpstreamLoad()
         load.note_unreachable(0.0)
         self.assertTrue(load.away(0.1))
@@ -95,22 +95,22 @@
                 load.begin(number, 0.1)
         return load
 
-    def test_whoever_has_begun_keeps_it_however_urgent_the_new_one_is(self) -> None:
+    def test_begun_requests_keep_their_slots_against_any_tier(self) -> None:
         load = self.load_of([2, 2, 0], begun=2)
         self.assertEqual([3, 3, 3], [load.before(tier) for tier in range(3)])
 
-    def test_of_those_that_have_not_the_less_urgent_come_after_it(self) -> None:
+    def test_less_urgent_requests_that_have_not_begun_are_admitted_later(self) -> None:
         load = self.load_of([2, 1, 0], begun=0)
         self.assertEqual([1, 2, 3], [load.before(tier) for tier in range(3)])
 
-    def test_who_ends_gives_it_back_once(self) -> None:
+    def test_ended_request_releases_its_slot_once(self) -> None:
         load = self.load_of([2, 2], begun=2)
         load.begin(0, 0.2)
         load.end(0, 0.3)
         load.end(0, 0.4)
         self.assertEqual(1, load.before(0))
 
-    def test_a_slot_comes_free_as_fast_as_those_who_hold_them_end(self) -> None:
+    def test_mean_expected_duration_follows_the_running_requests(self) -> None:
         load = UpstreamLoad()
         self.assertEqual(0.0, load.usual_seconds)
         load.start(placed(1, seconds=3.0), 100_000, 0.0)
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -54,15 +54,15 @@
     def test_another_host_has_no_route(self) -> None:
         self.assertIsNone(table(route("/a/")).find("b.example", "/a/x"))
 
-    def test_a_host_is_found_whatever_its_case(self) -> None:
+    def test_hosts_are_case_insensitive(self) -> None:
         self.assertIsNotNone(table(route("/a/")).find("A.Example", "/a/x"))
 
-    def test_a_key_names_its_team_and_no_other_key_does(self) -> None:
+    def test_only_its_keys_identify_a_team(self) -> None:
         found = table(route("/a/")).team("key")
         self.assertEqual("t", found.name if found else None)
         self.assertIsNone(table(route("/a/")).team("other"))
 
-    def test_a_route_to_no_known_service_is_an_error_with_its_path(self) -> None:
+    def test_route_to_an_undefined_service_is_an_error_with_its_path(self) -> None:
         with self.assertRaises(InvalidTableError) as caught:
             table(route("/a/", services=(WeightedService("gone", 1.0),)))
         self.assertIn("/a/", caught.exception.path)
@@ -70,7 +70,7 @@
 
 class TestWeightedServices(unittest.TestCase):
     @given(st.lists(st.integers(0, 100), min_size=1, max_size=5))
-    def test_each_service_gets_its_share(self, weights: list[int]) -> None:
+    def test_each_service_gets_requests_by_its_weight(self, weights: list[int]) -> None:
         services = tuple(WeightedService(str(i), w) for i, w in enumerate(weights))
         if not sum(weights):
             return
