--- a/src/lotushill/placement/quiet_pause.py
+++ b/src/lotushill/placement/baseline_pause.py
@@ -16,7 +16,7 @@
 """Variance of the number of requests below which the pauses say nothing about its effect."""
 
 
-class QuietPause:
+class BaselinePause:
     """Linear regression of pauses on the number of running requests, with decaying weights."""
 
     def __init__(self) -> None:
--- a/src/lotushill/placement/choice.py
+++ b/src/lotushill/placement/choice.py
@@ -26,26 +26,26 @@
 
     upstream: Upstream
     cost: float
-    first: float
+    first_event_seconds: float
     """Predicted time to the first event, or to the complete answer of a plain service."""
-    reading: int
+    prefill_tokens: int
     """Prompt tokens that the upstream has to process for this request."""
-    ahead: int
+    total_prefill_tokens: int
     """Prompt tokens processed until the first event, including those of other requests."""
-    seconds: float
+    answer_seconds: float
     """Predicted time until the answer is complete."""
-    wait: float = 0.0
+    wait_seconds: float = 0.0
     """Predicted time until processing of the request's own prompt begins."""
-    harm: float = 0.0
+    interference_cost: float = 0.0
     """Expected cost to the streams that run on the same upstream."""
-    usual_loss: float = 0.0
+    typical_request_cost: float = 0.0
     """On a route of long prompts, the expected cost of a typical request on this upstream, both to
     itself and to others."""
-    again: int = 0
+    reread_tokens: int = 0
     """Shared prompt tokens that are processed again."""
     running: int = 0
     """Requests of all gateways that already run on the upstream."""
-    full: bool = False
+    is_full: bool = False
     """Whether all slots of the upstream are taken by requests of the same or higher urgency."""
     fetch: Fetch | None = None
     """Prompt parts that the upstream copies from another one first."""
@@ -53,7 +53,7 @@
     """Upstream that holds a growing copy of the run's memory."""
     returned: bool = False
     """Whether the caller was refused before and returned after its Retry-After time."""
-    continues: bool = False
+    resumes_from_copy: bool = False
     """Whether the upstream holds a copy of the run's memory and resumes from it."""
     moved: MovedMemory | None = None
     """The memory that was moved to the upstream, or that was kept on it when the run was stopped.
@@ -94,10 +94,10 @@
     refusal: Refusal
     retry_after: float
     """Seconds after which the caller should return."""
-    wait: float = 0.0
+    wait_seconds: float = 0.0
     """Predicted seconds until its prompt is processed on the upstream with the least cost for a
     typical request."""
-    first: float = 0.0
+    first_event_seconds: float = 0.0
     """Shortest predicted time in seconds to the first event over all upstreams."""
     usual_prompt: float = 0.0
     """Typical number of prompt tokens on its route."""
--- a/src/lotushill/placement/engine_pace.py
+++ b/src/lotushill/placement/engine_pace.py
@@ -61,7 +61,7 @@
 again; one that is still slow shows it in new samples."""
 
 
-class UsualTime:
+class RecentMedian:
     """Median of recent times over several seconds."""
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         self._slot_ends = float("-inf")
         self.median = 0.0
 
-    def known(self, slots: int) -> bool:
+    def has_slots(self, slots: int) -> bool:
         """Return whether at least this many time slots have a sample."""
         return len(self._slots) >= slots
 
@@ -83,27 +83,27 @@
 
 
 @dataclass(frozen=True)
-class LastingPace:
+class LongTermPace:
     """Long-term slowness of an engine relative to the others of its service."""
 
     upstream: str
-    steps: float
-    reading: float
+    step_slowness: float
+    read_slowness: float
 
 
 class EnginePace:
     """Pace of one engine."""
 
     def __init__(self) -> None:
-        self.steps = UsualTime()
-        self.readings = UsualTime()
-        self.lasting_steps = 1.0
+        self.steps = RecentMedian()
+        self.readings = RecentMedian()
+        self.long_term_step_slowness = 1.0
         """Step slowness relative to the other engines; 1 until a difference is established."""
-        self.lasting_reading = 1.0
+        self.long_term_read_slowness = 1.0
         """Prefill slowness relative to the other engines, in addition to the step slowness."""
-        self.tried = False
+        self.is_known = False
         """Whether anything is known about this engine."""
-        self.plain = False
+        self.is_plain = False
         """Whether the engine gives plain answers, each of which counts as a prefill."""
         self._seen_at: float | None = None
         """Time of the last long-term sample; None if only another gateway has reported the pace."""
@@ -113,21 +113,21 @@
     def step_slowness(self, now: float) -> float:
         """Return how many times slower than the other engines it makes a step."""
         if self._short == 1.0:
-            return self.lasting_steps
-        return self.lasting_steps * self._short_part(now)
+            return self.long_term_step_slowness
+        return self.long_term_step_slowness * self._short_part(now)
 
     def read_slowness(self, now: float) -> float:
         """Return how many times slower than the other engines it processes prompts."""
-        return self.step_slowness(now) * self.lasting_reading
+        return self.step_slowness(now) * self.long_term_read_slowness
 
-    def note_step(self, ratio: float, now: float) -> None:
+    def note_pause_ratio(self, ratio: float, now: float) -> None:
         """Update the short-term pace from one pause between events.
 
         `ratio` is the ratio of the pause to the typical one.
         """
         self._note(ratio, _STEP_WEIGHT, now)
 
-    def note_steps(self, ratio: float, now: float) -> None:
+    def note_stream_ratio(self, ratio: float, now: float) -> None:
         """Update the short-term pace from a typical pause of one stream.
 
         `ratio` is the ratio of the pause to the typical one of all streams.
@@ -139,46 +139,46 @@
 
         These samples determine the long-term step pace.
         """
-        self.tried = True
+        self.is_known = True
         self._seen_at = now
         self.steps.note(seconds, now)
 
-    def note_reading(self, seconds: float, now: float) -> None:
+    def note_prefill_time(self, seconds: float, now: float) -> None:
         """Add the seconds of prefill per token to the long-term samples."""
-        self.tried = True
+        self.is_known = True
         self._seen_at = now
         self.readings.note(seconds, now)
 
     def note_answer(self, seconds: float, now: float) -> None:
         """Add the seconds of a plain answer to the long-term samples."""
-        self.plain = True
-        self.note_reading(seconds, now)
+        self.is_plain = True
+        self.note_prefill_time(seconds, now)
 
-    def settle(self, steps: float, reading: float) -> None:
+    def set_long_term(self, steps: float, reading: float) -> None:
         """Set the long-term pace; the total short-term estimate stays unchanged."""
-        self._short = max(_LEAST_SHORT, self._short * self.lasting_steps / steps)
-        self.lasting_steps = steps
-        self.lasting_reading = reading
+        self._short = max(_LEAST_SHORT, self._short * self.long_term_step_slowness / steps)
+        self.long_term_step_slowness = steps
+        self.long_term_read_slowness = reading
 
-    def forget_old(self, now: float) -> None:
+    def reset_stale(self, now: float) -> None:
         """Reset the long-term pace if there were no samples for a long time."""
         if self._seen_at is None:
             self._seen_at = now
         if now - self._seen_at > _KEPT_SECONDS:
             self._seen_at = now
-            self.steps = UsualTime()
-            self.readings = UsualTime()
-            self.settle(1.0, 1.0)
+            self.steps = RecentMedian()
+            self.readings = RecentMedian()
+            self.set_long_term(1.0, 1.0)
 
-    def presume(self, steps: float, reading: float) -> None:
+    def adopt_reported(self, steps: float, reading: float) -> None:
         """Adopt the pace reported by another gateway until own samples contradict it."""
-        if not self.tried:
-            self.tried = True
-            self.settle(steps, reading)
+        if not self.is_known:
+            self.is_known = True
+            self.set_long_term(steps, reading)
 
     def _note(self, ratio: float, weight: float, now: float) -> None:
         current = self._short_part(now)
-        bounded = min(_MOST_RATIO, max(_LEAST_SHORT, ratio / self.lasting_steps))
+        bounded = min(_MOST_RATIO, max(_LEAST_SHORT, ratio / self.long_term_step_slowness))
         self._short = current + weight * (bounded - current)
         self._short_at = now
 
@@ -187,94 +187,98 @@
         return 1.0 + (self._short - 1.0) * fresh
 
 
-class ServicePaces:
+class ServiceEnginePaces:
     """Paces of a service's engines, compared with their median."""
 
     def __init__(self) -> None:
         self._paces: dict[str, EnginePace] = {}
         self._settled_at = float("-inf")
-        self.differing = False
+        self.has_deviating = False
         """Whether some engine is known to differ long-term."""
-        self.changes = 0
+        self.change_count = 0
         """Number of times that a long-term pace was set or changed."""
-        self._changed: dict[str, LastingPace] = {}
+        self._changed: dict[str, LongTermPace] = {}
 
     def add(self, upstream: str, pace: EnginePace) -> None:
         """Add an engine."""
         self._paces[upstream] = pace
 
-    def keep(self, upstreams: Collection[str]) -> None:
+    def retain(self, upstreams: Collection[str]) -> None:
         """Remove all engines except `upstreams`."""
         for upstream in self._paces.keys() - set(upstreams):
             del self._paces[upstream]
 
-    def known(self) -> list[LastingPace]:
+    def known_paces(self) -> list[LongTermPace]:
         """Return the paces of the upstreams of which something is known."""
         return [
-            LastingPace(upstream, pace.lasting_steps, pace.lasting_reading)
+            LongTermPace(upstream, pace.long_term_step_slowness, pace.long_term_read_slowness)
             for upstream, pace in self._paces.items()
-            if pace.tried
+            if pace.is_known
         ]
 
-    def lasting(self) -> list[LastingPace]:
+    def deviating_paces(self) -> list[LongTermPace]:
         """Return the paces of the upstreams that are known to differ."""
-        return [item for item in self.known() if (item.steps, item.reading) != (1.0, 1.0)]
+        return [
+            item
+            for item in self.known_paces()
+            if (item.step_slowness, item.read_slowness) != (1.0, 1.0)
+        ]
 
-    def presume(self, told: LastingPace, pace: EnginePace) -> None:
+    def adopt_reported(self, told: LongTermPace, pace: EnginePace) -> None:
         """Adopt the pace reported by another gateway for an engine that is unknown here."""
         self.add(told.upstream, pace)
-        pace.presume(told.steps, told.reading)
-        self.differing = self.differing or _pair(pace) != (1.0, 1.0)
+        pace.adopt_reported(told.step_slowness, told.read_slowness)
+        self.has_deviating = self.has_deviating or _pair(pace) != (1.0, 1.0)
 
-    def take_changes(self) -> list[LastingPace]:
+    def take_changes(self) -> list[LongTermPace]:
         """Return the long-term paces that changed since the last call."""
         changed, self._changed = self._changed, {}
         return list(changed.values())
 
-    def settle(self, now: float) -> None:
+    def update_long_term(self, now: float) -> None:
         """Compare each engine with the median of all, at a limited rate."""
         if now < self._settled_at + _SETTLE_SECONDS:
             return
         self._settled_at = now
         before = {upstream: _pair(pace) for upstream, pace in self._paces.items()}
         for pace in self._paces.values():
-            pace.forget_old(now)
+            pace.reset_stale(now)
         usual_step = _usual([pace.steps for pace in self._paces.values()], _LEAST_STEPS)
         usual_reading = _usual([pace.readings for pace in self._paces.values()], _LEAST_ANSWERS)
         wanted = {
             upstream: self._lasting(pace, usual_step, usual_reading)
             for upstream, pace in self._paces.items()
         }
-        self.differing = any(pair != (1.0, 1.0) for pair in wanted.values())
+        self.has_deviating = any(pair != (1.0, 1.0) for pair in wanted.values())
         for upstream, (steps, reading) in wanted.items():
             if (steps, reading) != _pair(self._paces[upstream]):
-                self._paces[upstream].settle(steps, reading)
+                self._paces[upstream].set_long_term(steps, reading)
             if (steps, reading) != before[upstream]:
-                self.changes += 1
-                self._changed[upstream] = LastingPace(upstream, steps, reading)
+                self.change_count += 1
+                self._changed[upstream] = LongTermPace(upstream, steps, reading)
 
     def _lasting(
         self, pace: EnginePace, usual_step: float, usual_reading: float
     ) -> tuple[float, float]:
         """Return the long-term step slowness of one engine and its additional prefill slowness."""
-        steps, reading = pace.lasting_steps, pace.lasting_reading
-        if usual_step and pace.steps.known(_LEAST_STEPS):
+        steps, reading = pace.long_term_step_slowness, pace.long_term_read_slowness
+        if usual_step and pace.steps.has_slots(_LEAST_STEPS):
             steps = _follow(steps, pace.steps.median / usual_step, _LEAST_DIFFERENCE)
-        slots = _LEAST_ANSWERS if pace.plain else _LEAST_READINGS
-        if usual_reading and pace.readings.known(slots):
+        slots = _LEAST_ANSWERS if pace.is_plain else _LEAST_READINGS
+        if usual_reading and pace.readings.has_slots(slots):
             ratio = pace.readings.median / usual_reading / steps
-            least = _LEAST_ANSWER_DIFFERENCE if pace.plain else _LEAST_READING_DIFFERENCE
+            least = _LEAST_ANSWER_DIFFERENCE if pace.is_plain else _LEAST_READING_DIFFERENCE
             reading = _follow(reading, ratio, least)
         return steps, reading
 
 
 def _pair(pace: EnginePace) -> tuple[float, float]:
-    return pace.lasting_steps, pace.lasting_reading
+    return pace.long_term_step_slowness, pace.long_term_read_slowness
 
 
-def _usual(times: list[UsualTime], slots: int) -> float:
+def _usual(times: list[RecentMedian], slots: int) -> float:
     """Return the median over the engines, 0 if too few are known to tell which are typical."""
-    known = [item.median for item in times if item.known(slots)]
+    known = [item.median for item in times if item.has_slots(slots)]
     enough = max(_LEAST_ENGINES, len(times) / 2)
     return statistics.median(known) if len(known) >= enough else 0.0
 
--- a/src/lotushill/placement/messages.py
+++ b/src/lotushill/placement/messages.py
@@ -24,11 +24,11 @@
     request: int
     """Number of the attempt, the same on all gateways and practically unique."""
     upstream: str
-    reading: int
+    prefill_tokens: int
     """Prompt tokens that the upstream has to process for this request."""
     memory: int
     """Maximum number of prompt and answer tokens that the request may occupy in the end."""
-    gap: float
+    target_gap: float
     """Longest pause between its events that is in time, 0 for none."""
     seconds: float
     """Expected duration of the run."""
@@ -45,9 +45,9 @@
     """Tier; 0 is the most urgent."""
     prompt: int = 0
     """Tokens of the whole prompt."""
-    first: float = 0.0
+    first_event_seconds: float = 0.0
     """Predicted time to its first event, 0 if it was not predicted."""
-    ahead: int = 0
+    total_prefill_tokens: int = 0
     """Prompt tokens processed until the first event, including those of other requests."""
     team: int = 0
     """Number of its team, 0 for none."""
--- a/src/lotushill/placement/pace.py
+++ b/src/lotushill/placement/pace.py
@@ -26,7 +26,7 @@
 _HIGHEST_RATE = 2_000_000.0
 
 
-def reading_seconds(reading: float, seconds: float) -> float | None:
+def seconds_per_token(reading: float, seconds: float) -> float | None:
     """Return the prefill seconds per prompt token until a first event.
 
     None if too few tokens were processed to tell.
@@ -36,7 +36,7 @@
     return max(0.001, seconds - _OVERHEAD_SECONDS) / reading
 
 
-class Pace:
+class ServicePace:
     """Moving averages for one service."""
 
     def __init__(self) -> None:
@@ -48,7 +48,7 @@
         """Rate of streams whose upstream was lost."""
         self.answer_seconds = _FIRST_ANSWER_SECONDS
         """Seconds that a plain request takes, without waiting."""
-        self.long_reading = 0.0
+        self.long_prefill_seconds = 0.0
         """Seconds of prefill of the longer prompts in the current mix."""
 
         self.stream_seconds = _FIRST_STREAM_SECONDS
@@ -79,8 +79,8 @@
         weight = _WEIGHT if seconds < self.answer_seconds else _SLOW_WEIGHT
         self.answer_seconds += weight * (seconds - self.answer_seconds)
 
-    def note_reading(self, tokens: int) -> None:
+    def note_prefill(self, tokens: int) -> None:
         """Update the level of long prompts in the current mix; it rises fast and falls slowly."""
         seconds = tokens / self.read_rate
-        weight = _LONG_RISE if seconds > self.long_reading else _LONG_FALL
-        self.long_reading += weight * (seconds - self.long_reading)
+        weight = _LONG_RISE if seconds > self.long_prefill_seconds else _LONG_FALL
+        self.long_prefill_seconds += weight * (seconds - self.long_prefill_seconds)
--- a/src/lotushill/placement/pauses.py
+++ b/src/lotushill/placement/pauses.py
@@ -9,7 +9,7 @@
 
 import math
 
-from lotushill.placement.quiet_pause import QuietPause
+from lotushill.placement.baseline_pause import BaselinePause
 
 _FULL_SHARE = 1.5
 """Multiple of the bound that must have been queued, as far as is known, for a pause to be at its
@@ -37,7 +37,7 @@
     """
 
     def __init__(self) -> None:
-        self.quiet = QuietPause()
+        self.baseline = BaselinePause()
         """Pauses without concurrent prefill, on a typical upstream."""
         self.bound = math.inf
         """Maximum extra length of a pause during prefill; infinite until a pause at its bound was
@@ -53,10 +53,10 @@
 
         Return the ratio of the pause to the typical one, None if prefill was queued.
         """
-        usual = self.quiet.at(running)
+        usual = self.baseline.at(running)
         if waiting <= 0.0:
             if pause < _LIKELY * usual:
-                self.quiet.note(running, pause / slowness)
+                self.baseline.note(running, pause / slowness)
             return pause / usual
         grown = pause / slowness - usual
         if grown > usual:
@@ -72,20 +72,22 @@
             quantile = _BOUND_QUANTILE if grown > self.bound else _BOUND_QUANTILE - 1.0
             self.bound *= 1.0 + _BOUND_STEP * quantile
 
-    def beside(self, waiting: float, running: int, slowness: float) -> float:
+    def during_prefill(self, waiting: float, running: int, slowness: float) -> float:
         """Return the pause of a stream while `waiting` seconds of prefill are queued."""
-        return self.at(running, slowness).beside(waiting)
+        return self.on_upstream(running, slowness).during_prefill(waiting)
 
-    def missed(self, waiting: float, running: int, slowness: float, longest: float) -> float:
+    def exceed_probability(
+        self, waiting: float, running: int, slowness: float, longest: float
+    ) -> float:
         """Return the probability that a pause exceeds `longest` seconds.
 
         During the pause `waiting` seconds of prefill are queued.
         """
-        return missed(self.beside(waiting, running, slowness), longest)
+        return exceed_probability(self.during_prefill(waiting, running, slowness), longest)
 
-    def at(self, running: int, slowness: float) -> UpstreamPauses:
+    def on_upstream(self, running: int, slowness: float) -> UpstreamPauses:
         """Return the pauses on one upstream that runs `running` requests."""
-        return UpstreamPauses(self.quiet.at(running) * slowness, self.bound * slowness)
+        return UpstreamPauses(self.baseline.at(running) * slowness, self.bound * slowness)
 
 
 class UpstreamPauses:
@@ -98,12 +100,12 @@
         """Pause in seconds without concurrent prefill."""
         self._bound = bound
 
-    def beside(self, waiting: float) -> float:
+    def during_prefill(self, waiting: float) -> float:
         """Return the pause while `waiting` seconds of prefill are queued."""
         return self.quiet + (waiting if waiting < self._bound else self._bound)
 
 
-def missed(likely: float, longest: float) -> float:
+def exceed_probability(likely: float, longest: float) -> float:
     """Return the probability that a pause predicted to last `likely` seconds exceeds `longest`."""
     share = likely / max(_LEAST_ALLOWED_SECONDS, longest)
     return logistic(_MISS_STEEPNESS * (share - _MISS_MIDDLE))
--- a/src/lotushill/placement/precedence.py
+++ b/src/lotushill/placement/precedence.py
@@ -16,5 +16,5 @@
     """
     standing: float = 0.0
     """Recent usage of its team relative to its share of the service."""
-    since: float = 0.0
+    arrived_at: float = 0.0
     """Arrival time."""
--- a/src/lotushill/placement/kept_parts.py
+++ b/src/lotushill/placement/prefix_cache_model.py
@@ -18,18 +18,18 @@
 _MASK = (1 << 64) - 1
 
 
-class KeptParts:
+class PrefixCacheModel:
     """LRU cache of prompt parts, each identified by its whole chain of parts."""
 
     def __init__(self) -> None:
         self._tokens: OrderedDict[int, int] = OrderedDict()
         self._held = 0
 
-    def matched(self, parts: Iterable[PromptPart]) -> int:
+    def matched_tokens(self, parts: Iterable[PromptPart]) -> int:
         """Return how many leading tokens of a prompt are probably cached."""
-        return self.matched_chain(tuple(chained(parts)))
+        return self.matched_chain_tokens(tuple(chain_parts(parts)))
 
-    def matched_chain(self, chain: Chain) -> int:
+    def matched_chain_tokens(self, chain: Chain) -> int:
         """Return the same for parts that are already chained.
 
         The chain is computed once for many upstreams.
@@ -43,7 +43,7 @@
 
     def touch(self, parts: Iterable[PromptPart], room: int) -> None:
         """Record that a prompt was processed, with a cache capacity of `room` tokens."""
-        for key, part in chained(parts):
+        for key, part in chain_parts(parts):
             if key in self._tokens:
                 self._tokens.move_to_end(key)
                 continue
@@ -54,7 +54,7 @@
             self._held -= tokens
 
 
-def chained(parts: Iterable[PromptPart]) -> Iterator[tuple[int, PromptPart]]:
+def chain_parts(parts: Iterable[PromptPart]) -> Iterator[tuple[int, PromptPart]]:
     """Yield each part with a key that also covers all parts before it."""
     key = _SEED
     for part in parts:
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -13,8 +13,8 @@
 from lotushill.placement.choice import Refusal
 from lotushill.placement.recent_starts import RecentStarts
 from lotushill.placement.usual_request import UsualRequests
-from lotushill.returns.promise import Asker
-from lotushill.returns.promises import Returns
+from lotushill.returns.promise import Requester
+from lotushill.returns.promises import ReturnPromises
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -44,13 +44,13 @@
     def __init__(self) -> None:
         self.usual = UsualRequests()
         self.starts = RecentStarts()
-        self.returns = Returns()
+        self.returns = ReturnPromises()
 
     def note(self, placed: Placed, service: str, now: float) -> None:
         """Record a request that any gateway has sent to an upstream."""
-        self.usual.note_prompt(service, placed.route, placed.prompt, placed.reading)
+        self.usual.note_prompt(service, placed.route, placed.prompt, placed.prefill_tokens)
         self.starts.note(service, placed.tier, placed.prompt, now - placed.age)
-        self.returns.room.note(service, placed.tier, now - placed.age)
+        self.returns.start_rate.note(service, placed.tier, now - placed.age)
 
     def is_long(self, need: Need) -> bool:
         """Return whether a request's route has the longest prompts of its service.
@@ -78,19 +78,21 @@
         """
         usual = self.usual.prompt(need.service, need.route) or need.prompt_tokens
         size = min(float(need.prompt_tokens), usual)
-        return self.starts.largest_after(need.service, need.tier, now) > _TIMES_LARGER * size
+        return self.starts.largest_less_urgent(need.service, need.tier, now) > _TIMES_LARGER * size
 
     def refuse(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice | None:
         """Return the refusal of a request, None if it may go to one of `choices`."""
-        open_ones = [choice for choice in choices if not choice.full]
-        wait = min(open_ones or choices, key=lambda choice: choice.usual_loss).wait
-        first = min(choice.first for choice in choices)
+        open_ones = [choice for choice in choices if not choice.is_full]
+        wait = min(
+            open_ones or choices, key=lambda choice: choice.typical_request_cost
+        ).wait_seconds
+        first = min(choice.first_event_seconds for choice in choices)
         late = not open_ones or wait > _LONG_WAIT * need.target
         overload = self.is_long(need) and late
-        no_room = first > need.patience
+        no_room = first > need.first_event_timeout
         if self.must_serve(need, now):
             return None
-        early = self.returns.until_due(_asker(need, now), now)
+        early = self.returns.seconds_early(_asker(need, now), now)
         if early:
             return self._refused(need, Refusal.EARLY, early, wait, first)
         if not (overload or no_room):
@@ -108,8 +110,8 @@
 
         `choices` are the upstreams that were weighed for it.
         """
-        wait = min(choice.wait for choice in choices)
-        first = min(choice.first for choice in choices)
+        wait = min(choice.wait_seconds for choice in choices)
+        first = min(choice.first_event_seconds for choice in choices)
         return self._told(need, Refusal.SHARE, wait, first, now)
 
     def _told(
@@ -122,7 +124,7 @@
         final: bool = False,
     ) -> NoChoice:
         """Return the refusal of a request, with its Retry-After time."""
-        early = self.returns.until_due(_asker(need, now), now)
+        early = self.returns.seconds_early(_asker(need, now), now)
         if early:
             return self._refused(need, Refusal.EARLY, early, wait, first)
         if self.returns.has_place(need.caller, now):
@@ -133,14 +135,14 @@
         spread = need.caller % _SPREAD_STEPS / _SPREAD_STEPS
         return self.returns.retry_after(_asker(need, now), spread, now, final)
 
-    def early(self, need: Need, now: float) -> NoChoice | None:
+    def refuse_early(self, need: Need, now: float) -> NoChoice | None:
         """Return the refusal of a caller that returned before its Retry-After time, else None."""
-        seconds = self.returns.until_due(_asker(need, now), now)
+        seconds = self.returns.seconds_early(_asker(need, now), now)
         if not seconds or self.must_serve(need, now):
             return None
         return replace(self._refused(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
 
-    def give_up(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
+    def refuse_finally(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
         """Return the final refusal of a request that stops waiting, or would wait uselessly."""
         return replace(self._told(need, refusal, wait, wait, now, final=True), final=True)
 
@@ -161,7 +163,7 @@
         )
 
 
-def _asker(need: Need, now: float) -> Asker:
+def _asker(need: Need, now: float) -> Requester:
     # Plain requests of many callers are byte-identical.
     caller = need.caller if need.stream else 0
-    return Asker(caller, need.service, need.tier, now - need.waited, need.time_left)
+    return Requester(caller, need.service, need.tier, now - need.waited, need.time_left)
--- a/src/lotushill/routing/service.py
+++ b/src/lotushill/routing/service.py
@@ -19,11 +19,11 @@
     """Bytes of memory per token."""
     link_rate: float = 0.0
     """Transfer rate between engines in bytes per second; 0 if memory cannot be moved."""
-    backups: bool = False
+    can_back_up_memory: bool = False
     """Whether an engine can copy a run's memory to another one while it grows."""
 
     @property
-    def moves(self) -> bool:
+    def can_move_memory(self) -> bool:
         """Return whether the memory of a run can be moved to another engine."""
         return self.link_rate > 0.0
 
@@ -32,9 +32,9 @@
 class ScalingProfile:
     """Bounds within which engines of a service may be ordered."""
 
-    least: int
+    min_engines: int
     """Minimum number of engines in one hall, ordinary and reclaimable ones together."""
-    most: int
+    max_engines: int
     reclaimable_price: float | None
     """Price of an engine that may be reclaimed, relative to an ordinary one; None if there are
     none."""
--- a/src/lotushill/routing/urgency.py
+++ b/src/lotushill/routing/urgency.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-USUAL_TEAM = 1
+DEFAULT_TEAM_RANK = 1
 """Rank of a team without a setting: between the teams served first and those served last."""
 
 
@@ -14,5 +14,5 @@
 
     tier: int
     """Rank of the route, or the value that replaces it in the settings tree."""
-    team: int = USUAL_TEAM
+    team_rank: int = DEFAULT_TEAM_RANK
     """Rank of the team relative to other teams."""
--- a/src/lotushill/starting/draw.py
+++ b/src/lotushill/starting/draw.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class UpstreamCredit:
     """Requests of this gateway on one upstream since the gateway's start."""
 
     upstream: Upstream
@@ -36,7 +36,7 @@
         return _FIRST_CREDIT + self.answered - self.unanswered
 
 
-def draw(seen: Sequence[Seen], rng: random.Random) -> list[Upstream]:
+def draw_upstream(seen: Sequence[UpstreamCredit], rng: random.Random) -> list[Upstream]:
     """Return a list of the chosen upstream, empty if there are no upstreams.
 
     If no upstream has credit, one of those with the highest credit is chosen: no request is refused
--- a/src/lotushill/starting/knowledge.py
+++ b/src/lotushill/starting/startup_phase.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-START_SECONDS = 5.0
+STARTUP_SECONDS = 5.0
 """Time after its start in which a gateway counts as new: members discover each other within a
 second, and a model is pulled within 1.5 s more. Later, few members mean a partition, and the
 members on its own side are known."""
@@ -17,7 +17,7 @@
 running requests."""
 
 
-class Start:
+class StartupPhase:
     """Startup phase of one gateway."""
 
     def __init__(self, small_fleet: int, started_at: float) -> None:
@@ -27,7 +27,7 @@
 
     def is_new(self, now: float) -> bool:
         """Return whether the start is so recent that the fleet may be largely unknown."""
-        return now - self._started_at < START_SECONDS
+        return now - self._started_at < STARTUP_SECONDS
 
     def knows_fleet(self, heard: int, registered: int, has_model: bool, now: float) -> bool:
         """Return whether to choose by the own model.
--- a/tests/placement/test_team_room.py
+++ b/tests/placement/test_team_room.py
@@ -9,9 +9,9 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.fleet import Fleet
-from lotushill.placement.placed import placed
-from lotushill.placement.team_room import has_to_wait
-from lotushill.placement.team_room import kept_slots
+from lotushill.placement.placed_message import placed_message
+from lotushill.placement.team_reserve import has_to_wait
+from lotushill.placement.team_reserve import reserved_slots
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
 from tests.placement.test_fleet import NOTHING
@@ -28,11 +28,11 @@
         return replace(Choice(upstreams("s", 1)[0], 0.0, 0.1, 0, 0, 1.0), **changes)  # type: ignore[arg-type]
 
     def test_reserved_slots_are_a_tenth_rounded_down(self) -> None:
-        self.assertEqual((10, 1, 0), tuple(kept_slots(slots) for slots in (100, 10, 4)))
+        self.assertEqual((10, 1, 0), tuple(reserved_slots(slots) for slots in (100, 10, 4)))
 
     def test_one_free_upstream_is_enough(self) -> None:
         need = short()
-        taken = (self.choice(full=True), self.choice(wait=0.5 * need.target))
+        taken = (self.choice(is_full=True), self.choice(wait_seconds=0.5 * need.target))
         self.assertTrue(has_to_wait(need, taken, True))
         self.assertFalse(has_to_wait(need, (*taken, self.choice()), True))
 
@@ -56,7 +56,7 @@
         among = upstreams(service.name, 2)
         found = self.fleet.choose(need, service, among, NOTHING, now)
         if isinstance(found, Choice):
-            told = placed(self.count, need, found, service.engine is not None)
+            told = placed_message(self.count, need, found, service.engine is not None)
             self.fleet.start(told, service, now)
             self.fleet.load(found.upstream.id).begin(self.count, now)
         return found
