--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -54,7 +54,7 @@
     Variant(
         "copies of runs",
         f"{PLACEMENT}/fleet.py",
-        "if engine is None or not engine.backups:",
+        "if engine is None or not engine.can_back_up_memory:",
         "if True:",
     ),
     Variant(
@@ -72,13 +72,13 @@
     Variant(
         "harm to the streams beside",
         f"{PLACEMENT}/weigher.py",
-        "return _GAP_LOSS * harm",
-        "return 0.0 * harm",
+        "return _LONG_PAUSE_LOSS * expected_misses",
+        "return 0.0 * expected_misses",
     ),
     Variant(
         "own pauses",
         f"{PLACEMENT}/weigher.py",
-        "if not gap:",
+        "if not target_gap:",
         "if True:",
     ),
     Variant(
@@ -102,13 +102,13 @@
     Variant(
         "reading at all",
         f"{PLACEMENT}/weigher.py",
-        "_READING_LOSS_PER_TOKEN = 1e-5",
-        "_READING_LOSS_PER_TOKEN = 0.0",
+        "_PREFILL_LOSS_PER_TOKEN = 1e-5",
+        "_PREFILL_LOSS_PER_TOKEN = 0.0",
     ),
     Variant(
         "size beside the usual",
         f"{PLACEMENT}/usual_request.py",
-        "if usual <= 0:",
+        "if typical <= 0:",
         "if True:",
     ),
     Variant(
@@ -132,7 +132,7 @@
     Variant(
         "free slots for the longest",
         f"{PLACEMENT}/shedding.py",
-        "late = not open_ones or wait",
+        "late = not with_free_slot or wait",
         "late = wait",
     ),
     Variant(
--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -35,8 +35,8 @@
     Break(
         "gateways that know nothing of each other spread",
         "starting/draw.py",
-        "return [rng.choice(open_ones).upstream]",
-        "return [open_ones[0].upstream]",
+        "return [rng.choice(with_credit).upstream]",
+        "return [with_credit[0].upstream]",
         "tests.starting",
     ),
     Break(
@@ -218,8 +218,8 @@
     Break(
         "gateway: a prompt is unread until its first event",
         "placement/prefill_queue.py",
-        "return min(float(tokens), max(0.0, now - self._since) * read_rate)",
-        "return max(0.0, now - self._since) * read_rate",
+        "return min(float(tokens), max(0.0, now - self._current_since) * read_rate)",
+        "return max(0.0, now - self._current_since) * read_rate",
         "tests.placement.test_upstream_load",
     ),
     Break(
@@ -372,8 +372,8 @@
     Break(
         "a pause beside readings is bounded",
         "placement/pauses.py",
-        "(waiting if waiting < self._bound else self._bound)",
-        "waiting",
+        "(queued_seconds if queued_seconds < self._bound else self._bound)",
+        "queued_seconds",
         "tests.placement.test_pauses",
     ),
     Break(
@@ -492,7 +492,7 @@
     Break(
         "tiers: the longest take no slot that is not free",
         "placement/shedding.py",
-        "late = not open_ones or wait",
+        "late = not with_free_slot or wait",
         "late = wait",
         "tests.placement.test_shedding",
     ),
@@ -506,7 +506,7 @@
     Break(
         "the usual pause is never 0",
         "placement/baseline_pause.py",
-        "seconds = max(_LEAST_SECONDS, seconds)",
+        "seconds = max(_MIN_SECONDS, seconds)",
         "pass",
         "tests.placement.test_pauses",
     ),
@@ -571,8 +571,8 @@
     Break(
         "tiers: long requests leave slots to the more urgent",
         "placement/reserve.py",
-        "_MOST_RESERVED = 0.4",
-        "_MOST_RESERVED = 0.0",
+        "_MAX_RESERVED_FRACTION = 0.4",
+        "_MAX_RESERVED_FRACTION = 0.0",
         "tests.placement.test_reserve",
     ),
     Break(
@@ -1019,7 +1019,7 @@
     Break(
         "larger ones that begin late are held against refusals",
         "placement/fleet.py",
-        "self.shedding.starts.note(where.service.name, placed.tier, placed.prompt, now)",
+        "self.shedding.starts.note(location.service.name, placed.tier, placed.prompt, now)",
         "pass",
         "tests.waiting.test_line",
     ),
@@ -1040,7 +1040,7 @@
     Break(
         "an upstream of which nothing is known is tried with little",
         "placement/weigher.py",
-        "len(load.running) < _UNTRIED_SHARE * slots",
+        "len(load.running) < _UNKNOWN_PACE_FRACTION * slots",
         "True",
         "tests.placement.test_uneven_fleet",
     ),
--- a/src/lotushill/placement/backup.py
+++ b/src/lotushill/placement/backup.py
@@ -24,12 +24,12 @@
 
 At the users' prices for moved memory, a thousand tokens cost about 0.02 of one request.
 """
-_CUT_LOSS = 0.9
+_LOST_STREAM_LOSS = 0.9
 """Loss of a stream that is interrupted and cannot resume, as a share of its credit."""
-_ROOM_SHARE = 0.7
+_MAX_MEMORY_FRACTION = 0.7
 """Fraction of an upstream's memory below which it accepts copies. On fuller upstreams a copy would
 displace cached prompt parts."""
-_SOUND_RATE = 0.2
+_MAX_FAILURE_RATE = 0.2
 """Failure rate above which an upstream is not used to hold copies."""
 
 
@@ -39,7 +39,9 @@
     `seconds` is the predicted duration of the run.
     """
     risk = -math.expm1(-cut_rate * seconds)
-    return risk * _CUT_LOSS > COPY_LOSS_PER_TOKEN * (need.prompt_tokens + need.output_tokens)
+    return risk * _LOST_STREAM_LOSS > COPY_LOSS_PER_TOKEN * (
+        need.prompt_tokens + need.output_tokens
+    )
 
 
 def backup_target(
@@ -56,14 +58,14 @@
     preferred, since a hall can fail as a whole.
     """
     tokens = need.prompt_tokens + need.output_tokens
-    room = _ROOM_SHARE * engine.memory_tokens - tokens
-    fit = []
+    max_held_tokens = _MAX_MEMORY_FRACTION * engine.memory_tokens - tokens
+    suitable = []
     for item in upstreams:
         load = loads.get(item.id)
-        held = load.reserved_tokens if load else 0
-        sound = load is None or not (
-            load.is_unreachable(now) or load.failures.rate(now) > _SOUND_RATE
+        held_tokens = load.reserved_tokens if load else 0
+        is_healthy = load is None or not (
+            load.is_unreachable(now) or load.failures.rate(now) > _MAX_FAILURE_RATE
         )
-        if item.id != chosen.id and sound and held < room:
-            fit.append((item.hall == chosen.hall, held, item.id, item))
-    return min(fit, key=lambda entry: entry[:3])[3] if fit else None
+        if item.id != chosen.id and is_healthy and held_tokens < max_held_tokens:
+            suitable.append((item.hall == chosen.hall, held_tokens, item.id, item))
+    return min(suitable, key=lambda entry: entry[:3])[3] if suitable else None
--- a/src/lotushill/placement/baseline_pause.py
+++ b/src/lotushill/placement/baseline_pause.py
@@ -5,14 +5,14 @@
 
 from __future__ import annotations
 
-_FIRST_SECONDS = 0.03
+_INITIAL_SECONDS = 0.03
 """Typical pause assumed before the first event; engines produce an event in 0.02 to 0.05 s."""
-_KEPT = 0.998
+_DECAY = 0.998
 """Factor by which the weight of earlier pauses decays with each new one: about 500 count."""
-_LEAST_SECONDS = 0.001
+_MIN_SECONDS = 0.001
 """Minimum pause. A step of an engine takes longer; events that arrived in one read say nothing
 about its pause."""
-_LEAST_VARIANCE = 4.0
+_MIN_VARIANCE = 4.0
 """Variance of the number of requests below which the pauses say nothing about its effect."""
 
 
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._weight = 0.0
         self._running = 0.0
-        self._seconds = _FIRST_SECONDS
+        self._seconds = _INITIAL_SECONDS
         self._variance = 0.0
         self._covariance = 0.0
 
@@ -31,8 +31,8 @@
 
         Without a lower bound the typical pause could become 0, by which others are divided.
         """
-        seconds = max(_LEAST_SECONDS, seconds)
-        self._weight = _KEPT * self._weight + 1.0
+        seconds = max(_MIN_SECONDS, seconds)
+        self._weight = _DECAY * self._weight + 1.0
         share = 1.0 / self._weight
         more = running - self._running
         longer = seconds - self._seconds
@@ -44,7 +44,7 @@
 
     def at(self, running: int) -> float:
         """Return the typical pause, in seconds, with `running` requests."""
-        if self._variance < _LEAST_VARIANCE:
+        if self._variance < _MIN_VARIANCE:
             return self._seconds
         slope = max(0.0, self._covariance / self._variance)
         return max(0.5 * self._seconds, self._seconds + slope * (running - self._running))
--- a/src/lotushill/placement/cut_rate.py
+++ b/src/lotushill/placement/cut_rate.py
@@ -17,14 +17,14 @@
     def __init__(self) -> None:
         self._cuts = 0.0
         self._seconds = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def note(self, seconds: float, cut: bool, now: float) -> None:
         """Record a stream that ran for `seconds`, and whether its upstream was lost."""
-        faded = 0.5 ** (max(0.0, now - self._at) / _HALF_LIFE_SECONDS)
-        self._cuts = self._cuts * faded + cut
-        self._seconds = self._seconds * faded + seconds
-        self._at = max(self._at, now)
+        decay = 0.5 ** (max(0.0, now - self._updated_at) / _HALF_LIFE_SECONDS)
+        self._cuts = self._cuts * decay + cut
+        self._seconds = self._seconds * decay + seconds
+        self._updated_at = max(self._updated_at, now)
 
     @property
     def rate(self) -> float:
--- a/src/lotushill/placement/failure_rate.py
+++ b/src/lotushill/placement/failure_rate.py
@@ -5,7 +5,7 @@
 _HALF_LIFE_SECONDS = 4.0
 _PRIOR_FAILURES = 0.02
 _PRIOR_TOTAL = 1.0
-_MOST_TOTAL = 8.0
+_MAX_TOTAL = 8.0
 """Maximum total weight of outcomes. All gateways report theirs: without a bound, many streams lost
 at once would exclude an upstream for long, and a few successes would not bring it back."""
 
@@ -16,27 +16,27 @@
     def __init__(self) -> None:
         self._failed = 0.0
         self._total = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def note(self, failed: bool, now: float, weight: float = 1.0) -> None:
         """Record one outcome."""
-        self._fade(now)
+        self._decay(now)
         self._total += weight
         if failed:
             self._failed += weight
-        if self._total > _MOST_TOTAL:
-            self._failed *= _MOST_TOTAL / self._total
-            self._total = _MOST_TOTAL
+        if self._total > _MAX_TOTAL:
+            self._failed *= _MAX_TOTAL / self._total
+            self._total = _MAX_TOTAL
 
     def rate(self, now: float) -> float:
         """Return the expected fraction of failures, 0 to 1."""
-        self._fade(now)
+        self._decay(now)
         return (self._failed + _PRIOR_FAILURES) / (self._total + _PRIOR_TOTAL)
 
-    def _fade(self, now: float) -> None:
-        if now <= self._at:
+    def _decay(self, now: float) -> None:
+        if now <= self._updated_at:
             return
-        left = 0.5 ** ((now - self._at) / _HALF_LIFE_SECONDS)
-        self._failed *= left
-        self._total *= left
-        self._at = now
+        factor = 0.5 ** ((now - self._updated_at) / _HALF_LIFE_SECONDS)
+        self._failed *= factor
+        self._total *= factor
+        self._updated_at = now
--- a/src/lotushill/placement/fetch.py
+++ b/src/lotushill/placement/fetch.py
@@ -17,9 +17,9 @@
 
 _SETUP_SECONDS = 0.005
 _OTHER_HALL_FACTOR = 2.0
-_LEAST_TOKENS = 256
+_MIN_TOKENS = 256
 """Minimum number of tokens to copy; fewer are processed as quickly as they are copied."""
-_LARGEST_SHARE = 0.8
+_MAX_TIME_FRACTION = 0.8
 """Maximum time of a copy as a fraction of the prefill time; a copy that saves less is not worth its
 price."""
 
@@ -38,33 +38,41 @@
     """Finds the best source for each upstream that may run one request."""
 
     def __init__(
-        self, engine: EngineProfile, kept: Mapping[str, int], upstreams: Mapping[str, Upstream]
+        self,
+        engine: EngineProfile,
+        cached_tokens: Mapping[str, int],
+        upstreams: Mapping[str, Upstream],
     ) -> None:
         """Prepare copies between upstreams.
 
-        `kept` maps each healthy upstream to the number of leading prompt tokens that it caches.
+        `cached_tokens` maps each healthy upstream to the number of leading prompt tokens that it
+        caches.
         """
         self._engine = engine
-        self._best = max(kept.values(), default=0)
-        sources = [upstreams[name] for name, held in kept.items() if held == self._best]
+        self._cached_tokens = max(cached_tokens.values(), default=0)
+        sources = [
+            upstreams[name]
+            for name, tokens in cached_tokens.items()
+            if tokens == self._cached_tokens
+        ]
         sources.sort(key=lambda item: item.id)
         self._source = sources[0] if sources else None
-        self._near = {item.hall: item for item in reversed(sources)}
+        self._sources_by_hall = {item.hall: item for item in reversed(sources)}
 
-    def plan(self, target: Upstream, own: int, read_rate: float) -> Fetch | None:
+    def plan(self, target: Upstream, own_tokens: int, read_rate: float) -> Fetch | None:
         """Return the copy that saves `target` the most tokens, None if no copy is worthwhile.
 
-        The target itself caches `own` tokens. `read_rate` is in tokens per second.
+        The target itself caches `own_tokens`. `read_rate` is in tokens per second.
         """
-        tokens = self._best - own
-        source = self._near.get(target.hall, self._source)
-        if source is None or not self._engine.link_rate or tokens < _LEAST_TOKENS:
+        tokens = self._cached_tokens - own_tokens
+        source = self._sources_by_hall.get(target.hall, self._source)
+        if source is None or not self._engine.link_rate or tokens < _MIN_TOKENS:
             return None
-        seconds = self._seconds(tokens, source.hall == target.hall)
-        if seconds > _LARGEST_SHARE * tokens / read_rate:
+        seconds = self._copy_seconds(tokens, source.hall == target.hall)
+        if seconds > _MAX_TIME_FRACTION * tokens / read_rate:
             return None
         return Fetch(source, tokens, seconds)
 
-    def _seconds(self, tokens: int, near: bool) -> float:
-        factor = 1.0 if near else _OTHER_HALL_FACTOR
+    def _copy_seconds(self, tokens: int, same_hall: bool) -> float:
+        factor = 1.0 if same_hall else _OTHER_HALL_FACTOR
         return _SETUP_SECONDS + factor * tokens * self._engine.token_bytes / self._engine.link_rate
--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -56,21 +56,21 @@
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
 
-_SOUND_RATE = 0.2
+_MAX_SOURCE_FAILURE_RATE = 0.2
 """Failure rate above which nothing is copied from an upstream."""
-_FAR_WEIGHT = 0.3
+_OTHER_HALL_WEIGHT = 0.3
 """Weight of an outcome reported from another hall, relative to one from the own hall."""
 _NOT_SENT_WEIGHT = 0.5
 """Weight of a failure to reach an upstream, relative to a failure of the upstream itself: the
 gateway may be what is disconnected."""
-_MOST_RANKED = 10_000
-_RANKS_KEPT = 32
+_MAX_RANKED = 10_000
+_RANKS_CACHE_SIZE = 32
 NO_UPSTREAM_RETRY_AFTER_SECONDS = 1.0
-"""Retry delay if there is no upstream; one may have been registered by then."""
+"""Retry-After time if there is no upstream; one may have been registered by then."""
 
 
 @dataclass(frozen=True)
-class _Where:
+class _RunLocation:
     """The upstream and service that run a request."""
 
     upstream: str
@@ -99,30 +99,30 @@
         self.engine_paces = FleetPaces()
         self._loads: dict[str, UpstreamLoad] = {}
         self._paces: dict[str, ServicePace] = {}
-        self._where: dict[int, _Where] = {}
+        self._locations: dict[int, _RunLocation] = {}
 
     def load(self, upstream_id: str) -> UpstreamLoad:
         """Return the load of an upstream."""
-        found = self._loads.get(upstream_id)
-        if found is None:
-            found = self._loads[upstream_id] = UpstreamLoad()
-        return found
+        load = self._loads.get(upstream_id)
+        if load is None:
+            load = self._loads[upstream_id] = UpstreamLoad()
+        return load
 
     def pace(self, service: str) -> ServicePace:
         """Return the pace of a service."""
-        found = self._paces.get(service)
-        if found is None:
-            found = self._paces[service] = ServicePace()
-        return found
+        pace = self._paces.get(service)
+        if pace is None:
+            pace = self._paces[service] = ServicePace()
+        return pace
 
     def note_arrival(self, need: Need, now: float) -> None:
         """Record the arrival of a request; not called again when its placement is retried."""
         self.shedding.usual.note_size(need.route, need.size)
         self.shares.note_arrival(need, now)
 
-    def adopt_reported_pace(self, told: LongTermPace, service: str) -> None:
+    def adopt_reported_pace(self, reported: LongTermPace, service: str) -> None:
         """Adopt a pace reported by another scheduler if none is known here."""
-        self.engine_paces.adopt_reported(told, service, self.load(told.upstream).pace)
+        self.engine_paces.adopt_reported(reported, service, self.load(reported.upstream).pace)
 
     def start(self, placed: Placed, service: Service, now: float) -> None:
         """Add a running request of this gateway or another one."""
@@ -134,33 +134,33 @@
         self.recent.note(parts, now)
         self.shedding.note(placed, service.name, now)
         self.shares.note_start(placed, service, now)
-        self._where[placed.request] = _Where(placed.upstream, service)
+        self._locations[placed.request] = _RunLocation(placed.upstream, service)
 
     def begin(self, began: Began, now: float) -> None:
         """Record the first event of a request and update the estimates from its time."""
-        where = self._where.get(began.request)
-        if where is None:
+        location = self._locations.get(began.request)
+        if location is None:
             return
-        load = self._loads[where.upstream]
+        load = self._loads[location.upstream]
         load.begin(began.request, now)
         placed = load.running.get(began.request)
         if placed is not None:
             # It may have waited in the engine's queue for longer than starts are stored.
-            self.shedding.starts.note(where.service.name, placed.tier, placed.prompt, now)
-        if placed is None or not _is_time(began.seconds):
+            self.shedding.starts.note(location.service.name, placed.tier, placed.prompt, now)
+        if placed is None or not _is_usable_time(began.seconds):
             return
-        pace = self.pace(where.service.name)
-        learn_first_event(placed, began.seconds, load, pace, where.service, now)
-        self.engine_paces.for_service(where.service.name).update_long_term(now)
+        pace = self.pace(location.service.name)
+        learn_first_event(placed, began.seconds, load, pace, location.service, now)
+        self.engine_paces.for_service(location.service.name).update_long_term(now)
 
     def note_paced(self, paced: Paced, now: float) -> None:
         """Update the step pace of an upstream from one of its streams."""
-        where = self._where.get(paced.request)
-        if where is None or not _is_time(paced.pause):
+        location = self._locations.get(paced.request)
+        if location is None or not _is_usable_time(paced.pause):
             return
-        quiet = self.pace(where.service.name).pauses.baseline
-        learn_pause(paced.pause, self._loads[where.upstream], quiet, now)
-        self.engine_paces.for_service(where.service.name).update_long_term(now)
+        baseline = self.pace(location.service.name).pauses.baseline
+        learn_pause(paced.pause, self._loads[location.upstream], baseline, now)
+        self.engine_paces.for_service(location.service.name).update_long_term(now)
 
     def end(self, ended: Ended, now: float, near: bool = True) -> None:
         """Remove a request and update the estimates from its outcome.
@@ -168,31 +168,31 @@
         `near` tells that a gateway of the own hall reported it. A failure reported from another
         hall may lie in the path from there, and has less weight here.
         """
-        where = self._where.pop(ended.request, None)
-        if where is None:
+        location = self._locations.pop(ended.request, None)
+        if location is None:
             return
-        load = self._loads[where.upstream]
+        load = self._loads[location.upstream]
         load.end(ended.request, now)
         self.shares.note_end(ended.request, now, ended.outcome is not Outcome.NOT_SENT)
         if ended.outcome is Outcome.UNKNOWN:
             return
-        weight = 1.0 if near else _FAR_WEIGHT
+        weight = 1.0 if near else _OTHER_HALL_WEIGHT
         if ended.outcome is Outcome.NOT_SENT:
             load.failures.note(True, now, _NOT_SENT_WEIGHT * weight)
             return
         load.failures.note(ended.outcome is not Outcome.WHOLE, now, weight)
-        ran = ended.outcome in (Outcome.WHOLE, Outcome.CUT) and _is_time(ended.seconds)
-        if ran and where.service.engine is not None:
-            self.pace(where.service.name).note_end(ended.seconds, ended.outcome, now)
+        has_run = ended.outcome in (Outcome.WHOLE, Outcome.CUT) and _is_usable_time(ended.seconds)
+        if has_run and location.service.engine is not None:
+            self.pace(location.service.name).note_end(ended.seconds, ended.outcome, now)
 
     def is_running(self, request: int) -> bool:
         """Return whether a request is recorded as running."""
-        return request in self._where
+        return request in self._locations
 
     def running_request(self, request: int) -> Placed | None:
         """Return a running request, None if it is not recorded."""
-        where = self._where.get(request)
-        return self._loads[where.upstream].running.get(request) if where else None
+        location = self._locations.get(request)
+        return self._loads[location.upstream].running.get(request) if location else None
 
     def evict_unused(self, known: set[str], now: float) -> None:
         """Remove data that is no longer needed.
@@ -221,33 +221,39 @@
         of slots.
         """
         self.shares.note_demand(need, now)
-        known = {item.id: item for item in upstreams}
-        ranks = _ranks(need.service, tuple(known)) if service.engine else {}
-        candidates = [item for item in known.values() if item.id not in excluded]
+        by_id = {item.id: item for item in upstreams}
+        ranks = _ranks(need.service, tuple(by_id)) if service.engine else {}
+        candidates = [item for item in by_id.values() if item.id not in excluded]
         reachable = [item for item in candidates if not self.load(item.id).is_unreachable(now)]
         if not candidates:
             return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
-        kept = self._keeps_slots_from(need, service, reachable, now)
-        if kept is not None:
-            return self._explained(self.shedding.refuse_for_others(need, kept, now), need, now)
-        open_now = [item for item in reachable or candidates if item.id not in closed]
-        if not open_now:
+        withheld = self._withheld_slots_refusal(need, service, reachable, now)
+        if withheld is not None:
+            return self._with_team_usage(
+                self.shedding.refuse_for_others(need, withheld, now), need, now
+            )
+        with_room = [item for item in reachable or candidates if item.id not in closed]
+        if not with_room:
             return self.shedding.refuse_without_room(need)
-        weighed = shortlist(need, open_now)
-        cut = frozenset(hall for hall in {item.hall for item in weighed} if self._is_cut_off(hall))
-        weigher = self._weigher(need, service, reachable, known, cut, now)
+        weighed = shortlist(need, with_room)
+        unreachable_halls = frozenset(
+            hall for hall in {item.hall for item in weighed} if self._is_cut_off(hall)
+        )
+        weigher = self._weigher(need, service, reachable, by_id, unreachable_halls, now)
         choices = [
             weigher.weigh(item, self.load(item.id), ranks.get(item.id, 0.0)) for item in weighed
         ]
         refused = self.shedding.refuse(need, choices, now)
         if refused is not None:
             return refused
-        if self._gives_way(need, service, choices, now):
-            return self._explained(self.shedding.refuse_for_teams(need, choices, now), need, now)
+        if self._has_to_yield(need, service, choices, now):
+            return self._with_team_usage(
+                self.shedding.refuse_for_teams(need, choices, now), need, now
+            )
         # A request that waits for a slot on an engine keeps it from more urgent ones that arrive
         # later: engines admit these first, but do not take a slot away.
-        open_ones = [choice for choice in choices if not choice.is_full]
-        best = min(open_ones or choices, key=lambda choice: choice.cost)
+        with_free_slot = [choice for choice in choices if not choice.is_full]
+        best = min(with_free_slot or choices, key=lambda choice: choice.cost)
         if best.first_event_seconds > need.first_event_timeout:
             best = min(choices, key=lambda choice: choice.first_event_seconds)
         returned = self.shedding.returns.has_place(need.caller, now)
@@ -258,7 +264,7 @@
         self.shares.note_placed(need, now)
         self.shedding.returns.note_placed(need.caller, now)
 
-    def _keeps_slots_from(
+    def _withheld_slots_refusal(
         self, need: Need, service: Service, upstreams: Sequence[Upstream], now: float
     ) -> Refusal | None:
         """Return why the remaining slots are withheld from a long request, None if they are not.
@@ -294,7 +300,7 @@
         urgent = sum(load.count_more_urgent(need.tier) for load in loads)
         return only_reserved_left(held, urgent, len(loads) * engine.slots, most)
 
-    def _gives_way(
+    def _has_to_yield(
         self, need: Need, service: Service, choices: Sequence[Choice], now: float
     ) -> bool:
         """Return whether a request yields the room to teams that have used less of their share."""
@@ -302,7 +308,7 @@
             return False
         return self.shares.is_over_share(need, now) and not self.shedding.must_serve(need, now)
 
-    def _explained(self, refused: NoChoice, need: Need, now: float) -> NoChoice:
+    def _with_team_usage(self, refused: NoChoice, need: Need, now: float) -> NoChoice:
         """Return a refusal with the relative usage of the team, if that is its reason."""
         if refused.refusal is not Refusal.SHARE:
             return refused
@@ -329,32 +335,32 @@
         need: Need,
         service: Service,
         sources: Iterable[Upstream],
-        known: Mapping[str, Upstream],
-        cut: frozenset[str],
+        by_id: Mapping[str, Upstream],
+        unreachable_halls: frozenset[str],
         now: float,
     ) -> PlainWeigher | EngineWeigher:
-        place = Location(self._hall, cut)
+        location = Location(self._hall, unreachable_halls)
         pace = self.pace(need.service)
-        differing = self.engine_paces.for_service(need.service).has_deviating
+        has_deviating = self.engine_paces.for_service(need.service).has_deviating
         if service.engine is None:
-            return PlainWeigher(need, pace, place, differing, now)
+            return PlainWeigher(need, pace, location, has_deviating, now)
         chain = tuple(chain_parts(need.parts))
-        usual = TypicalRequest(
+        typical = TypicalRequest(
             self.shedding.usual.reading(need.service, need.route) or need.prompt_tokens,
             self.shedding.usual.weight(need.route, need.size),
             self.shedding.is_long(need),
         )
-        planner = self._planner(chain, service.engine, sources, known, cut, now)
+        planner = self._planner(chain, service.engine, sources, by_id, unreachable_halls, now)
         return EngineWeigher(
             need,
             service.engine,
             pace,
-            usual,
-            place,
+            typical,
+            location,
             chain,
             self.recent,
             planner,
-            differing,
+            has_deviating,
             now,
         )
 
@@ -363,30 +369,33 @@
         chain: Chain,
         engine: EngineProfile,
         sources: Iterable[Upstream],
-        known: Mapping[str, Upstream],
-        cut: frozenset[str],
+        by_id: Mapping[str, Upstream],
+        unreachable_halls: frozenset[str],
         now: float,
     ) -> FetchPlanner | None:
         """Return the planner of copies from healthy upstreams, None if the engines cannot copy."""
         if not engine.link_rate:
             return None
         shared = chain[:-1]
-        kept = {}
+        cached_tokens = {}
         for item in sources:
             load = self.load(item.id)
-            if item.hall not in cut and load.failures.rate(now) < _SOUND_RATE:
-                kept[item.id] = load.prefix_cache.matched_chain_tokens(shared)
-        return FetchPlanner(engine, kept, known)
+            if (
+                item.hall not in unreachable_halls
+                and load.failures.rate(now) < _MAX_SOURCE_FAILURE_RATE
+            ):
+                cached_tokens[item.id] = load.prefix_cache.matched_chain_tokens(shared)
+        return FetchPlanner(engine, cached_tokens, by_id)
 
 
-def _is_time(seconds: float) -> bool:
+def _is_usable_time(seconds: float) -> bool:
     """Return whether a time reported by a gateway is usable as a sample."""
     return 0.0 < seconds < math.inf
 
 
-@lru_cache(maxsize=_RANKS_KEPT)
+@lru_cache(maxsize=_RANKS_CACHE_SIZE)
 def _ranks(service: str, upstreams: tuple[str, ...]) -> dict[str, float]:
     """Return the position of each upstream, from 0 to 1, in an order that all gateways share."""
-    order = ranked(service, upstreams, _MOST_RANKED)
+    order = ranked(service, upstreams, _MAX_RANKED)
     last = max(1, len(order) - 1)
     return {upstream: place / last for place, upstream in enumerate(order)}
--- a/src/lotushill/placement/fleet_paces.py
+++ b/src/lotushill/placement/fleet_paces.py
@@ -21,10 +21,10 @@
 
     def for_service(self, service: str) -> ServiceEnginePaces:
         """Return the paces of a service's upstreams."""
-        found = self._services.get(service)
-        if found is None:
-            found = self._services[service] = ServiceEnginePaces()
-        return found
+        paces = self._services.get(service)
+        if paces is None:
+            paces = self._services[service] = ServiceEnginePaces()
+        return paces
 
     def known_paces(self) -> list[LongTermPace]:
         """Return the long-term paces of all upstreams of which something is known."""
@@ -34,9 +34,9 @@
         """Return the long-term paces of the upstreams that differ from others of their service."""
         return [item for paces in self._services.values() for item in paces.deviating_paces()]
 
-    def adopt_reported(self, told: LongTermPace, service: str, pace: EnginePace) -> None:
+    def adopt_reported(self, reported: LongTermPace, service: str, pace: EnginePace) -> None:
         """Adopt a pace reported by another scheduler if none is known here."""
-        self.for_service(service).adopt_reported(told, pace)
+        self.for_service(service).adopt_reported(reported, pace)
 
     def take_changes(self) -> list[LongTermPace]:
         """Return the long-term paces that changed since the last call."""
--- a/src/lotushill/placement/learning.py
+++ b/src/lotushill/placement/learning.py
@@ -16,9 +16,9 @@
 PACE_SAMPLE_PAUSES = 8
 """Number of pauses from which the pace of a stream is reported: a quarter of a second of a typical
 stream."""
-_QUIET_EVENTS = 4
-"""Number of pauses without concurrent prefill that suffices for a long-term sample. The third
-shortest of the pauses is reported."""
+_BASELINE_PAUSES = 4
+"""Number of pauses without concurrent prefill that suffices for a long-term sample, since the
+third shortest of the pauses is reported."""
 
 
 def learn_first_event(
@@ -37,23 +37,25 @@
         pace.note_answer(seconds / load.pace.long_term_read_slowness)
         return
     # Only a prompt without any concurrent one is a sample for the long-term pace.
-    alone = placed.total_prefill_tokens <= placed.prefill_tokens and not load.prefill_queue.is_busy
-    a_token = seconds_per_token(placed.total_prefill_tokens, seconds)
-    if alone and a_token is not None:
-        load.pace.note_prefill_time(a_token, now)
+    without_others = (
+        placed.total_prefill_tokens <= placed.prefill_tokens and not load.prefill_queue.is_busy
+    )
+    token_seconds = seconds_per_token(placed.total_prefill_tokens, seconds)
+    if without_others and token_seconds is not None:
+        load.pace.note_prefill_time(token_seconds, now)
     pace.note_first_event(placed.total_prefill_tokens, seconds / load.pace.read_slowness(now))
 
 
-def learn_pause(pause: float, load: UpstreamLoad, quiet: BaselinePause, now: float) -> None:
+def learn_pause(pause: float, load: UpstreamLoad, baseline: BaselinePause, now: float) -> None:
     """Update the step pace of an upstream from a typical pause of one of its streams.
 
     Pauses during the prefill of other prompts are longer and unrelated to the pace: if they
     counted, every busy upstream would look slow.
     """
     idle = load.prefill_queue.idle_seconds(now)
-    if idle < _QUIET_EVENTS * pause:
+    if idle < _BASELINE_PAUSES * pause:
         return
     running = len(load.running)
-    load.pace.note_pause(pause / quiet.share(running), now)
+    load.pace.note_pause(pause / baseline.share(running), now)
     if idle >= PACE_SAMPLE_PAUSES * pause:
-        load.pace.note_stream_ratio(pause / quiet.at(running), now)
+        load.pace.note_stream_ratio(pause / baseline.at(running), now)
--- a/src/lotushill/placement/messages.py
+++ b/src/lotushill/placement/messages.py
@@ -8,10 +8,10 @@
 
 import xxhash
 
-_ROUTES_KEPT = 1024
+_ROUTE_NUMBERS_CACHE_SIZE = 1024
 
 
-@lru_cache(maxsize=_ROUTES_KEPT)
+@lru_cache(maxsize=_ROUTE_NUMBERS_CACHE_SIZE)
 def route_number(name: str) -> int:
     """Return the number that identifies a route, the same on all gateways."""
     return xxhash.xxh32_intdigest(name)
--- a/src/lotushill/placement/pauses.py
+++ b/src/lotushill/placement/pauses.py
@@ -11,7 +11,7 @@
 
 from lotushill.placement.baseline_pause import BaselinePause
 
-_FULL_SHARE = 1.5
+_FULL_QUEUE_FACTOR = 1.5
 """Multiple of the bound that must have been queued, as far as is known, for a pause to be at its
 bound."""
 _BOUND_STEP = 0.1
@@ -19,15 +19,15 @@
 _BOUND_QUANTILE = 0.5
 """Quantile of the pauses at their bound. Some are shorter, since prompts that seemed to be queued
 were already processed."""
-_LIKELY = 3.0
+_MAX_TYPICAL_FACTOR = 3.0
 """Multiple of the typical pause above which a pause was disturbed by something that is not observed
 here."""
-_MISS_MIDDLE = 0.95
+_MISS_MIDPOINT = 0.95
 """Fraction of the longest allowed pause at which a miss has probability one half. A prefill that
 spans several pauses may miss in each."""
 _MISS_STEEPNESS = 10.0
 """Steepness of the miss probability: pauses vary by about a twelfth around the prediction."""
-_LEAST_ALLOWED_SECONDS = 0.001
+_MIN_ALLOWED_SECONDS = 0.001
 
 
 class Pauses:
@@ -48,42 +48,44 @@
         """Return whether a pause at its bound was observed."""
         return math.isfinite(self.bound)
 
-    def note(self, pause: float, waiting: float, running: int, slowness: float) -> float | None:
-        """Update the model from a pause; at its start, `waiting` seconds of prefill were queued.
+    def note(
+        self, pause: float, queued_seconds: float, running: int, slowness: float
+    ) -> float | None:
+        """Update the model from a pause; `queued_seconds` of prefill were queued at its start.
 
         Return the ratio of the pause to the typical one, None if prefill was queued.
         """
-        usual = self.baseline.at(running)
-        if waiting <= 0.0:
-            if pause < _LIKELY * usual:
+        typical = self.baseline.at(running)
+        if queued_seconds <= 0.0:
+            if pause < _MAX_TYPICAL_FACTOR * typical:
                 self.baseline.note(running, pause / slowness)
-            return pause / usual
-        grown = pause / slowness - usual
-        if grown > usual:
-            self._note_grown(grown, waiting / slowness)
+            return pause / typical
+        extra = pause / slowness - typical
+        if extra > typical:
+            self._update_bound(extra, queued_seconds / slowness)
         return None
 
-    def _note_grown(self, grown: float, waiting: float) -> None:
+    def _update_bound(self, extra: float, queued_seconds: float) -> None:
         """Track a quantile of the pauses that are at their bound."""
         if not self.bound_known:
-            if waiting > _FULL_SHARE * grown:
-                self.bound = grown
-        elif waiting > _FULL_SHARE * self.bound:
-            quantile = _BOUND_QUANTILE if grown > self.bound else _BOUND_QUANTILE - 1.0
+            if queued_seconds > _FULL_QUEUE_FACTOR * extra:
+                self.bound = extra
+        elif queued_seconds > _FULL_QUEUE_FACTOR * self.bound:
+            quantile = _BOUND_QUANTILE if extra > self.bound else _BOUND_QUANTILE - 1.0
             self.bound *= 1.0 + _BOUND_STEP * quantile
 
-    def during_prefill(self, waiting: float, running: int, slowness: float) -> float:
-        """Return the pause of a stream while `waiting` seconds of prefill are queued."""
-        return self.on_upstream(running, slowness).during_prefill(waiting)
+    def during_prefill(self, queued_seconds: float, running: int, slowness: float) -> float:
+        """Return the pause of a stream while `queued_seconds` of prefill are queued."""
+        return self.on_upstream(running, slowness).during_prefill(queued_seconds)
 
     def exceed_probability(
-        self, waiting: float, running: int, slowness: float, longest: float
+        self, queued_seconds: float, running: int, slowness: float, longest: float
     ) -> float:
         """Return the probability that a pause exceeds `longest` seconds.
 
-        During the pause `waiting` seconds of prefill are queued.
+        During the pause `queued_seconds` of prefill are queued.
         """
-        return exceed_probability(self.during_prefill(waiting, running, slowness), longest)
+        return exceed_probability(self.during_prefill(queued_seconds, running, slowness), longest)
 
     def on_upstream(self, running: int, slowness: float) -> UpstreamPauses:
         """Return the pauses on one upstream that runs `running` requests."""
@@ -100,25 +102,25 @@
         """Pause in seconds without concurrent prefill."""
         self._bound = bound
 
-    def during_prefill(self, waiting: float) -> float:
-        """Return the pause while `waiting` seconds of prefill are queued."""
-        return self.quiet + (waiting if waiting < self._bound else self._bound)
+    def during_prefill(self, queued_seconds: float) -> float:
+        """Return the pause while `queued_seconds` of prefill are queued."""
+        return self.quiet + (queued_seconds if queued_seconds < self._bound else self._bound)
 
 
-def exceed_probability(likely: float, longest: float) -> float:
-    """Return the probability that a pause predicted to last `likely` seconds exceeds `longest`."""
-    share = likely / max(_LEAST_ALLOWED_SECONDS, longest)
-    return logistic(_MISS_STEEPNESS * (share - _MISS_MIDDLE))
+def exceed_probability(predicted: float, longest: float) -> float:
+    """Return the probability that a pause predicted as `predicted` seconds exceeds `longest`."""
+    ratio = predicted / max(_MIN_ALLOWED_SECONDS, longest)
+    return logistic(_MISS_STEEPNESS * (ratio - _MISS_MIDPOINT))
 
 
-_CERTAIN = 40.0
+_MAX_ARGUMENT = 40.0
 """Argument beyond which the logistic function is 1 in floating-point precision."""
 
 
 def logistic(value: float) -> float:
     """Return the logistic function, without overflow."""
-    if value > _CERTAIN:
+    if value > _MAX_ARGUMENT:
         return 1.0
-    if value < -_CERTAIN:
+    if value < -_MAX_ARGUMENT:
         return 0.0
     return 1.0 / (1.0 + math.exp(-value))
--- a/src/lotushill/placement/prefix_cache_model.py
+++ b/src/lotushill/placement/prefix_cache_model.py
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self._tokens: OrderedDict[int, int] = OrderedDict()
-        self._held = 0
+        self._cached_tokens = 0
 
     def matched_tokens(self, parts: Iterable[PromptPart]) -> int:
         """Return how many leading tokens of a prompt are probably cached."""
@@ -41,17 +41,17 @@
             total += part.tokens
         return total
 
-    def touch(self, parts: Iterable[PromptPart], room: int) -> None:
-        """Record that a prompt was processed, with a cache capacity of `room` tokens."""
+    def touch(self, parts: Iterable[PromptPart], capacity: int) -> None:
+        """Record that a prompt was processed, with a cache capacity of `capacity` tokens."""
         for key, part in chain_parts(parts):
             if key in self._tokens:
                 self._tokens.move_to_end(key)
                 continue
             self._tokens[key] = part.tokens
-            self._held += part.tokens
-        while self._tokens and self._held > room:
+            self._cached_tokens += part.tokens
+        while self._tokens and self._cached_tokens > capacity:
             _, tokens = self._tokens.popitem(last=False)
-            self._held -= tokens
+            self._cached_tokens -= tokens
 
 
 def chain_parts(parts: Iterable[PromptPart]) -> Iterator[tuple[int, PromptPart]]:
--- a/src/lotushill/placement/recent_starts.py
+++ b/src/lotushill/placement/recent_starts.py
@@ -33,17 +33,17 @@
             slices[-1].largest = max(slices[-1].largest, prompt)
             return
         slices.append(_Slice(at, prompt))
-        self._forget(slices, at)
+        self._evict_old(slices, at)
 
     def largest_less_urgent(self, service: str, tier: int, now: float) -> int:
         """Return the largest recently started prompt of less urgent tiers, 0 if there is none."""
         largest = 0
         for other, slices in self._slices.get(service, {}).items():
             if other > tier:
-                self._forget(slices, now)
+                self._evict_old(slices, now)
                 largest = max([largest, *(item.largest for item in slices)])
         return largest
 
-    def _forget(self, slices: deque[_Slice], now: float) -> None:
+    def _evict_old(self, slices: deque[_Slice], now: float) -> None:
         while slices and now - slices[0].start > RECENT_STARTS_SECONDS + _SLICE_SECONDS:
             slices.popleft()
--- a/src/lotushill/placement/reserve.py
+++ b/src/lotushill/placement/reserve.py
@@ -8,21 +8,26 @@
 
 from __future__ import annotations
 
-_MOST_RESERVED = 0.4
+_MAX_RESERVED_FRACTION = 0.4
 """Maximum fraction of all slots that is reserved. With less, urgent requests are not served while
 larger ones start. Over half of the slots are taken before any request is refused."""
-_RESERVE_TIMES = 2.0
+_RESERVE_FACTOR = 2.0
 """Reserved slots per slot that more urgent requests hold now, since these arrive in bursts as well.
 """
 
 
-def only_reserved_left(held: int, urgent: int, slots: int, most: float | None = None) -> bool:
+def only_reserved_left(
+    held_slots: int, urgent_slots: int, slots: int, most: float | None = None
+) -> bool:
     """Return whether the remaining slots are reserved for more urgent requests than a long one.
 
-    `held` counts all requests that run on the `slots` slots of all upstreams, `urgent` the more
-    urgent of them. If `most` is given, at most that fraction is reserved. All upstreams count
-    together: a reserve on each would spread long requests over the upstreams on which others are
-    packed, and direct the requests of all schedulers to the few that are left.
+    `held_slots` counts all requests that run on the `slots` slots of all upstreams, `urgent_slots`
+    the more urgent of them. If `most` is given, at most that fraction is reserved. All upstreams
+    count together: a reserve on each would spread long requests over the upstreams on which others
+    are packed, and direct the requests of all schedulers to the few that are left.
     """
-    share = min(_MOST_RESERVED if most is None else most, _RESERVE_TIMES * urgent / max(1, slots))
-    return held >= (1.0 - share) * slots
+    fraction = min(
+        _MAX_RESERVED_FRACTION if most is None else most,
+        _RESERVE_FACTOR * urgent_slots / max(1, slots),
+    )
+    return held_slots >= (1.0 - fraction) * slots
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -23,12 +23,12 @@
     from lotushill.placement.messages import Placed
     from lotushill.placement.need import Need
 
-_LONG_SHARE = 0.5
+_LONG_ROUTE_FRACTION = 0.5
 """Fraction of the typical prompt of the longest route from which another route also counts as long.
 """
-_TIMES_LARGER = 2.0
+_LARGER_FACTOR = 2.0
 """Users compare a refused request with less urgent requests of more than twice its size."""
-_LONG_WAIT = 0.5
+_MAX_LONG_WAIT_FRACTION = 0.5
 """Fraction of its target that a long request may wait until its prompt is processed.
 
 Evaluated on the upstream that is best for a typical request of the route, so that large and small
@@ -69,7 +69,7 @@
         route.
         """
         usual = self.usual.prompt(service, route) or prompt_tokens
-        return 0.0 < _LONG_SHARE * self.usual.longest_prompt(service) < usual
+        return 0.0 < _LONG_ROUTE_FRACTION * self.usual.longest_prompt(service) < usual
 
     def must_serve(self, need: Need, now: float) -> bool:
         """Return whether a refusal would disadvantage a request against less urgent, larger ones.
@@ -78,32 +78,34 @@
         """
         usual = self.usual.prompt(need.service, need.route) or need.prompt_tokens
         size = min(float(need.prompt_tokens), usual)
-        return self.starts.largest_less_urgent(need.service, need.tier, now) > _TIMES_LARGER * size
+        return self.starts.largest_less_urgent(need.service, need.tier, now) > _LARGER_FACTOR * size
 
     def refuse(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice | None:
         """Return the refusal of a request, None if it may go to one of `choices`."""
-        open_ones = [choice for choice in choices if not choice.is_full]
+        with_free_slot = [choice for choice in choices if not choice.is_full]
         wait = min(
-            open_ones or choices, key=lambda choice: choice.typical_request_cost
+            with_free_slot or choices, key=lambda choice: choice.typical_request_cost
         ).wait_seconds
         first = min(choice.first_event_seconds for choice in choices)
-        late = not open_ones or wait > _LONG_WAIT * need.target
+        late = not with_free_slot or wait > _MAX_LONG_WAIT_FRACTION * need.target
         overload = self.is_long(need) and late
         no_room = first > need.first_event_timeout
         if self.must_serve(need, now):
             return None
-        early = self.returns.seconds_early(_asker(need, now), now)
-        if early:
-            return self._refused(need, Refusal.EARLY, early, wait, first)
+        early_seconds = self.returns.seconds_early(_asker(need, now), now)
+        if early_seconds:
+            return self._refusal(need, Refusal.EARLY, early_seconds, wait, first)
         if not (overload or no_room):
             return None
         if not no_room and self.returns.is_due(need.caller, now):
             return None
-        return self._told(need, Refusal.OVERLOAD if overload else Refusal.NO_ROOM, wait, first, now)
+        return self._refusal_or_early(
+            need, Refusal.OVERLOAD if overload else Refusal.NO_ROOM, wait, first, now
+        )
 
     def refuse_for_others(self, need: Need, refusal: Refusal, now: float) -> NoChoice:
         """Return the refusal of a long request if the remaining slots are reserved for others."""
-        return self._told(need, refusal, 0.0, 0.0, now)
+        return self._refusal_or_early(need, refusal, 0.0, 0.0, now)
 
     def refuse_for_teams(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice:
         """Return the refusal of a request whose team has used its share while others wait.
@@ -112,9 +114,9 @@
         """
         wait = min(choice.wait_seconds for choice in choices)
         first = min(choice.first_event_seconds for choice in choices)
-        return self._told(need, Refusal.SHARE, wait, first, now)
+        return self._refusal_or_early(need, Refusal.SHARE, wait, first, now)
 
-    def _told(
+    def _refusal_or_early(
         self,
         need: Need,
         refusal: Refusal,
@@ -124,12 +126,12 @@
         final: bool = False,
     ) -> NoChoice:
         """Return the refusal of a request, with its Retry-After time."""
-        early = self.returns.seconds_early(_asker(need, now), now)
-        if early:
-            return self._refused(need, Refusal.EARLY, early, wait, first)
+        early_seconds = self.returns.seconds_early(_asker(need, now), now)
+        if early_seconds:
+            return self._refusal(need, Refusal.EARLY, early_seconds, wait, first)
         if self.returns.has_place(need.caller, now):
             refusal = Refusal.RETURNED
-        return self._refused(need, refusal, self._retry_after(need, now, final), wait, first)
+        return self._refusal(need, refusal, self._retry_after(need, now, final), wait, first)
 
     def _retry_after(self, need: Need, now: float, final: bool) -> float:
         spread = need.caller % _SPREAD_STEPS / _SPREAD_STEPS
@@ -140,17 +142,19 @@
         seconds = self.returns.seconds_early(_asker(need, now), now)
         if not seconds or self.must_serve(need, now):
             return None
-        return replace(self._refused(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
+        return replace(self._refusal(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
 
     def refuse_finally(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
         """Return the final refusal of a request that stops waiting, or would wait uselessly."""
-        return replace(self._told(need, refusal, wait, wait, now, final=True), final=True)
+        return replace(
+            self._refusal_or_early(need, refusal, wait, wait, now, final=True), final=True
+        )
 
     def refuse_without_room(self, need: Need) -> NoChoice:
         """Return the refusal of a request for which no upstream has a free slot now."""
-        return self._refused(need, Refusal.NO_ROOM, 0.0, 0.0, 0.0)
+        return self._refusal(need, Refusal.NO_ROOM, 0.0, 0.0, 0.0)
 
-    def _refused(
+    def _refusal(
         self, need: Need, refusal: Refusal, retry_after: float, wait: float, first: float
     ) -> NoChoice:
         return NoChoice(
--- a/src/lotushill/placement/team_reserve.py
+++ b/src/lotushill/placement/team_reserve.py
@@ -16,19 +16,19 @@
     from lotushill.placement.choice import Choice
     from lotushill.placement.need import Need
 
-_MOST_WAIT = 0.2
+_MAX_WAIT_FRACTION = 0.2
 """Fraction of its target that a request of such a team may wait on its upstream: short enough that
 the next request of another team is in time, long enough that no upstream runs out of work."""
 
 
-_KEPT_SHARE = 0.1
+_RESERVED_FRACTION = 0.1
 """Fraction of all slots that such a team leaves free: more than become free between two checks for
 room."""
 
 
 def reserved_slots(slots: int) -> int:
     """Return how many of `slots` slots a team over its share leaves to the others."""
-    return int(_KEPT_SHARE * slots)
+    return int(_RESERVED_FRACTION * slots)
 
 
 def has_to_wait(need: Need, choices: Iterable[Choice], engine: bool) -> bool:
@@ -42,4 +42,4 @@
 def _is_free(need: Need, choice: Choice, engine: bool) -> bool:
     if not engine:
         return choice.running < choice.upstream.slots
-    return not choice.is_full and choice.wait_seconds <= _MOST_WAIT * need.target
+    return not choice.is_full and choice.wait_seconds <= _MAX_WAIT_FRACTION * need.target
--- a/src/lotushill/placement/upstream_load.py
+++ b/src/lotushill/placement/upstream_load.py
@@ -15,9 +15,9 @@
     from lotushill.placement.messages import Placed
 
 _SLOWNESS_WEIGHT = 0.15
-_FORGET_SECONDS = 6.0
-_FIRST_BACK_OFF = 0.5
-_LONGEST_BACK_OFF = 4.0
+_SLOWNESS_SECONDS = 6.0
+_INITIAL_BACK_OFF_SECONDS = 0.5
+_MAX_BACK_OFF_SECONDS = 4.0
 
 
 class UpstreamLoad:
@@ -25,12 +25,12 @@
 
     def __init__(self) -> None:
         self.running: dict[int, Placed] = {}
-        self._seconds = 0.0
+        self._expected_seconds = 0.0
         """Sum of the expected durations of the running requests."""
         self.reserved_tokens = 0
         """Maximum number of tokens that the running requests may occupy in the end."""
-        self._answers = 0
-        """Tokens in `memory` that do not belong to prompt parts."""
+        self._answer_tokens = 0
+        """Tokens in `reserved_tokens` that do not belong to prompt parts."""
         self.prefix_cache = PrefixCacheModel()
         self.failures = FailureRate()
         self.streams_by_target_gap: Counter[float] = Counter()
@@ -45,8 +45,8 @@
         self._slowness = 1.0
         self._slowness_at = 0.0
         self.pace = EnginePace()
-        self._away_until = float("-inf")
-        self._back_off = _FIRST_BACK_OFF
+        self._unreachable_until = float("-inf")
+        self._back_off = _INITIAL_BACK_OFF_SECONDS
 
     def start(self, placed: Placed, memory_tokens: int, now: float) -> None:
         """Add a request on an upstream with a memory of `memory_tokens`."""
@@ -54,7 +54,7 @@
             return
         self.running[placed.request] = placed
         self._tiers[placed.tier] += 1
-        self._seconds += placed.seconds
+        self._expected_seconds += placed.seconds
         self.reserved_tokens += placed.memory
         if placed.target_gap > 0:
             self.streams_by_target_gap[placed.target_gap] += 1
@@ -65,8 +65,8 @@
                 placed.request, placed.tier, placed.prefill_tokens, now - placed.age
             )
         parts = [PromptPart(*item) for item in zip(placed.part_ids, placed.part_tokens)]
-        self._answers += max(0, placed.memory - sum(placed.part_tokens))
-        self.prefix_cache.touch(parts, memory_tokens - self._answers)
+        self._answer_tokens += max(0, placed.memory - sum(placed.part_tokens))
+        self.prefix_cache.touch(parts, memory_tokens - self._answer_tokens)
 
     def begin(self, request: int, now: float) -> None:
         """Record that the prompt of a request has been processed."""
@@ -84,9 +84,9 @@
         self._tiers[placed.tier] -= 1
         if self._begun.pop(request, None) is not None:
             self._begun_tiers[placed.tier] -= 1
-        self._seconds -= placed.seconds
+        self._expected_seconds -= placed.seconds
         self.reserved_tokens -= placed.memory
-        self._answers -= max(0, placed.memory - sum(placed.part_tokens))
+        self._answer_tokens -= max(0, placed.memory - sum(placed.part_tokens))
         if placed.target_gap > 0:
             self.streams_by_target_gap[placed.target_gap] -= 1
             if not self.streams_by_target_gap[placed.target_gap]:
@@ -101,7 +101,7 @@
     @property
     def mean_expected_seconds(self) -> float:
         """Return the mean expected duration of the running requests, 0 if there is none."""
-        return self._seconds / len(self.running) if self.running else 0.0
+        return self._expected_seconds / len(self.running) if self.running else 0.0
 
     def count_before(self, tier: int) -> int:
         """Return how many requests hold a slot against a new one of a tier.
@@ -130,8 +130,8 @@
         The ratio decays to 1 without new samples.
         """
         age = max(0.0, now - self._slowness_at)
-        fresh = max(0.0, 1.0 - age / _FORGET_SECONDS)
-        return 1.0 + (self._slowness - 1.0) * fresh
+        remaining = max(0.0, 1.0 - age / _SLOWNESS_SECONDS)
+        return 1.0 + (self._slowness - 1.0) * remaining
 
     def note_pace(self, ratio: float, now: float) -> None:
         """Update the slowness from the ratio of a measured time to the typical one."""
@@ -141,14 +141,14 @@
 
     def is_unreachable(self, now: float) -> bool:
         """Return whether the upstream is believed to be unreachable."""
-        return now < self._away_until
+        return now < self._unreachable_until
 
     def note_unreachable(self, now: float) -> None:
         """Record that no connection could be opened, and double the back-off up to its limit."""
-        self._away_until = now + self._back_off
-        self._back_off = min(_LONGEST_BACK_OFF, self._back_off * 2)
+        self._unreachable_until = now + self._back_off
+        self._back_off = min(_MAX_BACK_OFF_SECONDS, self._back_off * 2)
 
     def note_reached(self) -> None:
         """Record that the upstream answers."""
-        self._back_off = _FIRST_BACK_OFF
-        self._away_until = float("-inf")
+        self._back_off = _INITIAL_BACK_OFF_SECONDS
+        self._unreachable_until = float("-inf")
--- a/src/lotushill/placement/usual_request.py
+++ b/src/lotushill/placement/usual_request.py
@@ -8,8 +8,8 @@
 
 _WEIGHT = 0.02
 """Weight of one request in the moving average: about the last 50 count."""
-_FLAT_SHARE = 0.3
-_MOST = 4.0
+_CONSTANT_FRACTION = 0.3
+_MAX_REQUEST_WEIGHT = 4.0
 
 
 class _Average:
@@ -33,7 +33,7 @@
         self._prompts: defaultdict[str, defaultdict[int, _Average]] = defaultdict(
             lambda: defaultdict(_Average)
         )
-        self._readings: defaultdict[str, defaultdict[int, _Average]] = defaultdict(
+        self._prefills: defaultdict[str, defaultdict[int, _Average]] = defaultdict(
             lambda: defaultdict(_Average)
         )
 
@@ -41,24 +41,26 @@
         """Record the size of one request."""
         self._sizes[route].note(size)
 
-    def note_prompt(self, service: str, route: int, prompt: int, reading: int) -> None:
+    def note_prompt(self, service: str, route: int, prompt: int, prefill_tokens: int) -> None:
         """Record the prompt tokens of one request, and those of them that had to be processed.
 
         `route` is the number of its route.
         """
         self._prompts[service][route].note(prompt)
-        self._readings[service][route].note(reading)
+        self._prefills[service][route].note(prefill_tokens)
 
     def weight(self, route: str, size: float) -> float:
         """Return the weight of a request relative to a typical one of its route."""
-        usual = self._sizes[route].value
-        if usual <= 0:
+        typical = self._sizes[route].value
+        if typical <= 0:
             return 1.0
-        return min(_MOST, _FLAT_SHARE + (1.0 - _FLAT_SHARE) * size / usual)
+        return min(
+            _MAX_REQUEST_WEIGHT, _CONSTANT_FRACTION + (1.0 - _CONSTANT_FRACTION) * size / typical
+        )
 
     def reading(self, service: str, route: str) -> float:
         """Return the typical prefill tokens of a route's requests, 0 before the first request."""
-        return self._readings[service][route_number(route)].value
+        return self._prefills[service][route_number(route)].value
 
     def prompt(self, service: str, route: str) -> float:
         """Return the typical prompt tokens of a route, 0 before the first request."""
--- a/src/lotushill/routing/table.py
+++ b/src/lotushill/routing/table.py
@@ -43,9 +43,9 @@
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            found = routes.get(path[: end + 1])
-            if found is not None:
-                return found
+            route = routes.get(path[: end + 1])
+            if route is not None:
+                return route
         return None
 
     def route(self, name: str) -> Route | None:
--- a/src/lotushill/routing/team.py
+++ b/src/lotushill/routing/team.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-_TEAMS_KEPT = 1024
+_TEAM_NUMBERS_CACHE_SIZE = 1024
 
 
 @dataclass(frozen=True)
@@ -19,7 +19,7 @@
     priority: int | None
 
 
-@lru_cache(maxsize=_TEAMS_KEPT)
+@lru_cache(maxsize=_TEAM_NUMBERS_CACHE_SIZE)
 def team_number(name: str) -> int:
     """Return the number that identifies a team, the same on all gateways; 0 for none."""
     return xxhash.xxh32_intdigest(name) if name else 0
--- a/src/lotushill/starting/draw.py
+++ b/src/lotushill/starting/draw.py
@@ -17,7 +17,7 @@
 
     from lotushill.routing.upstream import Upstream
 
-_FIRST_CREDIT = 1
+_INITIAL_CREDIT = 1
 
 
 @dataclass(frozen=True)
@@ -33,19 +33,19 @@
     @property
     def credit(self) -> int:
         """Return how many more requests may be sent to the upstream."""
-        return _FIRST_CREDIT + self.answered - self.unanswered
+        return _INITIAL_CREDIT + self.answered - self.unanswered
 
 
-def draw_upstream(seen: Sequence[UpstreamCredit], rng: random.Random) -> list[Upstream]:
+def draw_upstream(credits: Sequence[UpstreamCredit], rng: random.Random) -> list[Upstream]:
     """Return a list of the chosen upstream, empty if there are no upstreams.
 
     If no upstream has credit, one of those with the highest credit is chosen: no request is refused
     because too little is known.
     """
-    if not seen:
+    if not credits:
         return []
-    open_ones = [item for item in seen if item.credit > 0]
-    if not open_ones:
-        most = max(item.credit for item in seen)
-        open_ones = [item for item in seen if item.credit == most]
-    return [rng.choice(open_ones).upstream]
+    with_credit = [item for item in credits if item.credit > 0]
+    if not with_credit:
+        max_credit = max(item.credit for item in credits)
+        with_credit = [item for item in credits if item.credit == max_credit]
+    return [rng.choice(with_credit).upstream]
--- a/src/lotushill/starting/startup_phase.py
+++ b/src/lotushill/starting/startup_phase.py
@@ -12,7 +12,7 @@
 """Time after its start in which a gateway counts as new: members discover each other within a
 second, and a model is pulled within 1.5 s more. Later, few members mean a partition, and the
 members on its own side are known."""
-_KNOWN_SHARE = 0.5
+_KNOWN_FRACTION = 0.5
 """Fraction of the registered gateways that have to be reachable; their updates then cover the
 running requests."""
 
@@ -29,17 +29,17 @@
         """Return whether the start is so recent that the fleet may be largely unknown."""
         return now - self._started_at < STARTUP_SECONDS
 
-    def knows_fleet(self, heard: int, registered: int, has_model: bool, now: float) -> bool:
+    def knows_fleet(self, reachable: int, registered: int, has_model: bool, now: float) -> bool:
         """Return whether to choose by the own model.
 
-        `heard` is the number of live gateways, including this one; `registered` is the number in
-        the store's list, 0 while it has not been read; `has_model` tells whether this gateway has
-        received the load of the upstreams from another one.
+        `reachable` is the number of live gateways, including this one; `registered` is the number
+        in the store's list, 0 while it has not been read; `has_model` tells whether this gateway
+        has received the load of the upstreams from another one.
         """
         if not self.is_new(now):
             return True
         if not registered:
-            return heard > 1
-        if heard <= self._small_fleet:
-            return heard > _KNOWN_SHARE * registered
+            return reachable > 1
+        if reachable <= self._small_fleet:
+            return reachable > _KNOWN_FRACTION * registered
         return has_model
--- a/tests/placement/test_team_room.py
+++ b/tests/placement/test_team_room.py
@@ -56,8 +56,8 @@
         among = upstreams(service.name, 2)
         found = self.fleet.choose(need, service, among, NOTHING, now)
         if isinstance(found, Choice):
-            told = placed_message(self.count, need, found, service.engine is not None)
-            self.fleet.start(told, service, now)
+            message = placed_message(self.count, need, found, service.engine is not None)
+            self.fleet.start(message, service, now)
             self.fleet.load(found.upstream.id).begin(self.count, now)
         return found
 
