--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -501,7 +501,7 @@
         "placement/prefill_queue.py",
         "if other <= tier)",
         "if other >= 0)",
-        "tests.placement.test_unread_prompts",
+        "tests.placement.test_prefill_queue",
     ),
     Break(
         "the usual pause is never 0",
@@ -853,14 +853,14 @@
         "placement/fleet.py",
         "return Refusal.SHARE if self.shares.is_over_share(need, now) else None",
         "return None",
-        "tests.placement.test_team_room",
+        "tests.placement.test_team_reserve",
     ),
     Break(
         "no share stands above a tier",
         "placement/fleet.py",
         "return self.shares.is_over_share(need, now) and not self.shedding.must_serve(need, now)",
         "return self.shares.is_over_share(need, now)",
-        "tests.placement.test_team_room",
+        "tests.placement.test_team_reserve",
     ),
     Break(
         "a team over its share is not starved",
