--- a/src/lotushill/placement/messages.py
+++ b/src/lotushill/placement/messages.py
@@ -112,7 +112,7 @@
         """Return the number of the request that the report is about, 0 if it lists all requests."""
         if self.whole:
             return 0
-        for told in (self.placed, self.began, self.paced, self.ended):
-            for item in told:
+        for updates in (self.placed, self.began, self.paced, self.ended):
+            for item in updates:
                 return item.request
         return 0
--- a/src/lotushill/starting/draw.py
+++ b/src/lotushill/starting/draw.py
@@ -36,16 +36,16 @@
         return _INITIAL_CREDIT + self.answered - self.unanswered
 
 
-def draw_upstream(credits: Sequence[UpstreamCredit], rng: random.Random) -> list[Upstream]:
+def draw_upstream(upstream_credits: Sequence[UpstreamCredit], rng: random.Random) -> list[Upstream]:
     """Return a list of the chosen upstream, empty if there are no upstreams.
 
     If no upstream has credit, one of those with the highest credit is chosen: no request is refused
     because too little is known.
     """
-    if not credits:
+    if not upstream_credits:
         return []
-    with_credit = [item for item in credits if item.credit > 0]
+    with_credit = [item for item in upstream_credits if item.credit > 0]
     if not with_credit:
-        max_credit = max(item.credit for item in credits)
-        with_credit = [item for item in credits if item.credit == max_credit]
+        max_credit = max(item.credit for item in upstream_credits)
+        with_credit = [item for item in upstream_credits if item.credit == max_credit]
     return [rng.choice(with_credit).upstream]
--- a/tests/placement/test_backup.py
+++ b/tests/placement/test_backup.py
@@ -25,13 +25,13 @@
     return Upstream(name, "llm", "10.0.0.1:80", hall, 32, False)
 
 
-def loaded(tokens: int) -> UpstreamLoad:
+def load_with_tokens(tokens: int) -> UpstreamLoad:
     load = UpstreamLoad()
     load.start(Placed(1, "b", 0, tokens, 0.2, 1.0, 0.0), ENGINE.memory_tokens, 0.0)
     return load
 
 
-class TestWorth(unittest.TestCase):
+class TestIsWorthCopying(unittest.TestCase):
     def test_short_prompts_are_copied_if_streams_are_often_lost(self) -> None:
         self.assertTrue(is_worth_copying(need(800), 2.0, 0.02))
         self.assertFalse(is_worth_copying(need(12_000), 2.0, 0.02))
@@ -55,23 +55,27 @@
         self.assertLess(rate.rate, 0.03)
 
 
-class TestTarget(unittest.TestCase):
+class TestBackupTarget(unittest.TestCase):
     @given(st.lists(st.integers(0, 12_000), min_size=1, max_size=6), st.integers(0, 5))
     def test_target_is_another_upstream_with_free_memory(self, held: list[int], index: int) -> None:
-        among = [upstream(f"b{n}", "z" if n % 2 else "y") for n in range(len(held))]
-        loads = {item.id: loaded(tokens) for item, tokens in zip(among, held)}
-        chosen = among[index % len(among)]
-        found = backup_target(chosen, need(500), ENGINE, among, loads, 0.0)
-        fit = [item for item in among if item != chosen and loads[item.id].reserved_tokens < 6_400]
-        if found is None:
-            self.assertEqual([], fit)
+        candidates = [upstream(f"b{n}", "z" if n % 2 else "y") for n in range(len(held))]
+        loads = {item.id: load_with_tokens(tokens) for item, tokens in zip(candidates, held)}
+        chosen = candidates[index % len(candidates)]
+        target = backup_target(chosen, need(500), ENGINE, candidates, loads, 0.0)
+        suitable = [
+            item for item in candidates if item != chosen and loads[item.id].reserved_tokens < 6_400
+        ]
+        if target is None:
+            self.assertEqual([], suitable)
             return
-        self.assertIn(found, fit)
-        elsewhere = [item for item in fit if item.hall != chosen.hall]
-        self.assertTrue(found in elsewhere or not elsewhere)
+        self.assertIn(target, suitable)
+        other_halls = [item for item in suitable if item.hall != chosen.hall]
+        self.assertTrue(target in other_halls or not other_halls)
 
     def test_unreachable_upstream_holds_no_copy(self) -> None:
         load = UpstreamLoad()
         load.note_unreachable(0.0)
-        among = [upstream("a"), upstream("b")]
-        self.assertIsNone(backup_target(among[0], need(500), ENGINE, among, {"b": load}, 0.1))
+        candidates = [upstream("a"), upstream("b")]
+        self.assertIsNone(
+            backup_target(candidates[0], need(500), ENGINE, candidates, {"b": load}, 0.1)
+        )
--- a/tests/placement/test_engine_pace.py
+++ b/tests/placement/test_engine_pace.py
@@ -35,11 +35,11 @@
                 pace.note_prefill_time(2e-5 * ratio * self.rng.lognormvariate(0.0, 0.3), self.now)
             self.service.update_long_term(self.now)
 
-    def lasting(self) -> dict[str, float]:
+    def deviating(self) -> dict[str, float]:
         return {item.upstream: item.step_slowness for item in self.service.deviating_paces()}
 
 
-class TestLasting(unittest.TestCase):
+class TestLongTermPace(unittest.TestCase):
     def test_slow_engines_are_detected_within_seconds_and_stay_detected(self) -> None:
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(2.0)
@@ -56,8 +56,8 @@
 
     def assert_slow(self, engines: Engines) -> None:
         """Check that exactly the first three engines have about their true slowness."""
-        self.assertEqual({"e0", "e1", "e2"}, set(engines.lasting()))
-        for steps in engines.lasting().values():
+        self.assertEqual({"e0", "e1", "e2"}, set(engines.deviating()))
+        for steps in engines.deviating().values():
             self.assertAlmostEqual(1.82 / 0.83, steps, delta=0.4)
 
     def test_disturbance_changes_the_short_term_pace_only(self) -> None:
@@ -75,10 +75,10 @@
         engines.run(6.0)
         engines.slowness[2] = 2.0
         engines.run(6.0)
-        self.assertEqual({"e2"}, set(engines.lasting()))
+        self.assertEqual({"e2"}, set(engines.deviating()))
         engines.slowness[2] = 1.0
         engines.run(6.0)
-        self.assertEqual({}, engines.lasting())
+        self.assertEqual({}, engines.deviating())
 
     def test_reference_is_the_median_engine_and_not_the_median_request(
         self,
@@ -100,7 +100,7 @@
             engines.now += seconds
             engines.paces[5].note_pause(0.03 * 0.83, engines.now)
             engines.service.update_long_term(engines.now)
-            self.assertEqual(names, set(engines.lasting()))
+            self.assertEqual(names, set(engines.deviating()))
 
     def test_two_engines_are_not_compared(self) -> None:
         engines = Engines([2.0, 1.0])
@@ -108,17 +108,17 @@
         self.assertEqual(0, engines.service.change_count)
 
 
-class TestTold(unittest.TestCase):
+class TestReportedPace(unittest.TestCase):
     def test_reported_pace_holds_until_own_samples_exist(self) -> None:
         engines = Engines([1.0] * 6)
         engines.service.adopt_reported(LongTermPace("e1", 2.2, 1.0), engines.paces[1])
         self.assertTrue(engines.service.has_deviating)
         self.assertEqual(2.2, engines.paces[1].step_slowness(50.0))
         engines.run(4.0)
-        self.assertEqual({}, engines.lasting())
+        self.assertEqual({}, engines.deviating())
 
     def test_reported_pace_does_not_replace_own_samples(self) -> None:
         engines = Engines([1.0] * 6)
         engines.run(4.0)
         engines.service.adopt_reported(LongTermPace("e1", 2.2, 1.0), engines.paces[1])
-        self.assertEqual({}, engines.lasting())
+        self.assertEqual({}, engines.deviating())
--- a/tests/placement/test_pauses.py
+++ b/tests/placement/test_pauses.py
@@ -9,18 +9,18 @@
 from lotushill.placement.baseline_pause import BaselinePause
 from lotushill.placement.pauses import Pauses
 
-QUIET = 0.024
-PIECE_SECONDS = 0.053
+BASELINE_SECONDS = 0.024
+CHUNK_SECONDS = 0.053
 TOKENS = 3
-BOUND = TOKENS * PIECE_SECONDS
+BOUND = TOKENS * CHUNK_SECONDS
 
 
 def pause(waiting: float, slowness: float, rng: random.Random) -> float:
     """Return a pause of an engine that processes one prompt chunk per step."""
-    return slowness * (QUIET + min(waiting, BOUND)) * rng.uniform(0.95, 1.05)
+    return slowness * (BASELINE_SECONDS + min(waiting, BOUND)) * rng.uniform(0.95, 1.05)
 
 
-def taught(rng: random.Random, count: int = 400) -> Pauses:
+def trained_pauses(rng: random.Random, count: int = 400) -> Pauses:
     pauses = Pauses()
     for _ in range(count):
         pauses.note(pause(0.0, 1.0, rng), 0.0, 10, 1.0)
@@ -47,20 +47,22 @@
         self, seed: int, waiting: float, slowness: float
     ) -> None:
         rng = random.Random(seed)
-        pauses = taught(rng)
+        pauses = trained_pauses(rng)
         likely = pauses.during_prefill(waiting * slowness, 10, slowness)
-        self.assertAlmostEqual(likely, slowness * (QUIET + min(waiting, BOUND)), delta=0.03)
+        self.assertAlmostEqual(
+            likely, slowness * (BASELINE_SECONDS + min(waiting, BOUND)), delta=0.03
+        )
 
     @given(st.integers(0, 2**32))
     def test_many_queued_prompts_lengthen_a_pause_no_more_than_a_few(self, seed: int) -> None:
-        pauses = taught(random.Random(seed))
+        pauses = trained_pauses(random.Random(seed))
         few = pauses.exceed_probability(2 * BOUND, 10, 1.0, 0.3)
         many = pauses.exceed_probability(50 * BOUND, 10, 1.0, 0.3)
         self.assertAlmostEqual(few, many, delta=0.1)
         self.assertLess(many, 0.1)
 
     def test_slow_upstream_misses_pauses_that_a_typical_one_meets(self) -> None:
-        pauses = taught(random.Random(1))
+        pauses = trained_pauses(random.Random(1))
         self.assertLess(pauses.exceed_probability(1.0, 10, 1.0, 0.24), 0.35)
         self.assertGreater(pauses.exceed_probability(1.0, 10, 1.5, 0.24), 0.7)
 
@@ -77,14 +79,14 @@
 
     def test_unobserved_prefill_does_not_change_the_baseline(self) -> None:
         rng = random.Random(3)
-        pauses = taught(rng)
+        pauses = trained_pauses(rng)
         before = pauses.baseline.at(10)
         for _ in range(20):
             pauses.note(pause(1.0, 1.0, rng), 0.0, 10, 1.0)
         self.assertAlmostEqual(before, pauses.baseline.at(10), places=6)
 
 
-class TestQuietPause(unittest.TestCase):
+class TestBaselinePause(unittest.TestCase):
     def test_pause_grows_with_the_running_requests(self) -> None:
         quiet = BaselinePause()
         rng = random.Random(4)
--- a/tests/placement/test_prefill_queue.py
+++ b/tests/placement/test_prefill_queue.py
@@ -20,7 +20,7 @@
 )
 
 
-class TestUnreadPrompts(unittest.TestCase):
+class TestPrefillQueue(unittest.TestCase):
     def test_urgent_prompts_overtake_queued_ones_but_not_the_current_one(self) -> None:
         prompts = PrefillQueue()
         for request in range(3):
--- a/tests/placement/test_prefix_cache_model.py
+++ b/tests/placement/test_prefix_cache_model.py
@@ -14,7 +14,7 @@
 )
 
 
-class TestKeptParts(unittest.TestCase):
+class TestPrefixCacheModel(unittest.TestCase):
     @given(st.lists(_PROMPT, max_size=20), st.integers(0, 400))
     def test_matched_tokens_exceed_neither_capacity_nor_prompt(
         self, prompts: list[list[PromptPart]], capacity: int
--- a/tests/placement/test_shedding.py
+++ b/tests/placement/test_shedding.py
@@ -17,7 +17,7 @@
 from lotushill.routing.upstream import Upstream
 
 UPSTREAM = Upstream("b", "llm", "10.0.0.1:80", "z", 48, False)
-HOPELESS = Choice(UPSTREAM, 1.0, 60.0, 0, 0, 60.0, wait_seconds=60.0)
+OVERLOADED = Choice(UPSTREAM, 1.0, 60.0, 0, 0, 60.0, wait_seconds=60.0)
 
 
 def need(tier: int, tokens: int) -> Need:
@@ -78,20 +78,20 @@
             if begins:
                 history.begin(now, tier, tokens)
                 continue
-            refused = history.shedding.refuse(need(tier, tokens), [HOPELESS], now)
+            refused = history.shedding.refuse(need(tier, tokens), [OVERLOADED], now)
             if refused is not None:
                 self.assertFalse(history.larger_began(now, tier, tokens), (now, tier, tokens))
 
     def test_least_urgent_request_is_refused_if_no_less_urgent_one_starts(self) -> None:
         history = History()
         history.begin(0.0, 0, 50_000)
-        self.assertIsNotNone(history.shedding.refuse(need(2, 9_000), [HOPELESS], 1.0))
+        self.assertIsNotNone(history.shedding.refuse(need(2, 9_000), [OVERLOADED], 1.0))
 
     def test_old_starts_do_not_prevent_a_refusal(self) -> None:
         history = History()
         history.begin(0.0, 2, 50_000)
         later = RECENT_STARTS_SECONDS + 1.0
-        self.assertIsNotNone(history.shedding.refuse(need(1, 100), [HOPELESS], later))
+        self.assertIsNotNone(history.shedding.refuse(need(1, 100), [OVERLOADED], later))
 
     def test_long_routes_are_determined_from_requests_of_all_gateways(self) -> None:
         shedding = Shedding()
@@ -110,5 +110,5 @@
             starts.note("llm", 2, 100 + n % 7, n * 0.01)
         self.assertEqual(106, starts.largest_less_urgent("llm", 1, 100.0))
         self.assertEqual(0, starts.largest_less_urgent("llm", 2, 100.0))
-        kept = starts._slices["llm"][2]
-        self.assertLess(len(kept), 15)
+        slices = starts._slices["llm"][2]
+        self.assertLess(len(slices), 15)
--- a/tests/placement/test_shortlist.py
+++ b/tests/placement/test_shortlist.py
@@ -37,30 +37,30 @@
         self.assertEqual(600, len(met))
 
 
-class TestAmongMany(unittest.TestCase):
+class TestManyUpstreams(unittest.TestCase):
     """Among many upstreams, the suitable one is found."""
 
     def test_upstream_with_the_cached_prompt_is_found_among_many(self) -> None:
         driver = Driver()
-        among = upstreams("llm", 60)
-        first = driver.place(long(1), ENGINE, among, 0.0)
+        candidates = upstreams("llm", 60)
+        first = driver.place(long(1), ENGINE, candidates, 0.0)
         driver.fleet.begin(Began(1), 0.3)
         driver.fleet.end(Ended(1), 0.5)
-        self.assertEqual(first, driver.place(long(2), ENGINE, among, 2.0))
+        self.assertEqual(first, driver.place(long(2), ENGINE, candidates, 2.0))
 
     def test_upstream_with_free_slots_is_found_among_many_full_ones(self) -> None:
         driver = Driver()
-        among = upstreams("llm", 60)
+        candidates = upstreams("llm", 60)
         slots = ENGINE.engine.slots if ENGINE.engine else 0
-        free = among[41]
+        free = candidates[41]
         number = 0
-        for item in among:
+        for item in candidates:
             if item is free:
                 continue
             for _ in range(slots):
                 number += 1
                 driver.fleet.start(Placed(number, item.id, 0, 700, 0.2, 2.0, 0.0), ENGINE, 0.0)
                 driver.fleet.begin(Began(number), 0.0)
-        found = driver.fleet.choose(short(), ENGINE, among, frozenset(), 0.1)
+        found = driver.fleet.choose(short(), ENGINE, candidates, frozenset(), 0.1)
         assert isinstance(found, Choice)
         self.assertEqual(found.upstream.id, free.id)
--- a/tests/placement/test_team_reserve.py
+++ b/tests/placement/test_team_reserve.py
@@ -14,7 +14,7 @@
 from lotushill.placement.team_reserve import reserved_slots
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
-from tests.placement.test_fleet import NOTHING
+from tests.placement.test_fleet import NO_UPSTREAMS
 from tests.placement.test_fleet import PLAIN
 from tests.placement.test_fleet import long
 from tests.placement.test_fleet import short
@@ -23,7 +23,7 @@
 ENGINE = Service("llm", 100, EngineProfile(10, 400_000, 5))
 
 
-class TestRoom(unittest.TestCase):
+class TestFreeUpstreams(unittest.TestCase):
     def choice(self, **changes: object) -> Choice:
         return replace(Choice(upstreams("s", 1)[0], 0.0, 0.1, 0, 0, 1.0), **changes)  # type: ignore[arg-type]
 
@@ -53,8 +53,8 @@
         self.count += 1
         need = long(self.count) if kind == "long" else short()
         need = replace(need, team=team, tier=tier, service=service.name)
-        among = upstreams(service.name, 2)
-        found = self.fleet.choose(need, service, among, NOTHING, now)
+        candidates = upstreams(service.name, 2)
+        found = self.fleet.choose(need, service, candidates, NO_UPSTREAMS, now)
         if isinstance(found, Choice):
             message = placed_message(self.count, need, found, service.engine is not None)
             self.fleet.start(message, service, now)
--- a/tests/placement/test_uneven_fleet.py
+++ b/tests/placement/test_uneven_fleet.py
@@ -19,28 +19,28 @@
 
 ENGINE = Service("llm", 100, EngineProfile(16, 400_000, 6))
 PLAIN = Service("app", 100, None)
-NOTHING: frozenset[str] = frozenset()
+NO_UPSTREAMS: frozenset[str] = frozenset()
 
 
 def upstreams(service: str, count: int, slots: int) -> list[Upstream]:
     return [Upstream(f"u{n}", service, f"10.0.0.{n}:80", "z", slots, False) for n in range(count)]
 
 
-class TestUntried(unittest.TestCase):
+class TestUnknownPace(unittest.TestCase):
     """A new engine was empty and received all requests of a burst, however slow it was."""
 
     def setUp(self) -> None:
         self.fleet = Fleet("z")
         self.known = upstreams("llm", 12, 16)
         for number, item in enumerate(self.known[:-1]):
-            told = LongTermPace(item.id, 2.2 if number < 3 else 1.0, 1.0)
-            self.fleet.adopt_reported_pace(told, "llm")
+            reported = LongTermPace(item.id, 2.2 if number < 3 else 1.0, 1.0)
+            self.fleet.adopt_reported_pace(reported, "llm")
 
     def fill(self, count: int) -> Counter[str]:
         sent: Counter[str] = Counter()
         for number in range(count):
             need = Need("llm", "chat", 0.8, 0.5, 15.0, True, 800, 290, ())
-            choice = self.fleet.choose(need, ENGINE, self.known, NOTHING, 0.01)
+            choice = self.fleet.choose(need, ENGINE, self.known, NO_UPSTREAMS, 0.01)
             assert isinstance(choice, Choice), choice
             self.fleet.start(placed_message(number, need, choice, True), ENGINE, 0.01)
             sent[choice.upstream.id] += 1
@@ -74,7 +74,7 @@
                 fleet.begin(Began(other, seconds[name]), ends)
                 fleet.end(Ended(other, Outcome.WHOLE, seconds[name]), ends)
             need = Need("app", "order", 0.415, 0.0, 2.7, False, 0, 0, ())
-            choice = fleet.choose(need, PLAIN, known, NOTHING, now)
+            choice = fleet.choose(need, PLAIN, known, NO_UPSTREAMS, now)
             assert isinstance(choice, Choice), choice
             fleet.start(placed_message(number, need, choice, False), PLAIN, now)
             due.append((now + seconds[choice.upstream.id], number, choice.upstream.id))
--- a/tests/starting/test_starting.py
+++ b/tests/starting/test_starting.py
@@ -19,7 +19,7 @@
 UPSTREAMS = [Upstream(f"e{n}", "llm", f"10.0.0.{n}:1", "h0", 16, False) for n in range(20)]
 
 
-class TestKnowledge(unittest.TestCase):
+class TestStartupPhase(unittest.TestCase):
     def setUp(self) -> None:
         self.start = StartupPhase(SMALL_FLEET, 100.0)
 
@@ -67,7 +67,7 @@
         self.assertEqual([], draw_upstream([], random.Random(1)))
 
 
-class TestPatience(unittest.TestCase):
+class TestReadyWait(unittest.TestCase):
     def test_wait_ends_before_clients_leave(self) -> None:
         for left in (0.3, 1.0, 2.7, 15.0):
             self.assertLess(ready_wait_seconds(left), left / 3.0)
