--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -126,14 +126,14 @@
     Variant(
         "refusal of the longest",
         f"{PLACEMENT}/shedding.py",
-        "overload = self.is_long(need) and late",
+        "overload = self.is_long(need) and is_late",
         "overload = False",
     ),
     Variant(
         "free slots for the longest",
         f"{PLACEMENT}/shedding.py",
-        "late = not with_free_slot or wait",
-        "late = wait",
+        "is_late = not with_free_slot or wait_seconds",
+        "is_late = wait_seconds",
     ),
     Variant(
         "load of other gateways",
--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -225,8 +225,8 @@
     Break(
         "gateway: a short request is not refused while longer ones begin",
         "placement/shedding.py",
-        "overload = self.is_long(need) and late",
-        "overload = late",
+        "overload = self.is_long(need) and is_late",
+        "overload = is_late",
         "tests.placement.test_fleet",
     ),
     Break(
@@ -492,8 +492,8 @@
     Break(
         "tiers: the longest take no slot that is not free",
         "placement/shedding.py",
-        "late = not with_free_slot or wait",
-        "late = wait",
+        "is_late = not with_free_slot or wait_seconds",
+        "is_late = wait_seconds",
         "tests.placement.test_shedding",
     ),
     Break(
--- a/src/lotushill/placement/backup.py
+++ b/src/lotushill/placement/backup.py
@@ -38,8 +38,8 @@
 
     `seconds` is the predicted duration of the run.
     """
-    risk = -math.expm1(-cut_rate * seconds)
-    return risk * _LOST_STREAM_LOSS > COPY_LOSS_PER_TOKEN * (
+    loss_probability = -math.expm1(-cut_rate * seconds)
+    return loss_probability * _LOST_STREAM_LOSS > COPY_LOSS_PER_TOKEN * (
         need.prompt_tokens + need.output_tokens
     )
 
--- a/src/lotushill/placement/baseline_pause.py
+++ b/src/lotushill/placement/baseline_pause.py
@@ -33,14 +33,18 @@
         """
         seconds = max(_MIN_SECONDS, seconds)
         self._weight = _DECAY * self._weight + 1.0
-        share = 1.0 / self._weight
-        more = running - self._running
-        longer = seconds - self._seconds
-        self._running += share * more
-        self._seconds += share * longer
-        kept = 1.0 - share
-        self._variance = kept * (self._variance + share * more * more)
-        self._covariance = kept * (self._covariance + share * more * longer)
+        fraction = 1.0 / self._weight
+        running_difference = running - self._running
+        seconds_difference = seconds - self._seconds
+        self._running += fraction * running_difference
+        self._seconds += fraction * seconds_difference
+        remaining = 1.0 - fraction
+        self._variance = remaining * (
+            self._variance + fraction * running_difference * running_difference
+        )
+        self._covariance = remaining * (
+            self._covariance + fraction * running_difference * seconds_difference
+        )
 
     def at(self, running: int) -> float:
         """Return the typical pause, in seconds, with `running` requests."""
@@ -49,6 +53,6 @@
         slope = max(0.0, self._covariance / self._variance)
         return max(0.5 * self._seconds, self._seconds + slope * (running - self._running))
 
-    def share(self, running: int) -> float:
+    def relative_to_mean(self, running: int) -> float:
         """Return the ratio of the pause with `running` requests to the average pause."""
         return self.at(running) / self._seconds
--- a/src/lotushill/placement/engine_pace.py
+++ b/src/lotushill/placement/engine_pace.py
@@ -155,7 +155,7 @@
         self.note_prefill_time(seconds, now)
 
     def set_long_term(self, steps: float, reading: float) -> None:
-        """Set the long-term pace; the total short-term estimate stays unchanged."""
+        """Set the long-term pace and preserve the current overall step slowness."""
         self._short_term = max(
             _MIN_SHORT_TERM_RATIO, self._short_term * self.long_term_step_slowness / steps
         )
@@ -172,11 +172,11 @@
             self.prefill_times = RecentMedian()
             self.set_long_term(1.0, 1.0)
 
-    def adopt_reported(self, steps: float, reading: float) -> None:
+    def adopt_reported(self, step_slowness: float, read_slowness: float) -> None:
         """Adopt the pace reported by another gateway until own samples contradict it."""
         if not self.is_known:
             self.is_known = True
-            self.set_long_term(steps, reading)
+            self.set_long_term(step_slowness, read_slowness)
 
     def _update_short_term(self, ratio: float, weight: float, now: float) -> None:
         current = self._decayed_short_term(now)
@@ -244,7 +244,7 @@
         if now < self._updated_at + _UPDATE_INTERVAL_SECONDS:
             return
         self._updated_at = now
-        before = {upstream: _long_term_pair(pace) for upstream, pace in self._paces.items()}
+        former_pairs = {upstream: _long_term_pair(pace) for upstream, pace in self._paces.items()}
         for pace in self._paces.values():
             pace.reset_stale(now)
         reference_step = _reference_time(
@@ -258,26 +258,28 @@
             for upstream, pace in self._paces.items()
         }
         self.has_deviating = any(pair != (1.0, 1.0) for pair in new_pairs.values())
-        for upstream, (steps, reading) in new_pairs.items():
-            if (steps, reading) != _long_term_pair(self._paces[upstream]):
-                self._paces[upstream].set_long_term(steps, reading)
-            if (steps, reading) != before[upstream]:
+        for upstream, (step_slowness, read_slowness) in new_pairs.items():
+            if (step_slowness, read_slowness) != _long_term_pair(self._paces[upstream]):
+                self._paces[upstream].set_long_term(step_slowness, read_slowness)
+            if (step_slowness, read_slowness) != former_pairs[upstream]:
                 self.change_count += 1
-                self._changed[upstream] = LongTermPace(upstream, steps, reading)
+                self._changed[upstream] = LongTermPace(upstream, step_slowness, read_slowness)
 
     def _long_term_slowness(
         self, pace: EnginePace, reference_step: float, reference_prefill: float
     ) -> tuple[float, float]:
         """Return the long-term step slowness of one engine and its additional prefill slowness."""
-        steps, reading = pace.long_term_step_slowness, pace.long_term_read_slowness
+        step_slowness, read_slowness = pace.long_term_step_slowness, pace.long_term_read_slowness
         if reference_step and pace.step_pauses.has_slots(_MIN_STEP_SLOTS):
-            steps = _updated_ratio(steps, pace.step_pauses.median / reference_step, _MIN_STEP_RATIO)
+            step_slowness = _updated_ratio(
+                step_slowness, pace.step_pauses.median / reference_step, _MIN_STEP_RATIO
+            )
         slots = _MIN_ANSWER_SLOTS if pace.is_plain else _MIN_PREFILL_SLOTS
         if reference_prefill and pace.prefill_times.has_slots(slots):
-            ratio = pace.prefill_times.median / reference_prefill / steps
+            ratio = pace.prefill_times.median / reference_prefill / step_slowness
             min_ratio = _MIN_ANSWER_RATIO if pace.is_plain else _MIN_PREFILL_RATIO
-            reading = _updated_ratio(reading, ratio, min_ratio)
-        return steps, reading
+            read_slowness = _updated_ratio(read_slowness, ratio, min_ratio)
+        return step_slowness, read_slowness
 
 
 def _long_term_pair(pace: EnginePace) -> tuple[float, float]:
--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -277,13 +277,13 @@
             return None
         loads = [self.load(item.id) for item in upstreams]
         slots = len(loads) * service.engine.slots
-        held = sum(len(load.running) for load in loads)
-        urgent = sum(load.count_more_urgent(need.tier) for load in loads)
-        if not only_reserved_left(held + reserved_slots(slots), urgent, slots):
+        used_slots = sum(len(load.running) for load in loads)
+        urgent_slots = sum(load.count_more_urgent(need.tier) for load in loads)
+        if not only_reserved_left(used_slots + reserved_slots(slots), urgent_slots, slots):
             return None
         if self.shedding.must_serve(need, now):
             return None
-        if only_reserved_left(held, urgent, slots):
+        if only_reserved_left(used_slots, urgent_slots, slots):
             return Refusal.OVERLOAD
         return Refusal.SHARE if self.shares.is_over_share(need, now) else None
 
@@ -296,9 +296,9 @@
     ) -> bool:
         """Return whether the free slots do not exceed those reserved for more urgent requests."""
         loads = [self.load(item.id) for item in upstreams]
-        held = sum(len(load.running) for load in loads)
-        urgent = sum(load.count_more_urgent(need.tier) for load in loads)
-        return only_reserved_left(held, urgent, len(loads) * engine.slots, most)
+        used_slots = sum(len(load.running) for load in loads)
+        urgent_slots = sum(load.count_more_urgent(need.tier) for load in loads)
+        return only_reserved_left(used_slots, urgent_slots, len(loads) * engine.slots, most)
 
     def _has_to_yield(
         self, need: Need, service: Service, choices: Sequence[Choice], now: float
--- a/src/lotushill/placement/learning.py
+++ b/src/lotushill/placement/learning.py
@@ -56,6 +56,6 @@
     if idle < _BASELINE_PAUSES * pause:
         return
     running = len(load.running)
-    load.pace.note_pause(pause / baseline.share(running), now)
+    load.pace.note_pause(pause / baseline.relative_to_mean(running), now)
     if idle >= PACE_SAMPLE_PAUSES * pause:
         load.pace.note_stream_ratio(pause / baseline.at(running), now)
--- a/src/lotushill/placement/recent_parts.py
+++ b/src/lotushill/placement/recent_parts.py
@@ -22,27 +22,32 @@
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
         """Seconds for which a part counts as recently used."""
-        self._used: dict[int, float] = {}
+        self._used_at: dict[int, float] = {}
 
     def note(self, parts: Sequence[PromptPart], now: float) -> None:
         """Record that a prompt is being processed; its last part is not shared."""
         for key, _ in chain_parts(parts[:-1]):
-            self._used[key] = now
+            self._used_at[key] = now
 
-    def reread_tokens(self, parts: Sequence[PromptPart], matched: int, now: float) -> int:
-        """Return the recently used shared tokens after the first `matched` tokens."""
-        return self.reread_chain_tokens(tuple(chain_parts(parts[:-1])), matched, now)
+    def reread_tokens(self, parts: Sequence[PromptPart], matched_tokens: int, now: float) -> int:
+        """Return the recently used shared tokens after the first `matched_tokens`."""
+        return self.reread_chain_tokens(tuple(chain_parts(parts[:-1])), matched_tokens, now)
 
-    def reread_chain_tokens(self, shared: Chain, matched: int, now: float) -> int:
+    def reread_chain_tokens(self, shared: Chain, matched_tokens: int, now: float) -> int:
         """Return the same for the shared parts of a prompt that are already chained."""
         position = 0
         total = 0
         for key, part in shared:
             position += part.tokens
-            if position > matched and now - self._used.get(key, float("-inf")) < self.seconds:
+            if (
+                position > matched_tokens
+                and now - self._used_at.get(key, float("-inf")) < self.seconds
+            ):
                 total += part.tokens
         return total
 
     def evict_old(self, now: float) -> None:
         """Remove parts that were not used recently."""
-        self._used = {key: used for key, used in self._used.items() if now - used < self.seconds}
+        self._used_at = {
+            key: used for key, used in self._used_at.items() if now - used < self.seconds
+        }
--- a/src/lotushill/placement/reserve.py
+++ b/src/lotushill/placement/reserve.py
@@ -17,11 +17,11 @@
 
 
 def only_reserved_left(
-    held_slots: int, urgent_slots: int, slots: int, most: float | None = None
+    used_slots: int, urgent_slots: int, slots: int, most: float | None = None
 ) -> bool:
     """Return whether the remaining slots are reserved for more urgent requests than a long one.
 
-    `held_slots` counts all requests that run on the `slots` slots of all upstreams, `urgent_slots`
+    `used_slots` counts all requests that run on the `slots` slots of all upstreams, `urgent_slots`
     the more urgent of them. If `most` is given, at most that fraction is reserved. All upstreams
     count together: a reserve on each would spread long requests over the upstreams on which others
     are packed, and direct the requests of all schedulers to the few that are left.
@@ -30,4 +30,4 @@
         _MAX_RESERVED_FRACTION if most is None else most,
         _RESERVE_FACTOR * urgent_slots / max(1, slots),
     )
-    return held_slots >= (1.0 - fraction) * slots
+    return used_slots >= (1.0 - fraction) * slots
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -12,7 +12,7 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.recent_starts import RecentStarts
-from lotushill.placement.usual_request import UsualRequests
+from lotushill.placement.usual_request import TypicalRequests
 from lotushill.returns.promise import Requester
 from lotushill.returns.promises import ReturnPromises
 
@@ -42,7 +42,7 @@
     """Refuses the least urgent and longest requests first."""
 
     def __init__(self) -> None:
-        self.usual = UsualRequests()
+        self.usual = TypicalRequests()
         self.starts = RecentStarts()
         self.returns = ReturnPromises()
 
@@ -68,39 +68,45 @@
         `prompt_tokens` stands for its typical prompt until any gateway has sent a request of the
         route.
         """
-        usual = self.usual.prompt(service, route) or prompt_tokens
-        return 0.0 < _LONG_ROUTE_FRACTION * self.usual.longest_prompt(service) < usual
+        typical = self.usual.prompt_tokens(service, route) or prompt_tokens
+        return 0.0 < _LONG_ROUTE_FRACTION * self.usual.longest_prompt_tokens(service) < typical
 
     def must_serve(self, need: Need, now: float) -> bool:
         """Return whether a refusal would disadvantage a request against less urgent, larger ones.
 
         While such requests start anywhere in the fleet, they have to be refused before it.
         """
-        usual = self.usual.prompt(need.service, need.route) or need.prompt_tokens
-        size = min(float(need.prompt_tokens), usual)
+        typical = self.usual.prompt_tokens(need.service, need.route) or need.prompt_tokens
+        size = min(float(need.prompt_tokens), typical)
         return self.starts.largest_less_urgent(need.service, need.tier, now) > _LARGER_FACTOR * size
 
     def refuse(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice | None:
         """Return the refusal of a request, None if it may go to one of `choices`."""
         with_free_slot = [choice for choice in choices if not choice.is_full]
-        wait = min(
+        wait_seconds = min(
             with_free_slot or choices, key=lambda choice: choice.typical_request_cost
         ).wait_seconds
-        first = min(choice.first_event_seconds for choice in choices)
-        late = not with_free_slot or wait > _MAX_LONG_WAIT_FRACTION * need.target
-        overload = self.is_long(need) and late
-        no_room = first > need.first_event_timeout
+        first_event_seconds = min(choice.first_event_seconds for choice in choices)
+        is_late = not with_free_slot or wait_seconds > _MAX_LONG_WAIT_FRACTION * need.target
+        overload = self.is_long(need) and is_late
+        no_room = first_event_seconds > need.first_event_timeout
         if self.must_serve(need, now):
             return None
-        early_seconds = self.returns.seconds_early(_asker(need, now), now)
+        early_seconds = self.returns.seconds_early(_requester(need, now), now)
         if early_seconds:
-            return self._refusal(need, Refusal.EARLY, early_seconds, wait, first)
+            return self._refusal(
+                need, Refusal.EARLY, early_seconds, wait_seconds, first_event_seconds
+            )
         if not (overload or no_room):
             return None
         if not no_room and self.returns.is_due(need.caller, now):
             return None
         return self._refusal_or_early(
-            need, Refusal.OVERLOAD if overload else Refusal.NO_ROOM, wait, first, now
+            need,
+            Refusal.OVERLOAD if overload else Refusal.NO_ROOM,
+            wait_seconds,
+            first_event_seconds,
+            now,
         )
 
     def refuse_for_others(self, need: Need, refusal: Refusal, now: float) -> NoChoice:
@@ -112,34 +118,38 @@
 
         `choices` are the upstreams that were weighed for it.
         """
-        wait = min(choice.wait_seconds for choice in choices)
-        first = min(choice.first_event_seconds for choice in choices)
-        return self._refusal_or_early(need, Refusal.SHARE, wait, first, now)
+        wait_seconds = min(choice.wait_seconds for choice in choices)
+        first_event_seconds = min(choice.first_event_seconds for choice in choices)
+        return self._refusal_or_early(need, Refusal.SHARE, wait_seconds, first_event_seconds, now)
 
     def _refusal_or_early(
         self,
         need: Need,
         refusal: Refusal,
-        wait: float,
-        first: float,
+        wait_seconds: float,
+        first_event_seconds: float,
         now: float,
         final: bool = False,
     ) -> NoChoice:
         """Return the refusal of a request, with its Retry-After time."""
-        early_seconds = self.returns.seconds_early(_asker(need, now), now)
+        early_seconds = self.returns.seconds_early(_requester(need, now), now)
         if early_seconds:
-            return self._refusal(need, Refusal.EARLY, early_seconds, wait, first)
+            return self._refusal(
+                need, Refusal.EARLY, early_seconds, wait_seconds, first_event_seconds
+            )
         if self.returns.has_place(need.caller, now):
             refusal = Refusal.RETURNED
-        return self._refusal(need, refusal, self._retry_after(need, now, final), wait, first)
+        return self._refusal(
+            need, refusal, self._retry_after(need, now, final), wait_seconds, first_event_seconds
+        )
 
     def _retry_after(self, need: Need, now: float, final: bool) -> float:
         spread = need.caller % _SPREAD_STEPS / _SPREAD_STEPS
-        return self.returns.retry_after(_asker(need, now), spread, now, final)
+        return self.returns.retry_after(_requester(need, now), spread, now, final)
 
     def refuse_early(self, need: Need, now: float) -> NoChoice | None:
         """Return the refusal of a caller that returned before its Retry-After time, else None."""
-        seconds = self.returns.seconds_early(_asker(need, now), now)
+        seconds = self.returns.seconds_early(_requester(need, now), now)
         if not seconds or self.must_serve(need, now):
             return None
         return replace(self._refusal(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
@@ -155,19 +165,24 @@
         return self._refusal(need, Refusal.NO_ROOM, 0.0, 0.0, 0.0)
 
     def _refusal(
-        self, need: Need, refusal: Refusal, retry_after: float, wait: float, first: float
+        self,
+        need: Need,
+        refusal: Refusal,
+        retry_after: float,
+        wait_seconds: float,
+        first_event_seconds: float,
     ) -> NoChoice:
         return NoChoice(
             refusal,
             retry_after,
-            wait,
-            first,
-            self.usual.prompt(need.service, need.route),
-            self.usual.longest_prompt(need.service),
+            wait_seconds,
+            first_event_seconds,
+            self.usual.prompt_tokens(need.service, need.route),
+            self.usual.longest_prompt_tokens(need.service),
         )
 
 
-def _asker(need: Need, now: float) -> Requester:
+def _requester(need: Need, now: float) -> Requester:
     # Plain requests of many callers are byte-identical.
     caller = need.caller if need.stream else 0
     return Requester(caller, need.service, need.tier, now - need.waited, need.time_left)
--- a/src/lotushill/placement/usual_request.py
+++ b/src/lotushill/placement/usual_request.py
@@ -25,7 +25,7 @@
         self.value += max(_WEIGHT, 1.0 / self._count) * (value - self.value)
 
 
-class UsualRequests:
+class TypicalRequests:
     """Averages by service and route."""
 
     def __init__(self) -> None:
@@ -41,12 +41,14 @@
         """Record the size of one request."""
         self._sizes[route].note(size)
 
-    def note_prompt(self, service: str, route: int, prompt: int, prefill_tokens: int) -> None:
+    def note_prompt(
+        self, service: str, route: int, prompt_tokens: int, prefill_tokens: int
+    ) -> None:
         """Record the prompt tokens of one request, and those of them that had to be processed.
 
         `route` is the number of its route.
         """
-        self._prompts[service][route].note(prompt)
+        self._prompts[service][route].note(prompt_tokens)
         self._prefills[service][route].note(prefill_tokens)
 
     def weight(self, route: str, size: float) -> float:
@@ -62,10 +64,10 @@
         """Return the typical prefill tokens of a route's requests, 0 before the first request."""
         return self._prefills[service][route_number(route)].value
 
-    def prompt(self, service: str, route: str) -> float:
+    def prompt_tokens(self, service: str, route: str) -> float:
         """Return the typical prompt tokens of a route, 0 before the first request."""
         return self._prompts[service][route_number(route)].value
 
-    def longest_prompt(self, service: str) -> float:
+    def longest_prompt_tokens(self, service: str) -> float:
         """Return the typical prompt tokens of the service's route with the longest prompts."""
         return max((item.value for item in self._prompts[service].values()), default=0.0)
--- a/src/lotushill/starting/startup_phase.py
+++ b/src/lotushill/starting/startup_phase.py
@@ -13,8 +13,8 @@
 second, and a model is pulled within 1.5 s more. Later, few members mean a partition, and the
 members on its own side are known."""
 _KNOWN_FRACTION = 0.5
-"""Fraction of the registered gateways that have to be reachable; their updates then cover the
-running requests."""
+"""Fraction of the registered gateways that the reachable ones must exceed; their updates then cover
+the running requests."""
 
 
 class StartupPhase:
