--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -1,7 +1,7 @@
-"""Chooses the upstream of a request by what it would cost, from a model of every upstream.
+"""Chooses the upstream with the lowest expected cost for a request, from a model of all upstreams.
 
-The model is fed by this gateway's own requests and by what the other gateways tell of theirs.
-Costs are shares of one request's credit. Nothing here reads a clock or does I/O.
+The model is updated from this gateway's own requests and from the reports of the other gateways.
+Costs are shares of one request's credit. This module reads no clock and performs no I/O.
 """
 
 from __future__ import annotations
@@ -56,22 +56,22 @@
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
 
-_SOUND_RATE = 0.2
-"""Nothing is copied from an upstream that fails more often than this."""
-_FAR_WEIGHT = 0.3
-"""What an outcome of another hall counts beside one of the own hall."""
+_MAX_SOURCE_FAILURE_RATE = 0.2
+"""Failure rate above which nothing is copied from an upstream."""
+_OTHER_HALL_WEIGHT = 0.3
+"""Weight of an outcome reported from another hall, relative to one from the own hall."""
 _NOT_SENT_WEIGHT = 0.5
-"""What an upstream that one gateway could not reach counts beside one that failed it: the gateway
-may be what is cut off."""
-_MOST_RANKED = 10_000
-_RANKS_KEPT = 32
+"""Weight of a failure to reach an upstream, relative to a failure of the upstream itself: the
+gateway may be what is disconnected."""
+_MAX_RANKED = 10_000
+_RANKS_CACHE_SIZE = 32
 NO_UPSTREAM_RETRY_AFTER_SECONDS = 1.0
-"""Seconds after which an upstream may have come."""
+"""Retry-After time if there is no upstream; one may have been registered by then."""
 
 
 @dataclass(frozen=True)
-class _Where:
-    """Where a request runs."""
+class _RunLocation:
+    """The upstream and service that run a request."""
 
     upstream: str
     service: Service
@@ -86,10 +86,10 @@
         recent_seconds: float = 10.0,
         is_cut_off: Callable[[str], bool] = lambda _: False,
     ) -> None:
-        """Make a model seen from `hall`.
+        """Create a model for a gateway in `hall`.
 
-        Parts used within `recent_seconds` are worth keeping; `is_cut_off` tells whether a hall
-        seems out of reach.
+        Parts used within `recent_seconds` are worth caching; `is_cut_off` returns whether a hall
+        seems unreachable.
         """
         self._hall = hall
         self._is_cut_off = is_cut_off
@@ -99,35 +99,33 @@
         self.engine_paces = FleetPaces()
         self._loads: dict[str, UpstreamLoad] = {}
         self._paces: dict[str, ServicePace] = {}
-        self._where: dict[int, _Where] = {}
-
-    # Feeding the model
+        self._locations: dict[int, _RunLocation] = {}
 
     def load(self, upstream_id: str) -> UpstreamLoad:
         """Return the load of an upstream."""
-        found = self._loads.get(upstream_id)
-        if found is None:
-            found = self._loads[upstream_id] = UpstreamLoad()
-        return found
+        load = self._loads.get(upstream_id)
+        if load is None:
+            load = self._loads[upstream_id] = UpstreamLoad()
+        return load
 
     def pace(self, service: str) -> ServicePace:
         """Return the pace of a service."""
-        found = self._paces.get(service)
-        if found is None:
-            found = self._paces[service] = ServicePace()
-        return found
+        pace = self._paces.get(service)
+        if pace is None:
+            pace = self._paces[service] = ServicePace()
+        return pace
 
     def note_arrival(self, need: Need, now: float) -> None:
-        """Learn of a request that has come; not again when it is looked for again."""
+        """Record the arrival of a request; not called again when its placement is retried."""
         self.shedding.usual.note_size(need.route, need.size)
         self.shares.note_arrival(need, now)
 
-    def adopt_reported_pace(self, told: LongTermPace, service: str) -> None:
-        """Take a pace that another scheduler has found, where nothing is known here."""
-        self.engine_paces.adopt_reported(told, service, self.load(told.upstream).pace)
+    def adopt_reported_pace(self, reported: LongTermPace, service: str) -> None:
+        """Adopt a pace reported by another scheduler if none is known here."""
+        self.engine_paces.adopt_reported(reported, service, self.load(reported.upstream).pace)
 
     def start(self, placed: Placed, service: Service, now: float) -> None:
-        """Count a request in, of this gateway or of another."""
+        """Add a running request of this gateway or another one."""
         engine = service.engine
         load = self.load(placed.upstream)
         load.start(placed, engine.memory_tokens if engine else 0, now)
@@ -136,67 +134,71 @@
         self.recent.note(parts, now)
         self.shedding.note(placed, service.name, now)
         self.shares.note_start(placed, service, now)
-        self._where[placed.request] = _Where(placed.upstream, service)
+        self._locations[placed.request] = _RunLocation(placed.upstream, service)
 
     def begin(self, began: Began, now: float) -> None:
-        """Note the first event of a request, and learn from when it came."""
-        where = self._where.get(began.request)
-        if where is None:
+        """Record the first event of a request and update the estimates from its time."""
+        location = self._locations.get(began.request)
+        if location is None:
             return
-        load = self._loads[where.upstream]
+        load = self._loads[location.upstream]
         load.begin(began.request, now)
         placed = load.running.get(began.request)
         if placed is not None:
-            # It may have stood in the engine's queue for longer than starts are remembered.
-            self.shedding.starts.note(where.service.name, placed.tier, placed.prompt, now)
-        if placed is None or not _is_time(began.seconds):
+            # It may have waited in the engine's queue for longer than starts are stored.
+            self.shedding.starts.note(location.service.name, placed.tier, placed.prompt, now)
+        if placed is None or not _is_usable_time(began.seconds):
             return
-        pace = self.pace(where.service.name)
-        learn_first_event(placed, began.seconds, load, pace, where.service, now)
-        self.engine_paces.for_service(where.service.name).update_long_term(now)
+        pace = self.pace(location.service.name)
+        learn_first_event(placed, began.seconds, load, pace, location.service, now)
+        self.engine_paces.for_service(location.service.name).update_long_term(now)
 
     def note_paced(self, paced: Paced, now: float) -> None:
-        """Learn how fast an upstream steps from one of its streams."""
-        where = self._where.get(paced.request)
-        if where is None or not _is_time(paced.pause):
+        """Update the step pace of an upstream from one of its streams."""
+        location = self._locations.get(paced.request)
+        if location is None or not _is_usable_time(paced.pause):
             return
-        quiet = self.pace(where.service.name).pauses.baseline
-        learn_pause(paced.pause, self._loads[where.upstream], quiet, now)
-        self.engine_paces.for_service(where.service.name).update_long_term(now)
+        baseline = self.pace(location.service.name).pauses.baseline
+        learn_pause(paced.pause, self._loads[location.upstream], baseline, now)
+        self.engine_paces.for_service(location.service.name).update_long_term(now)
 
     def end(self, ended: Ended, now: float, near: bool = True) -> None:
-        """Count a request out, and learn from its end; `near` says that the own hall told it.
+        """Remove a request and update the estimates from its outcome.
 
-        What fails for another hall may be its way there, and counts for less here.
+        `near` tells that a gateway of the own hall reported it. A failure reported from another
+        hall may lie in the path from there, and has less weight here.
         """
-        where = self._where.pop(ended.request, None)
-        if where is None:
+        location = self._locations.pop(ended.request, None)
+        if location is None:
             return
-        load = self._loads[where.upstream]
+        load = self._loads[location.upstream]
         load.end(ended.request, now)
         self.shares.note_end(ended.request, now, ended.outcome is not Outcome.NOT_SENT)
         if ended.outcome is Outcome.UNKNOWN:
             return
-        weight = 1.0 if near else _FAR_WEIGHT
+        weight = 1.0 if near else _OTHER_HALL_WEIGHT
         if ended.outcome is Outcome.NOT_SENT:
             load.failures.note(True, now, _NOT_SENT_WEIGHT * weight)
             return
         load.failures.note(ended.outcome is not Outcome.WHOLE, now, weight)
-        ran = ended.outcome in (Outcome.WHOLE, Outcome.CUT) and _is_time(ended.seconds)
-        if ran and where.service.engine is not None:
-            self.pace(where.service.name).note_end(ended.seconds, ended.outcome, now)
+        has_run = ended.outcome in (Outcome.WHOLE, Outcome.CUT) and _is_usable_time(ended.seconds)
+        if has_run and location.service.engine is not None:
+            self.pace(location.service.name).note_end(ended.seconds, ended.outcome, now)
 
     def is_running(self, request: int) -> bool:
-        """Return whether a request is counted in."""
-        return request in self._where
+        """Return whether a request is recorded as running."""
+        return request in self._locations
 
     def running_request(self, request: int) -> Placed | None:
-        """Return a request that is counted in, None without one."""
-        where = self._where.get(request)
-        return self._loads[where.upstream].running.get(request) if where else None
+        """Return a running request, None if it is not recorded."""
+        location = self._locations.get(request)
+        return self._loads[location.upstream].running.get(request) if location else None
 
     def evict_unused(self, known: set[str], now: float) -> None:
-        """Drop what is no longer of use: idle upstreams that no view knows, and old parts."""
+        """Remove data that is no longer needed.
+
+        That is, idle upstreams that are in no view, and old prompt parts.
+        """
         self.recent.evict_old(now)
         self.shares.forget(now)
         for upstream_id, load in list(self._loads.items()):
@@ -204,8 +206,6 @@
                 del self._loads[upstream_id]
         self.engine_paces.retain(self._loads)
 
-    # Choosing
-
     def choose(
         self,
         need: Need,
@@ -215,68 +215,75 @@
         now: float,
         closed: frozenset[str] = frozenset(),
     ) -> Choice | NoChoice:
-        """Return the cheapest upstream that can serve a request, or why there is none.
+        """Return the upstream with the lowest cost for a request, or the reason why there is none.
 
-        What is `closed` has no room now: it gets nothing, but counts for the room of all.
+        Upstreams in `closed` have no room now: they get no request, but count for the total number
+        of slots.
         """
         self.shares.note_demand(need, now)
-        known = {item.id: item for item in upstreams}
-        ranks = _ranks(need.service, tuple(known)) if service.engine else {}
-        candidates = [item for item in known.values() if item.id not in excluded]
+        by_id = {item.id: item for item in upstreams}
+        ranks = _ranks(need.service, tuple(by_id)) if service.engine else {}
+        candidates = [item for item in by_id.values() if item.id not in excluded]
         reachable = [item for item in candidates if not self.load(item.id).is_unreachable(now)]
         if not candidates:
             return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
-        kept = self._keeps_slots_from(need, service, reachable, now)
-        if kept is not None:
-            return self._explained(self.shedding.refuse_for_others(need, kept, now), need, now)
-        open_now = [item for item in reachable or candidates if item.id not in closed]
-        if not open_now:
+        withheld = self._withheld_slots_refusal(need, service, reachable, now)
+        if withheld is not None:
+            return self._with_team_usage(
+                self.shedding.refuse_for_others(need, withheld, now), need, now
+            )
+        with_room = [item for item in reachable or candidates if item.id not in closed]
+        if not with_room:
             return self.shedding.refuse_without_room(need)
-        weighed = shortlist(need, open_now)
-        cut = frozenset(hall for hall in {item.hall for item in weighed} if self._is_cut_off(hall))
-        weigher = self._weigher(need, service, reachable, known, cut, now)
+        weighed = shortlist(need, with_room)
+        unreachable_halls = frozenset(
+            hall for hall in {item.hall for item in weighed} if self._is_cut_off(hall)
+        )
+        weigher = self._weigher(need, service, reachable, by_id, unreachable_halls, now)
         choices = [
             weigher.weigh(item, self.load(item.id), ranks.get(item.id, 0.0)) for item in weighed
         ]
         refused = self.shedding.refuse(need, choices, now)
         if refused is not None:
             return refused
-        if self._gives_way(need, service, choices, now):
-            return self._explained(self.shedding.refuse_for_teams(need, choices, now), need, now)
-        # What waits for a slot keeps it from more urgent ones that come later: engines let them in
-        # first, but do not take a slot away.
-        open_ones = [choice for choice in choices if not choice.is_full]
-        best = min(open_ones or choices, key=lambda choice: choice.cost)
+        if self._has_to_yield(need, service, choices, now):
+            return self._with_team_usage(
+                self.shedding.refuse_for_teams(need, choices, now), need, now
+            )
+        # A request that waits for a slot on an engine keeps it from more urgent ones that arrive
+        # later: engines admit these first, but do not take a slot away.
+        with_free_slot = [choice for choice in choices if not choice.is_full]
+        best = min(with_free_slot or choices, key=lambda choice: choice.cost)
         if best.first_event_seconds > need.first_event_timeout:
             best = min(choices, key=lambda choice: choice.first_event_seconds)
         returned = self.shedding.returns.has_place(need.caller, now)
         return replace(best, returned=True) if returned else best
 
     def note_choice_used(self, need: Need, now: float) -> None:
-        """Note that a choice for a request is used, so that its caller's place is."""
+        """Record that a choice is used, which uses up the reserved place of its caller."""
         self.shares.note_placed(need, now)
         self.shedding.returns.note_placed(need.caller, now)
 
-    def _keeps_slots_from(
+    def _withheld_slots_refusal(
         self, need: Need, service: Service, upstreams: Sequence[Upstream], now: float
     ) -> Refusal | None:
-        """Return why the slots that are left are kept from a long request, None if they are not.
+        """Return why the remaining slots are withheld from a long request, None if they are not.
 
-        They are for more urgent requests, or for teams that have had less. Asked before any
-        upstream is weighed: a long request that waits asks again some thirty times a second, just
-        when schedulers have the most to do.
+        They are reserved for more urgent requests, or for teams with less usage. This is checked
+        before any upstream is weighed: a waiting long request is tried again about thirty times a
+        second, just when schedulers are busiest.
         """
         if service.engine is None or not self.shedding.is_long(need):
             return None
         loads = [self.load(item.id) for item in upstreams]
         slots = len(loads) * service.engine.slots
-        held = sum(len(load.running) for load in loads)
-        urgent = sum(load.count_more_urgent(need.tier) for load in loads)
-        if not only_reserved_left(held + reserved_slots(slots), urgent, slots):
+        used_slots = sum(len(load.running) for load in loads)
+        urgent_slots = sum(load.count_more_urgent(need.tier) for load in loads)
+        if not only_reserved_left(used_slots + reserved_slots(slots), urgent_slots, slots):
             return None
         if self.shedding.must_serve(need, now):
             return None
-        if only_reserved_left(held, urgent, slots):
+        if only_reserved_left(used_slots, urgent_slots, slots):
             return Refusal.OVERLOAD
         return Refusal.SHARE if self.shares.is_over_share(need, now) else None
 
@@ -287,22 +294,22 @@
         upstreams: Sequence[Upstream],
         most: float | None = None,
     ) -> bool:
-        """Return whether the free slots are no more than are kept for more urgent requests."""
+        """Return whether the free slots do not exceed those reserved for more urgent requests."""
         loads = [self.load(item.id) for item in upstreams]
-        held = sum(len(load.running) for load in loads)
-        urgent = sum(load.count_more_urgent(need.tier) for load in loads)
-        return only_reserved_left(held, urgent, len(loads) * engine.slots, most)
+        used_slots = sum(len(load.running) for load in loads)
+        urgent_slots = sum(load.count_more_urgent(need.tier) for load in loads)
+        return only_reserved_left(used_slots, urgent_slots, len(loads) * engine.slots, most)
 
-    def _gives_way(
+    def _has_to_yield(
         self, need: Need, service: Service, choices: Sequence[Choice], now: float
     ) -> bool:
-        """Return whether a request leaves the room to teams that have had less of their share."""
+        """Return whether a request yields the room to teams that have used less of their share."""
         if not has_to_wait(need, choices, service.engine is not None):
             return False
         return self.shares.is_over_share(need, now) and not self.shedding.must_serve(need, now)
 
-    def _explained(self, refused: NoChoice, need: Need, now: float) -> NoChoice:
-        """Return a refusal with the standing of the team, where that is its reason."""
+    def _with_team_usage(self, refused: NoChoice, need: Need, now: float) -> NoChoice:
+        """Return a refusal with the relative usage of the team, if that is its reason."""
         if refused.refusal is not Refusal.SHARE:
             return refused
         return replace(refused, standing=self.shares.relative_standing(need, now))
@@ -315,7 +322,7 @@
         upstreams: Iterable[Upstream],
         now: float,
     ) -> Upstream | None:
-        """Return where a copy of a run's memory is worth keeping, None if nowhere."""
+        """Return the upstream that should hold a copy of a run's memory, None if none should."""
         engine = service.engine
         if engine is None or not engine.can_back_up_memory:
             return None
@@ -328,32 +335,32 @@
         need: Need,
         service: Service,
         sources: Iterable[Upstream],
-        known: Mapping[str, Upstream],
-        cut: frozenset[str],
+        by_id: Mapping[str, Upstream],
+        unreachable_halls: frozenset[str],
         now: float,
     ) -> PlainWeigher | EngineWeigher:
-        place = Location(self._hall, cut)
+        location = Location(self._hall, unreachable_halls)
         pace = self.pace(need.service)
-        differing = self.engine_paces.for_service(need.service).has_deviating
+        has_deviating = self.engine_paces.for_service(need.service).has_deviating
         if service.engine is None:
-            return PlainWeigher(need, pace, place, differing, now)
+            return PlainWeigher(need, pace, location, has_deviating, now)
         chain = tuple(chain_parts(need.parts))
-        usual = TypicalRequest(
+        typical = TypicalRequest(
             self.shedding.usual.reading(need.service, need.route) or need.prompt_tokens,
             self.shedding.usual.weight(need.route, need.size),
             self.shedding.is_long(need),
         )
-        planner = self._planner(chain, service.engine, sources, known, cut, now)
+        planner = self._planner(chain, service.engine, sources, by_id, unreachable_halls, now)
         return EngineWeigher(
             need,
             service.engine,
             pace,
-            usual,
-            place,
+            typical,
+            location,
             chain,
             self.recent,
             planner,
-            differing,
+            has_deviating,
             now,
         )
 
@@ -362,30 +369,33 @@
         chain: Chain,
         engine: EngineProfile,
         sources: Iterable[Upstream],
-        known: Mapping[str, Upstream],
-        cut: frozenset[str],
+        by_id: Mapping[str, Upstream],
+        unreachable_halls: frozenset[str],
         now: float,
     ) -> FetchPlanner | None:
-        """Return what can be copied from where, among upstreams that are sound."""
+        """Return the planner of copies from healthy upstreams, None if the engines cannot copy."""
         if not engine.link_rate:
             return None
         shared = chain[:-1]
-        kept = {}
+        cached_tokens = {}
         for item in sources:
             load = self.load(item.id)
-            if item.hall not in cut and load.failures.rate(now) < _SOUND_RATE:
-                kept[item.id] = load.prefix_cache.matched_chain_tokens(shared)
-        return FetchPlanner(engine, kept, known)
+            if (
+                item.hall not in unreachable_halls
+                and load.failures.rate(now) < _MAX_SOURCE_FAILURE_RATE
+            ):
+                cached_tokens[item.id] = load.prefix_cache.matched_chain_tokens(shared)
+        return FetchPlanner(engine, cached_tokens, by_id)
 
 
-def _is_time(seconds: float) -> bool:
-    """Return whether something can be learned from a time that a gateway told."""
+def _is_usable_time(seconds: float) -> bool:
+    """Return whether a time reported by a gateway is usable as a sample."""
     return 0.0 < seconds < math.inf
 
 
-@lru_cache(maxsize=_RANKS_KEPT)
+@lru_cache(maxsize=_RANKS_CACHE_SIZE)
 def _ranks(service: str, upstreams: tuple[str, ...]) -> dict[str, float]:
-    """Return the place of each upstream, from 0 to 1, in an order that all gateways share."""
-    order = ranked(service, upstreams, _MOST_RANKED)
+    """Return the position of each upstream, from 0 to 1, in an order that all gateways share."""
+    order = ranked(service, upstreams, _MAX_RANKED)
     last = max(1, len(order) - 1)
     return {upstream: place / last for place, upstream in enumerate(order)}
--- a/src/lotushill/placement/fleet_paces.py
+++ b/src/lotushill/placement/fleet_paces.py
@@ -1,4 +1,4 @@
-"""The lasting paces of the upstreams of all services."""
+"""Long-term paces of the upstreams of all services."""
 
 from __future__ import annotations
 
@@ -21,28 +21,28 @@
 
     def for_service(self, service: str) -> ServiceEnginePaces:
         """Return the paces of a service's upstreams."""
-        found = self._services.get(service)
-        if found is None:
-            found = self._services[service] = ServiceEnginePaces()
-        return found
+        paces = self._services.get(service)
+        if paces is None:
+            paces = self._services[service] = ServiceEnginePaces()
+        return paces
 
     def known_paces(self) -> list[LongTermPace]:
-        """Return the lasting paces of all upstreams of which something is known."""
+        """Return the long-term paces of all upstreams of which something is known."""
         return [item for paces in self._services.values() for item in paces.known_paces()]
 
     def deviating_paces(self) -> list[LongTermPace]:
-        """Return the upstreams that are known to differ from their like."""
+        """Return the long-term paces of the upstreams that differ from others of their service."""
         return [item for paces in self._services.values() for item in paces.deviating_paces()]
 
-    def adopt_reported(self, told: LongTermPace, service: str, pace: EnginePace) -> None:
-        """Take what another scheduler has found, where nothing is known here."""
-        self.for_service(service).adopt_reported(told, pace)
+    def adopt_reported(self, reported: LongTermPace, service: str, pace: EnginePace) -> None:
+        """Adopt a pace reported by another scheduler if none is known here."""
+        self.for_service(service).adopt_reported(reported, pace)
 
     def take_changes(self) -> list[LongTermPace]:
-        """Return the lasting paces that changed since this was asked before."""
+        """Return the long-term paces that changed since the last call."""
         return [item for paces in self._services.values() for item in paces.take_changes()]
 
     def retain(self, upstreams: Collection[str]) -> None:
-        """Count out all upstreams but some."""
+        """Remove all upstreams except `upstreams`."""
         for paces in self._services.values():
             paces.retain(upstreams)
--- a/src/lotushill/placement/learning.py
+++ b/src/lotushill/placement/learning.py
@@ -1,4 +1,4 @@
-"""What an upstream's load and the pace of its service learn from the events of requests. Pure."""
+"""Updates an upstream's load and its service's pace from request events. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
     from lotushill.routing.service import Service
 
 PACE_SAMPLE_PAUSES = 8
-"""Pauses of which the pace of a stream is told: a quarter of a second of a usual one."""
-_QUIET_EVENTS = 4
-"""Of these pauses, so many without readings beside them tell what lasts: it is the third shortest
-that is told."""
+"""Number of pauses from which the pace of a stream is reported: a quarter of a second of a typical
+stream."""
+_BASELINE_PAUSES = 4
+"""Number of pauses without concurrent prefill that suffices for a long-term sample, since the
+third shortest of the pauses is reported."""
 
 
 def learn_first_event(
@@ -28,31 +29,33 @@
     service: Service,
     now: float,
 ) -> None:
-    """Learn from the first event of a request, so long after it was sent."""
+    """Update the estimates from the first event of a request, `seconds` after it was sent."""
     if placed.first_event_seconds > 0.0:
         load.note_pace(seconds / placed.first_event_seconds, now)
     if service.engine is None:
         load.pace.note_answer(seconds, now)
         pace.note_answer(seconds / load.pace.long_term_read_slowness)
         return
-    # What lasts is told only by a prompt that had no other one beside it.
-    alone = placed.total_prefill_tokens <= placed.prefill_tokens and not load.prefill_queue.is_busy
-    a_token = seconds_per_token(placed.total_prefill_tokens, seconds)
-    if alone and a_token is not None:
-        load.pace.note_prefill_time(a_token, now)
+    # Only a prompt without any concurrent one is a sample for the long-term pace.
+    without_others = (
+        placed.total_prefill_tokens <= placed.prefill_tokens and not load.prefill_queue.is_busy
+    )
+    token_seconds = seconds_per_token(placed.total_prefill_tokens, seconds)
+    if without_others and token_seconds is not None:
+        load.pace.note_prefill_time(token_seconds, now)
     pace.note_first_event(placed.total_prefill_tokens, seconds / load.pace.read_slowness(now))
 
 
-def learn_pause(pause: float, load: UpstreamLoad, quiet: BaselinePause, now: float) -> None:
-    """Learn how fast an upstream steps from a typical pause of one of its streams.
+def learn_pause(pause: float, load: UpstreamLoad, baseline: BaselinePause, now: float) -> None:
+    """Update the step pace of an upstream from a typical pause of one of its streams.
 
-    Pauses beside the reading of prompts are longer and say nothing of it: with them, every busy
-    upstream would look slow.
+    Pauses during the prefill of other prompts are longer and unrelated to the pace: if they
+    counted, every busy upstream would look slow.
     """
     idle = load.prefill_queue.idle_seconds(now)
-    if idle < _QUIET_EVENTS * pause:
+    if idle < _BASELINE_PAUSES * pause:
         return
     running = len(load.running)
-    load.pace.note_pause(pause / quiet.share(running), now)
+    load.pace.note_pause(pause / baseline.relative_to_mean(running), now)
     if idle >= PACE_SAMPLE_PAUSES * pause:
-        load.pace.note_stream_ratio(pause / quiet.at(running), now)
+        load.pace.note_stream_ratio(pause / baseline.at(running), now)
--- a/src/lotushill/placement/prefix_cache_model.py
+++ b/src/lotushill/placement/prefix_cache_model.py
@@ -1,4 +1,4 @@
-"""Which prompt parts an upstream still keeps, told by what was sent there."""
+"""Model of an upstream's prefix cache, derived from the prompts that were sent there."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
     from lotushill.routing.demand import PromptPart
 
     Chain = tuple[tuple[int, PromptPart], ...]
-    """Parts in order, each with a key that covers all parts before it as well."""
+    """Prompt parts in order, each with a key that also covers all parts before it."""
 
 _SEED = 0x9E3779B97F4A7C15
 _MASK = (1 << 64) - 1
 
 
 class PrefixCacheModel:
-    """Parts by their whole chain, the longest unused first to give way."""
+    """LRU cache of prompt parts, each identified by its whole chain of parts."""
 
     def __init__(self) -> None:
         self._tokens: OrderedDict[int, int] = OrderedDict()
-        self._held = 0
+        self._cached_tokens = 0
 
     def matched_tokens(self, parts: Iterable[PromptPart]) -> int:
-        """Return how many leading tokens of a prompt are likely kept."""
+        """Return how many leading tokens of a prompt are probably cached."""
         return self.matched_chain_tokens(tuple(chain_parts(parts)))
 
     def matched_chain_tokens(self, chain: Chain) -> int:
-        """Return the same for parts that were chained before, as for many upstreams at once."""
+        """Return the same for parts that are already chained.
+
+        The chain is computed once for many upstreams.
+        """
         total = 0
         for key, part in chain:
             if key not in self._tokens:
@@ -38,21 +41,21 @@
             total += part.tokens
         return total
 
-    def touch(self, parts: Iterable[PromptPart], room: int) -> None:
-        """Note that a prompt was read, where parts of `room` tokens in all can be kept."""
+    def touch(self, parts: Iterable[PromptPart], capacity: int) -> None:
+        """Record that a prompt was processed, with a cache capacity of `capacity` tokens."""
         for key, part in chain_parts(parts):
             if key in self._tokens:
                 self._tokens.move_to_end(key)
                 continue
             self._tokens[key] = part.tokens
-            self._held += part.tokens
-        while self._tokens and self._held > room:
+            self._cached_tokens += part.tokens
+        while self._tokens and self._cached_tokens > capacity:
             _, tokens = self._tokens.popitem(last=False)
-            self._held -= tokens
+            self._cached_tokens -= tokens
 
 
 def chain_parts(parts: Iterable[PromptPart]) -> Iterator[tuple[int, PromptPart]]:
-    """Yield each part with a key that covers all parts before it as well."""
+    """Yield each part with a key that also covers all parts before it."""
     key = _SEED
     for part in parts:
         key = ((key ^ part.id) * _SEED + part.tokens) & _MASK
--- a/tests/links/test_load_records.py
+++ b/tests/links/test_load_records.py
@@ -45,8 +45,8 @@
     route=TOKENS,
     tier=st.integers(0, 255),
     prompt=TOKENS,
-    first=SECONDS,
-    ahead=TOKENS,
+    first_event_seconds=SECONDS,
+    total_prefill_tokens=TOKENS,
 )
 PLACED = st.builds(placed, PARTS, PLAIN)
 LISTS = st.lists(NUMBERS, max_size=8).map(tuple)
--- a/tests/placement/test_engine_pace.py
+++ b/tests/placement/test_engine_pace.py
@@ -1,4 +1,4 @@
-"""What is learned of an engine's pace: what lasts, what passes, and against what it is held."""
+"""Estimated engine paces: long-term pace, short disturbances, and the reference of comparison."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Engines:
-    """Engines of given slowness, from each of which a stream tells now and then."""
+    """Engines of given slowness, each with a stream that reports at regular intervals."""
 
     def __init__(self, slowness: list[float], seed: int = 1) -> None:
         self.slowness = slowness
@@ -23,7 +23,7 @@
             self.service.add(f"e{number}", pace)
 
     def run(self, seconds: float, disturbed: int | None = None, every: float = 0.1) -> None:
-        """Let time pass, with one engine 2.5 times slower than it is."""
+        """Advance the time; one engine may be disturbed, 2.5 times slower than its own pace."""
         ends = self.now + seconds
         while self.now < ends:
             self.now += every
@@ -35,19 +35,19 @@
                 pace.note_prefill_time(2e-5 * ratio * self.rng.lognormvariate(0.0, 0.3), self.now)
             self.service.update_long_term(self.now)
 
-    def lasting(self) -> dict[str, float]:
+    def deviating(self) -> dict[str, float]:
         return {item.upstream: item.step_slowness for item in self.service.deviating_paces()}
 
 
-class TestLasting(unittest.TestCase):
-    def test_slow_engines_are_known_within_seconds_and_stay_known(self) -> None:
+class TestLongTermPace(unittest.TestCase):
+    def test_slow_engines_are_detected_within_seconds_and_stay_detected(self) -> None:
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(2.0)
         self.assert_slow(engines)
-        # Nothing is sent to them for a minute.
+        # No requests are sent to them for a minute.
         self.assertGreater(engines.paces[0].step_slowness(engines.now + 60.0), 1.7)
 
-    def test_engines_that_are_alike_have_no_lasting_pace(self) -> None:
+    def test_equal_engines_have_no_long_term_difference(self) -> None:
         for seed in range(20):
             with self.subTest(seed=seed):
                 engines = Engines([1.0] * 12, seed)
@@ -55,12 +55,12 @@
                 self.assertEqual(0, engines.service.change_count)
 
     def assert_slow(self, engines: Engines) -> None:
-        """The first three, and no others, are about as slow as they are."""
-        self.assertEqual({"e0", "e1", "e2"}, set(engines.lasting()))
-        for steps in engines.lasting().values():
+        """Check that exactly the first three engines have about their true slowness."""
+        self.assertEqual({"e0", "e1", "e2"}, set(engines.deviating()))
+        for steps in engines.deviating().values():
             self.assertAlmostEqual(1.82 / 0.83, steps, delta=0.4)
 
-    def test_a_disturbance_shows_at_once_and_leaves_what_lasts(self) -> None:
+    def test_disturbance_changes_the_short_term_pace_only(self) -> None:
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(6.0)
         engines.run(0.6, disturbed=5)
@@ -70,20 +70,20 @@
         self.assert_slow(engines)
         self.assertLess(engines.paces[5].step_slowness(engines.now), 1.15)
 
-    def test_one_that_changes_for_good_is_learned_anew(self) -> None:
+    def test_permanent_change_updates_the_long_term_pace(self) -> None:
         engines = Engines([1.0] * 8)
         engines.run(6.0)
         engines.slowness[2] = 2.0
         engines.run(6.0)
-        self.assertEqual({"e2"}, set(engines.lasting()))
+        self.assertEqual({"e2"}, set(engines.deviating()))
         engines.slowness[2] = 1.0
         engines.run(6.0)
-        self.assertEqual({}, engines.lasting())
+        self.assertEqual({}, engines.deviating())
 
-    def test_the_usual_pace_is_that_of_the_median_engine_and_not_of_the_median_request(
+    def test_reference_is_the_median_engine_and_not_the_median_request(
         self,
     ) -> None:
-        """Slow engines are sent one request in a hundred, and then all are."""
+        """The slow engines receive no more requests after 4 s, and the reference stays the same."""
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(4.0)
         for _ in range(400):
@@ -93,32 +93,32 @@
             engines.service.update_long_term(engines.now)
         self.assert_slow(engines)
 
-    def test_one_of_which_nothing_is_seen_for_minutes_is_tried_again(self) -> None:
+    def test_long_term_pace_is_reset_after_minutes_without_samples(self) -> None:
         engines = Engines([1.82] * 3 + [0.83] * 9)
         engines.run(4.0)
         for seconds, names in ((60.0, {"e0", "e1", "e2"}), (61.0, set())):
             engines.now += seconds
             engines.paces[5].note_pause(0.03 * 0.83, engines.now)
             engines.service.update_long_term(engines.now)
-            self.assertEqual(names, set(engines.lasting()))
+            self.assertEqual(names, set(engines.deviating()))
 
-    def test_two_engines_have_no_like_to_be_held_against(self) -> None:
+    def test_two_engines_are_not_compared(self) -> None:
         engines = Engines([2.0, 1.0])
         engines.run(10.0)
         self.assertEqual(0, engines.service.change_count)
 
 
-class TestTold(unittest.TestCase):
-    def test_what_another_gateway_found_holds_until_own_evidence_comes(self) -> None:
+class TestReportedPace(unittest.TestCase):
+    def test_reported_pace_holds_until_own_samples_exist(self) -> None:
         engines = Engines([1.0] * 6)
         engines.service.adopt_reported(LongTermPace("e1", 2.2, 1.0), engines.paces[1])
         self.assertTrue(engines.service.has_deviating)
         self.assertEqual(2.2, engines.paces[1].step_slowness(50.0))
         engines.run(4.0)
-        self.assertEqual({}, engines.lasting())
+        self.assertEqual({}, engines.deviating())
 
-    def test_it_does_not_replace_what_was_seen(self) -> None:
+    def test_reported_pace_does_not_replace_own_samples(self) -> None:
         engines = Engines([1.0] * 6)
         engines.run(4.0)
         engines.service.adopt_reported(LongTermPace("e1", 2.2, 1.0), engines.paces[1])
-        self.assertEqual({}, engines.lasting())
+        self.assertEqual({}, engines.deviating())
--- a/tests/placement/test_shortlist.py
+++ b/tests/placement/test_shortlist.py
@@ -18,17 +18,17 @@
 
 
 class TestShortlist(unittest.TestCase):
-    def test_of_a_few_all_are_weighed(self) -> None:
+    def test_all_of_few_upstreams_are_weighed(self) -> None:
         few = upstreams("llm", MAX_WEIGHED_UPSTREAMS)
         self.assertEqual(few, list(shortlist(long(), few)))
 
-    def test_of_many_the_same_are_weighed_for_the_same_prompt_whatever_its_own_part(self) -> None:
+    def test_shortlist_depends_only_on_the_shared_prompt_parts(self) -> None:
         many = upstreams("llm", 600)
         one, other = shortlist(long(1), many), shortlist(long(2), list(reversed(many)))
         self.assertEqual(MAX_WEIGHED_UPSTREAMS, len(one))
         self.assertEqual({item.id for item in one}, {item.id for item in other})
 
-    def test_other_prompts_are_spread_over_all(self) -> None:
+    def test_different_prompts_are_spread_over_all_upstreams(self) -> None:
         many = upstreams("llm", 600)
         met = set()
         for prompt in range(200):
@@ -37,30 +37,30 @@
         self.assertEqual(600, len(met))
 
 
-class TestAmongMany(unittest.TestCase):
-    """Of many upstreams the one that fits is found."""
+class TestManyUpstreams(unittest.TestCase):
+    """Among many upstreams, the suitable one is found."""
 
-    def test_the_one_that_keeps_the_prompt_is_found_among_many(self) -> None:
+    def test_upstream_with_the_cached_prompt_is_found_among_many(self) -> None:
         driver = Driver()
-        among = upstreams("llm", 60)
-        first = driver.place(long(1), ENGINE, among, 0.0)
+        candidates = upstreams("llm", 60)
+        first = driver.place(long(1), ENGINE, candidates, 0.0)
         driver.fleet.begin(Began(1), 0.3)
         driver.fleet.end(Ended(1), 0.5)
-        self.assertEqual(first, driver.place(long(2), ENGINE, among, 2.0))
+        self.assertEqual(first, driver.place(long(2), ENGINE, candidates, 2.0))
 
-    def test_one_with_free_slots_is_found_among_many_that_are_full(self) -> None:
+    def test_upstream_with_free_slots_is_found_among_many_full_ones(self) -> None:
         driver = Driver()
-        among = upstreams("llm", 60)
+        candidates = upstreams("llm", 60)
         slots = ENGINE.engine.slots if ENGINE.engine else 0
-        free = among[41]
+        free = candidates[41]
         number = 0
-        for item in among:
+        for item in candidates:
             if item is free:
                 continue
             for _ in range(slots):
                 number += 1
                 driver.fleet.start(Placed(number, item.id, 0, 700, 0.2, 2.0, 0.0), ENGINE, 0.0)
                 driver.fleet.begin(Began(number), 0.0)
-        found = driver.fleet.choose(short(), ENGINE, among, frozenset(), 0.1)
+        found = driver.fleet.choose(short(), ENGINE, candidates, frozenset(), 0.1)
         assert isinstance(found, Choice)
         self.assertEqual(found.upstream.id, free.id)
