--- a/src/lotushill/waiting/__init__.py
+++ b/src/lotushill/waiting/__init__.py
@@ -1,3 +1,3 @@
-"""Requests that wait for an engine to have room, where they can still be reordered."""
+"""Admission queue: holds requests until an engine has a free slot, so they can be reordered."""
 
 from __future__ import annotations
--- a/src/lotushill/waiting/entry.py
+++ b/src/lotushill/waiting/entry.py
@@ -1,4 +1,4 @@
-"""One request that waits for room."""
+"""Entries of the admission queue."""
 
 from __future__ import annotations
 
@@ -12,45 +12,47 @@
     from lotushill.placement.need import Need
 
 RENEW_SECONDS = 0.2
-"""Between two asks of a gateway for a request that waits: a fifth of the shortest time in which its
-client gives up, so that a scheduler that was lost costs little of it."""
+"""Interval in which a gateway renews a queued request: a fifth of the shortest time after which a
+client gives up, so that the loss of a scheduler uses up little of that time."""
 EXPIRY_SECONDS = 0.7
-"""One that was not renewed for so long has been given up: two renewals may be lost."""
+"""Time without a renewal after which an entry expires: two renewals may be lost."""
 _PATIENCE_SHARE = 0.9
-"""Of its client's patience, how long a request is held: in what is left it can still begin beside
-others that are let in with it, or be refused so that its client comes back."""
+"""Fraction of its client's patience for which a request stays queued: in the rest it can still
+begin together with others that are admitted at the same time, or be refused so that its client
+retries."""
 
 
 @dataclass(frozen=True)
 class Waiting:
-    """A request in line; times are on the clock of whoever holds it."""
+    """A request in the admission queue; times are on the clock of the gateway that queues it."""
 
     key: int
-    """Number of the ask, the same when it is renewed."""
+    """Number of the placement query, the same in all renewals."""
     need: Need
     asker: str
-    """Gateway that asked, empty for the holder's own requests."""
+    """Name of the gateway that sent the query, empty for requests of the queueing gateway
+    itself."""
     since: float
-    """When the request came to its gateway."""
+    """When the request arrived at its gateway."""
     renewed: float
     excluded: frozenset[str] = frozenset()
-    """Upstreams that are not to have it."""
+    """Ids of upstreams that the request must not be sent to."""
     copied: bool = False
-    """Whether a copy of its run may be kept."""
+    """Whether a backup copy of its run may be kept."""
 
     @cached_property
     def patience_ends(self) -> float:
-        """Return when its client gives up without a sign of an answer."""
+        """Return when its client gives up if it has received no part of an answer."""
         patience = replace(self.need, time_left=math.inf).patience
         return self.since + min(patience, self.need.waited + self.need.time_left)
 
     @property
     def held_until(self) -> float:
-        """Return until when it is held: its client is still there to hear what became of it."""
+        """Return until when the entry stays queued: its client still waits for the outcome then."""
         return self.since + _PATIENCE_SHARE * (self.patience_ends - self.since)
 
     def need_at(self, now: float) -> Need:
-        """Return what it needs now."""
+        """Return the placement need with the time waited and the time left as of `now`."""
         waited = now - self.since
         left = self.need.time_left - (waited - self.need.waited)
         return replace(self.need, waited=waited, time_left=max(0.0, left))
@@ -58,6 +60,6 @@
 
 @dataclass(frozen=True)
 class Held:
-    """The answer to an ask that waits: it is to be renewed after so many seconds."""
+    """The answer to a query whose request was queued; it must be renewed after `renew` seconds."""
 
     renew: float = RENEW_SECONDS
--- a/src/lotushill/waiting/line.py
+++ b/src/lotushill/waiting/line.py
@@ -1,10 +1,11 @@
-"""Places requests or has them wait: the room, the model of all engines and the turns together.
-
-The load that it answers: more comes than engines can begin. What is sent then stands in an engine's
-queue, where nobody can reorder it, up to the length at which the engine turns away whatever comes,
-the most urgent included. Here each engine is sent what it has a slot for, or will have within a
-tenth of a second, and all else waits where it can be reordered, is placed as soon as an engine has
-room, or is given up. While engines have room nothing waits, and nothing is decided here. Pure.
+"""Admission queue: places requests or queues them, by the fleet model and the slot turns.
+
+Handles overload, where more requests arrive than engines can begin. Without it they would fill the
+engines' own queues, which cannot be reordered, up to the length at which an engine rejects every
+request, the most urgent ones included. With it each engine is sent only the requests for which it
+has a slot, or will have one within a tenth of a second. All others wait in this queue, where they
+can be reordered, and are placed as soon as an engine has a free slot, or refused. While engines
+have free slots nothing is queued and the queue makes no decision. Pure.
 """
 
 from __future__ import annotations
@@ -40,21 +41,23 @@
     Order = tuple[int, bool, bool, float, float]
 
 _SWEEP_SECONDS = 0.03
-"""Between two looks for those that wait in vain."""
+"""Interval between two sweeps for entries that can no longer be served."""
 _MOST_CHOICES = 32
-"""Requests for which engines are weighed at one look: some milliseconds of work."""
+"""Maximum number of requests for which engines are weighed in one pass: some milliseconds of
+work."""
 _WAITING_RESERVE = 0.5
-"""Of all slots, kept from long requests that have waited where these run for long."""
+"""Fraction of slots that long requests from the queue must leave free where they run for long."""
 _LONG_RUN_SECONDS = 1.0
-"""A slot that is taken for less comes back within the time that the most urgent ones wait."""
+"""Run time from which a request counts as long-running. A slot that is occupied for less time is
+free again within the time that the most urgent requests wait."""
 _FOR_WANT_OF_ROOM = (Refusal.OVERLOAD, Refusal.NO_ROOM, Refusal.SHARE, Refusal.RETURNED)
 _NO_ROOM = NoChoice(Refusal.NO_ROOM, 0.0)
 _OVERLOAD = NoChoice(Refusal.OVERLOAD, 0.0)
-"""When to come back is told with the final answer alone."""
+"""Interim refusals without a retry time: only the final answer tells the client when to retry."""
 
 
 class WaitingLine:
-    """Decides for one gateway that places requests, its own and those of others."""
+    """Admission queue of one gateway that places its own requests and those of other gateways."""
 
     def __init__(
         self,
@@ -76,13 +79,11 @@
         self._standings: dict[tuple[str, int, str], float] = {}
         self._standings_at = float("-inf")
         self.held = 0
-        """Requests that had to wait so far."""
+        """Number of requests queued since the start."""
         self.placed = 0
-        """Of these, those that were placed."""
+        """Number of queued requests that were placed."""
         self.given_up = 0
-        """Of these, those that were refused."""
-
-    # Asks
+        """Number of queued requests that were refused."""
 
     def place(
         self,
@@ -91,7 +92,7 @@
         upstreams: Sequence[Upstream],
         now: float,
     ) -> Choice | NoChoice | Held:
-        """Return where a request goes, that it waits, or why it does neither."""
+        """Return a request's upstream, `Held` if it was queued, or the reason for its refusal."""
         if service.engine is None:
             need = entry.need_at(now)
             return self._fleet.choose(need, service, upstreams, entry.excluded, now)
@@ -119,10 +120,10 @@
     def _queued(
         self, entry: Waiting, service: Service, upstreams: Sequence[Upstream], now: float
     ) -> Choice | None:
-        """Return an engine in whose queue a short request is still in time, None without one.
+        """Return an engine in whose own queue a short request is on time, None if there is none.
 
-        Engines let the most urgent in first, some milliseconds sooner than a slot that comes free
-        is heard of here.
+        Engines admit the most urgent request first, some milliseconds before the report of the
+        free slot arrives at this gateway.
         """
         need = entry.need_at(now)
         if self._fleet.shedding.is_long(need) or self._stands_behind(entry, now):
@@ -133,7 +134,7 @@
         return None
 
     def _renew(self, entry: Waiting, now: float) -> Held | NoChoice:
-        """Note that a request is still asked for, and what of it has changed."""
+        """Renew a queued request with the new values of its need, or refuse it if overdue."""
         if not self._time.is_overdue(entry, now) and self.room.add(entry):
             return Held()
         self.given_up += 1
@@ -150,7 +151,7 @@
         now: float,
         new: bool = False,
     ) -> Choice | NoChoice:
-        """Choose among the engines that have room; a new one stands behind those that wait."""
+        """Choose an engine with a free slot; a new request does not overtake queued ones."""
         if self._is_pressed(entry, now) and self._fleet.shedding.is_long(entry.need):
             return _OVERLOAD
         need = entry.need_at(now)
@@ -163,20 +164,18 @@
         return self._fleet.choose(need, service, upstreams, entry.excluded, now, closed)
 
     def _give_up(self, entry: Waiting, found: NoChoice, now: float) -> NoChoice:
-        """Return the final answer of one that waits no longer, or not at all."""
+        """Remove a request from the queue, if it is in it, and return its final refusal."""
         self.room.drop(entry.key)
         wait = max(found.wait, self._likely_wait(entry, now))
         refused = self._fleet.shedding.give_up(entry.need_at(now), found.refusal, wait, now)
         return replace(refused, standing=found.standing)
 
-    # What waits
-
     def due(
         self, service: Service, upstreams: Sequence[Upstream], now: float
     ) -> Iterator[tuple[Waiting, Choice | NoChoice]]:
-        """Yield what is placed or given up now, in order.
+        """Yield the entries that are placed or refused now, in order.
 
-        Whoever is placed has to be counted in before the next one is asked for.
+        The caller must add a placed request to the fleet model before it takes the next item.
         """
         if not self._any_open(service, upstreams, now):
             yield from self._overdue(service, now)
@@ -207,10 +206,11 @@
     def _keeps_more(
         self, entry: Waiting, choice: Choice, service: Service, upstreams: Sequence[Upstream]
     ) -> bool:
-        """Return whether more slots than usual are kept from a long request that has waited.
+        """Return whether the larger slot reserve excludes a long request from the queue.
 
-        Those that wait are ready at each moment, and fill what is left up to the reserve, where
-        newcomers leave some of it to chance. What they take is gone for as long as they run.
+        Queued requests are ready at any time and fill all slots up to the reserve, where new
+        requests leave some free by chance. The slots that they take are gone for as long as they
+        run.
         """
         if service.engine is None or choice.seconds < _LONG_RUN_SECONDS:
             return False
@@ -221,14 +221,14 @@
         )
 
     def _any_open(self, service: Service, upstreams: Sequence[Upstream], now: float) -> bool:
-        """Return whether an engine has room for the most urgent that wait."""
+        """Return whether an engine has a free slot for the most urgent tier in the queue."""
         most_urgent = min(self.room.tiers(service.name), default=None)
         if most_urgent is None:
             return False
         return len(self.engines.closed(service, most_urgent, upstreams, now)) < len(upstreams)
 
     def _overdue(self, service: Service, now: float) -> Iterator[tuple[Waiting, NoChoice]]:
-        """Yield those for which waiting on is of no use."""
+        """Yield the entries that can no longer be served in time, each with its refusal."""
         if now < self._next_sweep.get(service.name, 0.0):
             return
         self._next_sweep[service.name] = now + _SWEEP_SECONDS
@@ -242,15 +242,13 @@
         self.engines.note_taken(choice.upstream.id, now)
         self._rates.setdefault(entry.need.service, ReleaseRate()).note(entry.need.tier, now)
 
-    # Order and time
-
     def _order(self, entry: Waiting, now: float) -> Order:
-        """Return the place in line: of one tier, those that can still be in time go first."""
+        """Return the sort key of an entry; within a tier, those that can be on time go first."""
         need = entry.need
         standing = self._standing(entry, now)
         place = Precedence(
             need.tier,
-            # Of a team over its share nobody goes before newcomers of others.
+            # Returning requests of a team over its share do not go before new ones of other teams.
             newcomer=standing > 0.0 or not self._returns.is_due(need.caller, now),
             standing=standing,
             since=entry.since,
@@ -259,7 +257,7 @@
         return (place.tier, late, place.newcomer, place.standing, place.since)
 
     def _standing(self, entry: Waiting, now: float) -> float:
-        """Return what the team of a request has had, worked out once for a moment."""
+        """Return the excess standing of a request's team, computed once per value of `now`."""
         if now != self._standings_at:
             self._standings_at = now
             self._standings = {}
@@ -271,7 +269,7 @@
         return found
 
     def _stands_behind(self, entry: Waiting, now: float) -> bool:
-        """Return whether any that waits goes before a new request."""
+        """Return whether any queued request goes before a new one."""
         others = self.room.of(entry.need.service)
         if not others:
             return False
@@ -279,10 +277,11 @@
         return any(self._order(other, now) < own for other in others)
 
     def _likely_wait(self, entry: Waiting, now: float) -> float:
-        """Return how long the line before a request takes.
+        """Return the expected time in seconds until the requests before this one are placed.
 
-        Of a line that has just begun the worst is expected for long requests, since they may come
-        back in time if they are told at once, and nothing for short ones.
+        While the queue is too new to have a known rate, the worst case is assumed for long
+        requests, since they can retry in time if they are refused at once, and no wait for short
+        ones.
         """
         need = entry.need
         rate = self._rates.setdefault(need.service, ReleaseRate())
--- a/src/lotushill/waiting/open_engines.py
+++ b/src/lotushill/waiting/open_engines.py
@@ -1,4 +1,4 @@
-"""Which engines have room for one more request from here, now or within moments. Pure."""
+"""Finds the engines that this gateway may send one more request now or shortly. Pure."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
     from lotushill.waiting.turns import Rivals
 
 _SOON_SECONDS = 0.1
-"""A slot that comes free within this is filled now, so that it is not empty until all have heard of
-it and the next request has come there. An eighth of the shortest target of a long request."""
+"""Lead time: a slot that becomes free within it counts as free. Otherwise it would stay empty until
+all schedulers have been notified and the next request has reached the engine. An eighth of the
+shortest target of a long request."""
 
 
 class OpenEngines:
-    """Finds engines with free slots, as the model of all that run tells, that are to be filled."""
+    """Finds engines with free slots for this gateway, by the model of all running requests."""
 
     def __init__(self, fleet: Fleet, rivals: Rivals) -> None:
         self._fleet = fleet
@@ -32,7 +33,7 @@
     def closed(
         self, service: Service, tier: int, upstreams: Sequence[Upstream], now: float
     ) -> frozenset[str]:
-        """Return the engines that are to be sent nothing of a tier from here now."""
+        """Return the ids of engines that this gateway must not send requests of a tier now."""
         if service.engine is None:
             return frozenset()
         contested = self._rivals.any(service.name, now)
@@ -47,16 +48,16 @@
         return frozenset(closed)
 
     def note_taken(self, upstream_id: str, now: float) -> None:
-        """Note that a request was placed from here."""
+        """Note that this gateway placed a request on an engine."""
         self._turns.note_taken(upstream_id, now)
 
     def forget(self, known: set[str]) -> None:
-        """Drop engines that are no longer there."""
+        """Drop the state of engines that are not in `known`."""
         self._turns.forget(known)
 
 
 def _free(load: UpstreamLoad, tier: int, slots: int) -> int:
-    """Return how many slots of an engine are free for a tier, or will be within moments."""
+    """Return how many slots of an engine are free for a tier, now or within the lead time."""
     usual = load.usual_seconds
     soon = math.floor(slots * _SOON_SECONDS / usual) if usual > 0.0 else 0
     return slots + soon - load.before(tier)
--- a/src/lotushill/waiting/pressure.py
+++ b/src/lotushill/waiting/pressure.py
@@ -1,7 +1,7 @@
-"""Whether more urgent requests have had to wait of late. Pure.
+"""Tracks whether more urgent requests had to wait recently. Pure.
 
-Between two urgent requests of a burst there is always a moment in which none waits. Whoever is let
-in then keeps its slot through what comes next.
+Between two urgent requests of a burst there is always a moment in which none is queued. A less
+urgent request that is admitted in that moment occupies its slot while the next urgent ones arrive.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
     from lotushill.waiting.entry import Waiting
 
 _PRESSED_SECONDS = 0.5
-"""So long after a wait that was felt its tier counts as pressed: longer than a burst is silent."""
+"""Time after a noticeable wait for which its tier counts as under pressure: longer than the pauses
+within a burst."""
 _FELT_SHARE = 0.25
-"""Of its target, from which a wait is felt: shorter ones come with every full engine."""
+"""Fraction of a request's target from which its wait counts as noticeable: shorter waits occur with
+every full engine."""
 
 
 class Pressure:
-    """Remembers by service and tier when a wait ended that was felt."""
+    """Stores by service and tier when the last noticeable wait ended."""
 
     def __init__(self) -> None:
         self._felt: dict[str, dict[int, float]] = {}
 
     def note(self, entry: Waiting, now: float) -> None:
-        """Note that a request waits no longer."""
+        """Note that a request has left the queue."""
         if now - entry.since > _FELT_SHARE * entry.need.target:
             self._felt.setdefault(entry.need.service, {})[entry.need.tier] = now
 
     def bears_on(self, service: str, tier: int, now: float) -> bool:
-        """Return whether requests that are more urgent than a tier had to wait of late."""
+        """Return whether requests more urgent than `tier` had a noticeable wait recently."""
         felt = self._felt.get(service, {})
         return any(other < tier and now - at < _PRESSED_SECONDS for other, at in felt.items())
--- a/src/lotushill/waiting/release_rate.py
+++ b/src/lotushill/waiting/release_rate.py
@@ -1,4 +1,4 @@
-"""How fast requests in line are placed, to tell how long one more would wait. Pure."""
+"""Measures the rate at which queued requests are placed, to predict the wait of one more. Pure."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 _SPAN_SECONDS = 1.0
 _LEAST_RATE = 1.0
-"""Placed a second: what is known after a second without any."""
+"""Lower bound of the rate in requests per second: the rate assumed after a second without any."""
 
 
 class ReleaseRate:
-    """Counts what was placed within the last second, by tier."""
+    """Counts the requests placed within the last second, by tier."""
 
     def __init__(self) -> None:
         self._placed: dict[int, deque[float]] = {}
@@ -23,21 +23,22 @@
         self._placed.setdefault(tier, deque()).append(now)
 
     def is_known(self, now: float) -> bool:
-        """Return whether the line has been there for a second, so that its pace is known."""
+        """Return whether the queue has existed for a second, so that its rate is known."""
         if now - self._asked_at > _SPAN_SECONDS:
             self._asked_since = now
         self._asked_at = now
         return now - self._asked_since >= _SPAN_SECONDS
 
     def wait(self, tier: int, more_urgent: int, before: int, now: float) -> float:
-        """Return how long one of a tier waits behind so many, in seconds.
+        """Return the expected wait in seconds of a request of `tier`.
 
-        `more_urgent` ones take what all tiers get, the `before` of its own tier what is left.
+        The `more_urgent` requests in the queue are placed at the rate of all tiers, the `before`
+        requests of its own tier at the rate that is left.
         """
         return more_urgent / self._rate(0, now) + before / self._rate(tier, now)
 
     def _rate(self, tier: int, now: float) -> float:
-        """Return how many of a tier and of less urgent ones are placed in a second."""
+        """Return how many requests of a tier and of less urgent ones are placed per second."""
         count = 0
         for other, times in self._placed.items():
             while times and now - times[0] > _SPAN_SECONDS:
--- a/src/lotushill/waiting/room.py
+++ b/src/lotushill/waiting/room.py
@@ -1,4 +1,4 @@
-"""The requests that wait at one gateway, bounded in number, bytes and time. Pure."""
+"""Storage of the requests queued at one gateway, bounded in number, bytes and time. Pure."""
 
 from __future__ import annotations
 
@@ -13,16 +13,18 @@
     from lotushill.waiting.entry import Waiting
 
 MOST_WAITING = 2000
-"""Of one gateway: eight schedulers hold what a fleet is asked for in some ten seconds."""
+"""Maximum number of requests queued at one gateway: eight schedulers hold the requests that a fleet
+receives in about ten seconds."""
 MOST_BYTES = 4_000_000
 _ENTRY_BYTES = 600
 _PART_BYTES = 80
 _EXCLUDED_BYTES = 100
-"""What a request in line, each part of its prompt and each upstream excluded take of memory."""
+"""Estimated memory in bytes of a queued request, each part of its prompt and each excluded upstream
+(these three constants)."""
 
 
 class WaitingRoom:
-    """Holds requests by their key, those of each service apart."""
+    """Stores queued requests by key and by service."""
 
     def __init__(self, most: int = MOST_WAITING, most_bytes: int = MOST_BYTES) -> None:
         self._most = most
@@ -31,36 +33,36 @@
         self._services: dict[str, dict[int, Waiting]] = {}
         self._tiers: dict[str, Counter[int]] = {}
         self.bytes = 0
-        """Memory that the requests in line take, as reckoned."""
+        """Estimated memory of the queued requests in bytes."""
         self.overflows = 0
-        """Requests that found the room full."""
+        """Number of requests rejected because a bound was reached."""
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def find(self, key: int) -> Waiting | None:
-        """Return a request that waits, None where none does."""
+        """Return the queued request with a key, None if there is none."""
         return self._entries.get(key)
 
     def services(self) -> list[str]:
-        """Return the services for which requests wait."""
+        """Return the names of services that have queued requests."""
         return [name for name, held in self._services.items() if held]
 
     def of(self, service: str) -> list[Waiting]:
-        """Return all that waits for a service, in no order."""
+        """Return all queued requests of a service, in no particular order."""
         return list(self._services.get(service, {}).values())
 
     def count(self, service: str) -> int:
-        """Return how many wait for a service."""
+        """Return the number of queued requests of a service."""
         return len(self._services.get(service, {}))
 
     def tiers(self, service: str) -> dict[int, int]:
-        """Return how many of each tier wait for a service."""
+        """Return the number of queued requests of a service by tier."""
         counts = self._tiers.get(service, Counter())
         return {tier: count for tier, count in counts.items() if count}
 
     def add(self, entry: Waiting) -> bool:
-        """Take in a request, or its renewal; return False where there is no more room."""
+        """Add a request or its renewal; return False if a bound does not allow it."""
         former = self._entries.get(entry.key)
         taken = _bytes(entry) - (_bytes(former) if former else 0)
         if former is None and len(self._entries) >= self._most:
@@ -77,7 +79,7 @@
         return True
 
     def drop(self, key: int) -> Waiting | None:
-        """Take a request out of line, since it was placed, refused or given up."""
+        """Remove and return a request that was placed, refused or given up."""
         entry = self._entries.pop(key, None)
         if entry is not None:
             del self._services[entry.need.service][key]
@@ -86,7 +88,7 @@
         return entry
 
     def expire(self, now: float) -> list[int]:
-        """Take out what its gateway no longer asks for, and return the keys of these."""
+        """Remove the requests that their gateways no longer renew, and return their keys."""
         gone = [
             entry.key for entry in self._entries.values() if now - entry.renewed > EXPIRY_SECONDS
         ]
--- a/src/lotushill/waiting/standing.py
+++ b/src/lotushill/waiting/standing.py
@@ -1,4 +1,4 @@
-"""What the waiting room asks of the shares of teams and of those who return."""
+"""Interfaces from which the admission queue takes team shares and promised returns."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 
 
 class Standing(Protocol):
-    """Tells what teams have had of late beside their shares."""
+    """Gives the recent work of teams relative to their shares."""
 
     def ahead_by(self, need: Need, now: float) -> float:
         """Return how far the team of a request is over its share, 0 if it is not.
 
-        Whoever is less ahead goes first.
+        Requests of the team with the lowest value go first.
         """
 
 
 class Returning(Protocol):
-    """Tells who comes back as it was told to."""
+    """Knows which callers return at the time they were promised."""
 
     def is_due(self, caller: int, now: float) -> bool:
-        """Return whether a caller goes before newcomers."""
+        """Return whether a caller's request goes before new requests."""
 
 
 class EqualShares:
-    """All teams stand alike."""
+    """Team shares under which all teams are equal."""
 
     def ahead_by(self, need: Need, now: float) -> float:
-        """Return the same for all."""
+        """Return the same value for all teams."""
         del need, now
         return 0.0
 
 
 class NobodyReturns:
-    """All are newcomers."""
+    """Promised returns where every request counts as new."""
 
     def is_due(self, caller: int, now: float) -> bool:
-        """Return False for everybody."""
+        """Return False for every caller."""
         del caller, now
         return False
--- a/src/lotushill/waiting/time_left.py
+++ b/src/lotushill/waiting/time_left.py
@@ -1,9 +1,9 @@
-"""Until when a request is held, and whether a slot still helps it. Pure.
+"""Decides until when a request stays queued and whether a free slot is still of use to it. Pure.
 
-Holding a request that is not served in the end costs its caller the time. So a long one is held
-only while it can be in time: late, it would also keep its slot from one that came after it. A short
-one takes little, and is served late in place of not at all, for as long as its client waits.
-Neither is refused while larger, less urgent ones begin.
+Queueing a request that is not served in the end costs its caller the time. So a long request stays
+queued only while it can be on time: served late, it would also take a slot from a request that came
+after it. A short request takes little capacity and is served late rather than not at all, for as
+long as its client waits. Neither is refused while larger, less urgent requests begin.
 """
 
 from __future__ import annotations
@@ -16,31 +16,32 @@
     from lotushill.waiting.entry import Waiting
 
 _LONG_SHARE = 0.7
-"""Of its target, how long a long request is held at most: what is placed later is mostly late, as
-more urgent prompts that come meanwhile are read before it, and its caller waits in vain."""
+"""Fraction of its target for which a long request stays queued at most. Requests placed later are
+mostly late, as the engine reads more urgent prompts that arrive meanwhile before theirs, and their
+callers wait for nothing."""
 
 
 class TimeLeft:
-    """Reckons with the pace of the engines as the model knows it."""
+    """Computes time limits of queued requests from the engine pace in the fleet model."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
 
     def in_time_until(self, entry: Waiting) -> float:
-        """Return until when a request can be placed so that its first event is in time."""
+        """Return until when a request can be placed so that its first event is on time."""
         need, pace = entry.need, self._fleet.pace(entry.need.service)
         reading = self._fleet.shedding.usual.reading(need.service, need.route)
         tokens = min(float(need.prompt_tokens), reading or need.prompt_tokens)
         return entry.since + need.target - tokens / pace.read_rate
 
     def is_overdue(self, entry: Waiting, now: float) -> bool:
-        """Return whether a request is held no longer."""
+        """Return whether a request must leave the queue without an upstream."""
         if now >= entry.held_until:
             return True
         return now >= self._long_until(entry) and self._goes_when_late(entry, now)
 
     def is_worth_waiting(self, entry: Waiting, likely: float, now: float) -> bool:
-        """Return whether a wait that is likely so long ends while the request is held."""
+        """Return whether a wait of `likely` seconds ends while the request may still be queued."""
         if self.is_overdue(entry, now):
             return False
         until = entry.held_until
@@ -49,7 +50,7 @@
         return now + likely <= until or self._fleet.shedding.must_serve(entry.need, now)
 
     def comes_too_late(self, entry: Waiting, choice: Choice, now: float) -> bool:
-        """Return whether a slot that is free now is worth more to one that came later."""
+        """Return whether a free slot is better left to a request that arrived later."""
         first = now + choice.first
         if first > entry.patience_ends:
             return True
@@ -57,7 +58,7 @@
         return late and self._goes_when_late(entry, now)
 
     def _long_until(self, entry: Waiting) -> float:
-        """Return until when a long request is held."""
+        """Return until when a long request stays queued."""
         longest = entry.since + _LONG_SHARE * entry.need.target
         return min(longest, self.in_time_until(entry))
 
--- a/src/lotushill/waiting/turns.py
+++ b/src/lotushill/waiting/turns.py
@@ -1,12 +1,13 @@
-"""Whose turn a freed slot is. Pure.
+"""Assigns freed engine slots to schedulers. Pure.
 
-The load that it answers: engines are full, requests wait at up to eight schedulers, and all of them
-see each slot come free at the same moment. If each sent its head of line, an engine would get eight
-requests for one slot; if one scheduler had a slot to itself, it would stay empty while that one has
-nothing for it.
+Handles full engines with requests queued at up to eight schedulers, where all schedulers see each
+slot become free at the same moment. If each sent the head of its queue, an engine would receive
+eight requests for one slot; if a slot belonged to one scheduler only, it would stay empty while
+that scheduler has no request for it.
 
-Each slot of an engine goes to those that wait in an order that all of them share, the most urgent
-first; one that stays free passes on to the next of them after the time that news take.
+Each slot of an engine is offered to the schedulers with queued requests in an order that all of
+them compute alike, the one with the most urgent requests first. A slot that stays free passes on to
+the next scheduler after the time that a load report takes.
 """
 
 from __future__ import annotations
@@ -18,46 +19,48 @@
 from lotushill.rendezvous import ranked
 
 TURN_SECONDS = 0.04
-"""Until others have heard that a slot was taken: a batch, two ways, and some leeway."""
+"""Time until other schedulers have been notified that a slot was taken: one batch interval, two
+network transits and some margin."""
 NEWS_SECONDS = 0.05
-"""Between two tellings of one scheduler of how many wait."""
+"""Interval between two queue reports of one scheduler."""
 _FRESH_SECONDS = 0.2
-"""What was told longer ago is no longer true: three tellings may be lost."""
+"""Age from which a queue report no longer counts: three reports may be lost."""
 _RANKS_KEPT = 4096
 
 
 @dataclass
 class _Told:
-    """What one scheduler told of those that wait for a service there."""
+    """Last report of one scheduler on its queue of a service."""
 
     tiers: dict[int, int]
     at: float
 
 
 class Rivals:
-    """What other schedulers hold in line, as they tell."""
+    """Queues of the other schedulers, by their reports."""
 
     def __init__(self, own: str) -> None:
         self._own = own
         self._told: dict[str, dict[str, _Told]] = {}
 
     def note(self, sender: str, service: str, tiers: dict[int, int], now: float) -> None:
-        """Take in how many of each tier wait at another scheduler."""
+        """Store how many requests of each tier are queued at another scheduler."""
         self._told.setdefault(service, {})[sender] = _Told(tiers, now)
 
     def drop(self, sender: str) -> None:
-        """Forget a gateway that is gone."""
+        """Drop the reports of a gateway that has left."""
         for told in self._told.values():
             told.pop(sender, None)
 
     def any(self, service: str, now: float) -> bool:
-        """Return whether requests wait at others."""
+        """Return whether other schedulers have queued requests of a service."""
         return any(told.tiers for told in self._fresh(service, now).values())
 
     def order(self, service: str, tier: int, upstream: str, now: float) -> tuple[int, int]:
-        """Return the own place for a slot of an upstream, and among how many.
+        """Return this scheduler's rank for a slot of an upstream, and the number of schedulers.
 
-        Whoever holds more urgent ones goes before, whoever has less urgent ones alone has no part.
+        Schedulers with more urgent requests rank before; those with only less urgent requests are
+        left out.
         """
         before: list[str] = []
         equal = [self._own]
@@ -75,7 +78,7 @@
 
 
 class Turns:
-    """Which free slots of each engine are this gateway's to fill."""
+    """Decides which free slots of each engine this gateway may fill."""
 
     def __init__(self, rivals: Rivals) -> None:
         self._rivals = rivals
@@ -84,9 +87,10 @@
         self._taken: dict[str, list[float]] = {}
 
     def look(self, upstream: str, free: int, now: float) -> None:
-        """Note how many slots are free at an engine.
+        """Note how many slots of an engine are free.
 
-        One that was not looked at for a while may have been full or away, and counts as just freed.
+        If the last note is older than a turn, the engine may have been full or unreachable since,
+        and its slots count as just freed.
         """
         looked_at = self._looked_at.get(upstream, -math.inf)
         self._looked_at[upstream] = now
@@ -96,11 +100,11 @@
             self._free_since[upstream] = now
 
     def note_taken(self, upstream: str, now: float) -> None:
-        """Note that a slot was filled from here."""
+        """Note that this gateway filled a slot."""
         self._taken.setdefault(upstream, []).append(now)
 
     def may_take(self, service: str, tier: int, upstream: str, free: int, now: float) -> bool:
-        """Return whether one more of the free slots of an engine is to be filled from here."""
+        """Return whether this gateway may fill one more of the free slots of an engine."""
         if free <= 0:
             return False
         place, count = self._rivals.order(service, tier, upstream, now)
@@ -111,7 +115,7 @@
         passed = math.floor(free_for / TURN_SECONDS)
         turns = [(place - slot) % count for slot in range(free + taken)]
         own = turns.count(0)
-        # One more at a time: all would fill what none of them has wanted so far.
+        # Only one passed-on slot at a time: otherwise all schedulers would fill it at once.
         passed_on = any(0 < turn <= passed for turn in turns)
         return own + passed_on > taken
 
@@ -127,7 +131,7 @@
         return len(fresh)
 
     def forget(self, known: set[str]) -> None:
-        """Drop engines that are no longer there."""
+        """Drop the state of engines that are not in `known`."""
         for held in (self._free_since, self._looked_at, self._taken):
             for upstream in [item for item in held if item not in known]:
                 del held[upstream]
