--- a/src/lotushill/scheduling/__init__.py
+++ b/src/lotushill/scheduling/__init__.py
@@ -1,3 +1,3 @@
-"""Who places requests for whom, and how what runs becomes known to those who place."""
+"""Placement of requests by schedulers, and the exchange of load reports that it needs."""
 
 from __future__ import annotations
--- a/src/lotushill/scheduling/desk.py
+++ b/src/lotushill/scheduling/desk.py
@@ -1,4 +1,4 @@
-"""Places requests for gateways that hold no model: the scheduler's end of one short exchange."""
+"""Scheduler side of the placement protocol: places requests for gateways without a fleet model."""
 
 from __future__ import annotations
 
@@ -29,11 +29,12 @@
     from lotushill.scheduling.shared_load import SharedLoad
 
 _KEPT_SECONDS = 1.0
-"""How long an answer is kept that came after waiting: it may be lost, and is asked for again."""
+"""Time for which an answer to a queued request is stored: the datagram may be lost, and the gateway
+then queries again."""
 
 
 class PlacementDesk:
-    """Answers asks from the model of all upstreams; pure, with the clock passed in."""
+    """Answers placement queries from the fleet model; pure, with the clock passed in."""
 
     def __init__(
         self,
@@ -47,9 +48,10 @@
         keeper: LineKeeper | None = None,
         send: Callable[[PlacementAnswer, str], None] = lambda *_: None,
     ) -> None:
-        """Answer for the gateway `name`; `is_ready` tells whether the model is filled.
+        """Answer as the gateway `name`; `is_ready` returns whether the model is filled.
 
-        What finds no room waits with `keeper`; `send` sends its later answer to a gateway.
+        Requests without a free slot are queued with `keeper`; `send` sends their later answers to
+        the gateways that asked.
         """
         self._name = name
         self._fleet = fleet
@@ -61,10 +63,10 @@
         self._keeper = keeper
         self._send = send
         self._kept: dict[int, tuple[PlacementAnswer, float]] = {}
-        """Answers that came after waiting, by the number of the ask, and when."""
+        """Answers to queued requests and the times at which they were given, by query number."""
 
     def answer(self, ask: PlacementAsk, now: float) -> PlacementAnswer:
-        """Choose an upstream, count the request in, and tell the other schedulers."""
+        """Choose an upstream, add the request to the model, and notify the other schedulers."""
         service = self._service_named(ask.service)
         if service is None or not self._is_ready():
             return PlacementAnswer(self._name, ask.request, refusal=UNREADY)
@@ -112,7 +114,7 @@
         found: Choice | NoChoice,
         now: float,
     ) -> PlacementAnswer:
-        """Return the answer, with a request that goes somewhere counted in."""
+        """Return the answer, after adding a placed request to the model."""
         if isinstance(found, NoChoice):
             return self._refused(ask, found)
         self._fleet.note_taken(need, now)
--- a/src/lotushill/scheduling/hall_contact.py
+++ b/src/lotushill/scheduling/hall_contact.py
@@ -1,4 +1,4 @@
-"""Which halls are heard, told by the batches of their schedulers. Pure."""
+"""Detects halls that are cut off, by the load batches of their schedulers. Pure."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
     from lotushill.membership.schedulers import Schedulers
 
 SILENT_SECONDS = 0.8
-"""Three batches that did not come, and some jitter. Members of a large hall are probed one by one,
-so that it takes many seconds until the last of a hall that was cut off is taken for lost."""
+"""Time without a batch after which a hall counts as silent: three missed batches and some jitter.
+The membership alone is too slow for this: it probes the members of a large hall one by one, and
+takes many seconds until it holds the last member of a hall that was cut off for lost."""
 
 
 class HallContact:
-    """When the schedulers of each hall were last heard."""
+    """Tracks when the last batch of each scheduler was received."""
 
     def __init__(self, schedulers: Schedulers) -> None:
         self._schedulers = schedulers
@@ -21,11 +22,11 @@
         self._listens_since: float | None = None
 
     def hear(self, scheduler: str, now: float) -> None:
-        """Note a batch of a scheduler."""
+        """Note that a batch of a scheduler was received."""
         self._heard[scheduler] = now
 
     def look(self, now: float) -> None:
-        """Note whether this gateway is told batches at all."""
+        """Note whether this gateway receives batches at all."""
         told = self._schedulers.schedules() and not self._schedulers.small_fleet()
         if not told:
             self._listens_since = None
@@ -33,7 +34,7 @@
             self._listens_since = now
 
     def is_silent(self, hall: str, now: float) -> bool:
-        """Return whether a hall has schedulers, and none of them is heard."""
+        """Return whether a hall has schedulers and no batch of any of them was received lately."""
         since = self._listens_since
         if since is None or now - since < SILENT_SECONDS:
             return False
--- a/src/lotushill/scheduling/line_keeper.py
+++ b/src/lotushill/scheduling/line_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps the line of one gateway moving: looks for room, and answers whoever waits."""
+"""Runs the admission queue of one gateway: polls for free slots and answers queued requests."""
 
 from __future__ import annotations
 
@@ -26,17 +26,19 @@
     Answer = Callable[[Waiting, Choice | NoChoice, float], None]
 
 LOOK_SECONDS = 0.01
-"""Between two looks while requests wait: an engine of 16 slots frees one in ten times as long."""
+"""Interval between two polls while requests are queued. An engine of 16 slots frees a slot in ten
+times as long."""
 _SOON_SECONDS = 0.001
-"""After one of this gateway's own was placed, which counts itself in as it is sent."""
+"""Pause after a request of this gateway itself was placed: it is added to the model only when it is
+sent."""
 _LOG_SECONDS = 1.0
-"""Between two lines of the log on one service."""
+"""Minimum interval between two log lines on one service."""
 _LAST_TIER = 255
-"""What is less urgent is told as this tier."""
+"""Highest tier that a report can hold: less urgent tiers are reported as this one."""
 
 
 class LineKeeper:
-    """Joins the line to the clock, to other schedulers and to those who wait."""
+    """Connects the admission queue to the clock, to other schedulers and to the callers."""
 
     def __init__(
         self,
@@ -48,7 +50,7 @@
         clock: Callable[[], float],
         log: EventLog | None = None,
     ) -> None:
-        """Keep the line of the gateway `name`; `tell` tells the other schedulers."""
+        """Run the queue of the gateway `name`; `tell` sends reports to the other schedulers."""
         self._name = name
         self.line = line
         self._service_named = service_named
@@ -59,15 +61,16 @@
         self._answers: dict[int, Answer] = {}
         self._something = asyncio.Event()
         self._told: dict[str, float] = {}
-        """Services of which others were told that requests wait, and when."""
+        """Times of the last reports by service, for services whose last report was not empty."""
         self._logged: dict[str, float] = {}
 
     def place(
         self, entry: Waiting, service: Service, upstreams: Sequence[Upstream], answer: Answer
     ) -> Choice | NoChoice | Held:
-        """Return where a request goes, that it waits, or why it does neither.
+        """Return a request's upstream, `Held` if it was queued, or the reason for its refusal.
 
-        One that waits is answered later through `answer`, which counts it in where it is placed.
+        A queued request is answered later through `answer`, which adds it to the model if it was
+        placed.
         """
         found = self.line.place(entry, service, upstreams, self._clock())
         if isinstance(found, Held):
@@ -78,18 +81,18 @@
         return found
 
     def drop(self, key: int) -> None:
-        """Forget a request that waits no longer."""
+        """Drop a request that is no longer to be queued."""
         self.line.room.drop(key)
         self._answers.pop(key, None)
 
     def drop_asker(self, name: str) -> None:
-        """Forget what a gateway asked for that is gone."""
+        """Drop the queued requests and the queue report of a gateway that has left."""
         self.line.rivals.drop(name)
         for key in [entry.key for entry in self.line.room if entry.asker == name]:
             self.drop(key)
 
     async def run(self) -> None:
-        """Look for room for ever, while requests wait."""
+        """Poll for free slots while requests are queued; never returns."""
         while True:
             await self._something.wait()
             pause = self.look()
@@ -98,7 +101,7 @@
             await anyio.sleep(pause)
 
     def look(self) -> float:
-        """Place and refuse what is due, and return after how long to look again."""
+        """Place and refuse the requests that are due; return the seconds until the next poll."""
         now = self._clock()
         for key in self.line.room.expire(now):
             self._answers.pop(key, None)
@@ -121,7 +124,7 @@
         return LOOK_SECONDS
 
     def _tell_due(self, now: float) -> None:
-        """Tell other schedulers how many wait, and once that none does any longer."""
+        """Report the queue lengths to other schedulers, and an empty queue once."""
         waiting = self.line.room.services()
         for name in {*waiting, *self._told}:
             if now - self._told.get(name, float("-inf")) < NEWS_SECONDS and name in waiting:
@@ -136,7 +139,7 @@
                 self._told.pop(name, None)
 
     def receive(self, news: WaitingNews) -> None:
-        """Take in how many wait at another scheduler."""
+        """Store the queue report of another scheduler."""
         tiers = {tier: count for tier, count in zip(news.tiers, news.counts) if count}
         self.line.rivals.note(news.sender, news.service, tiers, self._clock())
 
--- a/src/lotushill/scheduling/load_relay.py
+++ b/src/lotushill/scheduling/load_relay.py
@@ -1,8 +1,9 @@
-"""How news of load reaches all schedulers, in batches.
+"""Distributes load reports to all schedulers, in batches.
 
-A scheduler tells the others what it places and hears. Any other gateway tells its news to one
-scheduler of its hall, which passes them on. So only schedulers hear of what all others run, and
-what one of them hears is a bounded number of datagrams, however many gateways there are.
+A scheduler sends the other schedulers the load reports that it makes and receives. Any other
+gateway sends its reports to one scheduler of its hall, which forwards them. So only schedulers
+receive the load of all gateways, and each of them receives a bounded number of datagrams, however
+many gateways there are.
 """
 
 from __future__ import annotations
@@ -19,17 +20,19 @@
     from lotushill.membership.schedulers import Schedulers
 
 BATCH_SECONDS = 0.01
-"""Between two batches in a small fleet."""
+"""Interval between two batches in a small fleet."""
 _LARGE_BATCH_SECONDS = 0.02
-"""In a large one: about the time between two requests of a scheduler, and half the frames."""
+"""Interval between two batches in a large fleet: about the time between two requests of a
+scheduler, and half the frames."""
 _STILL_SECONDS = 0.25
-"""A scheduler of a large fleet that has nothing to tell says so, so that halls hear each other."""
+"""Time without a batch after which a scheduler of a large fleet sends an empty one, so that halls
+can detect each other's loss."""
 _MOST_BYTES = 1100
-"""Of one batch, so that it fits a datagram."""
+"""Maximum size of one batch, so that it fits in a datagram."""
 
 
 class LoadRelay:
-    """Collects and passes on news, with the clock passed in and packets given out."""
+    """Collects and forwards load reports; the clock is passed in, and `send` takes the packets."""
 
     def __init__(
         self,
@@ -37,7 +40,7 @@
         schedulers: Schedulers,
         send: Callable[[LoadNews | LoadBatch, str], None],
     ) -> None:
-        """Serve the gateway `own`; `send` sends a message to an address."""
+        """Create the relay of the gateway `own`; `send` sends a message to an address."""
         self._own = own
         self._schedulers = schedulers
         self._send = send
@@ -48,13 +51,14 @@
         self._something = asyncio.Event()
 
     async def waits(self) -> None:
-        """Return when something waits to be passed on."""
+        """Return when there are reports to forward."""
         await self._something.wait()
 
     def tell(self, records: bytes, turn: int, now: float) -> None:
-        """Tell all schedulers, through one of them where this gateway is none.
+        """Send records to all schedulers, through one of them if this gateway is not a scheduler.
 
-        `turn` is the number of the request: its news go to the scheduler that was asked for it.
+        `turn` is the number of the request: its reports go to the scheduler that was asked to
+        place it.
         """
         if self._schedulers.schedules():
             self.collect(records, now)
@@ -64,7 +68,7 @@
             self._send(LoadNews(records), order[0].address)
 
     def collect(self, records: bytes, now: float) -> None:
-        """Take news to pass on: at once in calm times, else with others."""
+        """Collect records to forward: at once under low load, otherwise in a batch with others."""
         if self._held and self._held_bytes + len(records) > _MOST_BYTES:
             self._flush(now)
         self._held.append(records)
@@ -73,12 +77,12 @@
         self.flush_due(now)
 
     def flush_due(self, now: float) -> None:
-        """Pass on what waits, if the last batch is long enough ago."""
+        """Send the collected records if the batch interval has passed."""
         if self._held and now >= self._next_flush:
             self._flush(now)
 
     def tell_of_life(self, now: float) -> None:
-        """Send an empty batch if this gateway schedules for a hall and has long told nothing."""
+        """Send an empty batch if this gateway schedules for a hall and has long sent none."""
         schedulers = self._schedulers
         if schedulers.small_fleet() or not schedulers.schedules():
             return
--- a/src/lotushill/scheduling/model_sync.py
+++ b/src/lotushill/scheduling/model_sync.py
@@ -1,4 +1,4 @@
-"""How a gateway that becomes a scheduler comes to know what runs: from one other, in one exchange.
+"""Fills the fleet model of a gateway that becomes a scheduler, from another one in one exchange.
 
 Pure, with the clock passed in.
 """
@@ -11,13 +11,13 @@
     from lotushill.membership.schedulers import Schedulers
 
 _AGAIN_SECONDS = 0.5
-"""A scheduler that was asked and did not answer for so long is passed over for the next one."""
+"""Time without an answer after which the next scheduler is asked."""
 _MOST_PULLS = 3
-"""After so many the model fills by what is told from then on."""
+"""Maximum number of pulls; after them the model fills from the reports received from then on."""
 
 
 class ModelSync:
-    """Says when to pull, from whom, and whether the model can be trusted for others."""
+    """Decides when and from whom to pull the model, and whether it can be used for others."""
 
     def __init__(self, schedulers: Schedulers) -> None:
         self._schedulers = schedulers
@@ -27,11 +27,11 @@
         self._had_role = False
 
     def ready(self) -> bool:
-        """Return whether this gateway may place for others."""
+        """Return whether this gateway may place requests of other gateways."""
         return self._filled and self._schedulers.schedules()
 
     def pull_from(self, now: float) -> str | None:
-        """Return the scheduler to pull the model from now, None if there is no need."""
+        """Return the name of the scheduler to pull the model from now, None if no pull is due."""
         if not self._schedulers.schedules():
             self._had_role = self._filled = False
             return None
@@ -50,5 +50,5 @@
         return others[(self._pulls - 1) % len(others)].name
 
     def note_page(self) -> None:
-        """Note that a model came."""
+        """Note that a model was received."""
         self._filled = True
--- a/src/lotushill/scheduling/placement.py
+++ b/src/lotushill/scheduling/placement.py
@@ -1,4 +1,4 @@
-"""Where a request goes, as a gateway's own model or a scheduler decided it."""
+"""The upstream of a request, as a gateway's own model or a scheduler chose it."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
     choice: Choice
     placed: Placed
-    """What is told of it."""
+    """The report on it that other gateways receive."""
     memory: int = 0
-    """Tokens that the upstream's running requests may hold in the end."""
+    """Tokens that the upstream's running requests may occupy at their end."""
     scheduler: str = ""
-    """Who decided, empty for this gateway."""
+    """Name of the scheduler that decided, empty for this gateway."""
     alone: bool = False
-    """Whether this gateway decided since no scheduler answered, by what it runs itself."""
+    """Whether this gateway decided by its own requests alone, since no scheduler answered."""
     drawn: bool = False
-    """Whether it was drawn, since this gateway has started and knows nothing of what runs."""
+    """Whether the upstream was drawn at random: this gateway has just started and has no model."""
--- a/src/lotushill/scheduling/placement_client.py
+++ b/src/lotushill/scheduling/placement_client.py
@@ -1,4 +1,4 @@
-"""Asks schedulers where requests go: the asking gateway's end of one short exchange."""
+"""Gateway side of the placement protocol: sends placement queries to schedulers."""
 
 from __future__ import annotations
 
@@ -18,20 +18,22 @@
     from lotushill.membership.schedulers import Schedulers
 
 ANSWER_SECONDS = 0.05
-"""A scheduler of the own hall answers in a few milliseconds; one that takes ten times as long is
-frozen, lost or overloaded, and the next one is asked. A fifth of the shortest target."""
+"""Time without an answer after which the next scheduler is asked. A scheduler of the own hall
+answers in a few milliseconds; one that takes ten times as long is frozen, lost or overloaded. A
+fifth of the shortest target."""
 MOST_ASKED = 3
-"""Schedulers for one request: both of the own hall and one of another."""
+"""Maximum number of schedulers asked for one request: both of the own hall and one of another."""
 _RENEWALS = 2
-"""Times that one is asked again with whom a request waits: one datagram may be lost."""
+"""Number of times that a renewal is sent before a scheduler counts as silent: one datagram may be
+lost."""
 _TAKEN_SECONDS = 2.0
-"""How long an answer that was taken is remembered: it may come twice."""
+"""Time for which the number of a used answer is stored: the answer may be received twice."""
 
 Inbox = asyncio.Queue["PlacementAnswer"]
 
 
 class PlacementClient:
-    """Sends one ask at a time for each request, and hands over the answers."""
+    """Sends one query at a time for each request, and returns the answer."""
 
     def __init__(
         self,
@@ -40,7 +42,7 @@
         on_late: Callable[[int], None],
         clock: Callable[[], float],
     ) -> None:
-        """Ask `schedulers`; `on_late` hears of a request that was placed too late to be used."""
+        """Query `schedulers`; `on_late` is called with each request that was placed too late."""
         self._schedulers = schedulers
         self._send = send
         self._on_late = on_late
@@ -48,16 +50,16 @@
         self._inboxes: dict[int, Inbox] = {}
         self._taken: dict[int, float] = {}
         self.unanswered = 0
-        """Asks that were not answered in time."""
+        """Number of queries that were not answered in time."""
         self.waiting = 0
-        """Requests that wait at schedulers now."""
+        """Number of requests queued at schedulers now."""
 
     async def ask(self, make: Callable[[], PlacementAsk]) -> PlacementAnswer | None:
-        """Return the first answer, None if none of some schedulers gives one.
+        """Return the first answer, None if none of the schedulers asked gives one.
 
-        `make` returns the ask with a new number each time, so that late answers are told apart.
-        A request that waits at a scheduler is asked for again until it is placed or refused; one
-        that a scheduler loses is brought to the next with the time that it has waited.
+        `make` returns the query with a new number each time, so that late answers can be told
+        apart. A request queued at a scheduler is renewed until it is placed or refused; if the
+        scheduler is lost, the request is sent to the next one with the time that it has waited.
         """
         ask = make()
         for scheduler in self._schedulers.in_order(self._clock(), ask.request)[:MOST_ASKED]:
@@ -68,7 +70,7 @@
         return None
 
     def receive(self, answer: PlacementAnswer) -> None:
-        """Take in an answer; one that nobody waits for any longer is given up."""
+        """Handle an answer; a placement for which no request waits any longer is given up."""
         self._schedulers.note_answer(answer.sender)
         inbox = self._inboxes.get(answer.request)
         if inbox is not None:
@@ -102,7 +104,7 @@
         inbox: Inbox,
         renew: float,
     ) -> PlacementAnswer | None:
-        """Return the answer to a request that waits, None if its holder is silent."""
+        """Return the answer to a queued request, None if its scheduler does not answer."""
         answer: PlacementAnswer | None = None
         self.waiting += 1
         try:
@@ -118,12 +120,12 @@
         finally:
             self.waiting -= 1
             if answer is None or answer.refusal == HELD:
-                # Its client has left, or the holder does not answer: it may come to place it.
+                # The client has left or the scheduler is silent; it may still place the request.
                 self._send(replace(ask, leaves=True), scheduler.address)
                 self._on_late(ask.request)
 
     def _settle(self, request: int, answer: PlacementAnswer | None, inbox: Inbox) -> None:
-        """Remember an answer that is used, and give up what came and is not."""
+        """Store the number of a used answer, and give up placements in unused ones."""
         now = self._clock()
         if answer is not None and answer.upstream:
             self._taken[request] = now
@@ -136,7 +138,7 @@
 
 
 async def _next(inbox: Inbox, seconds: float) -> PlacementAnswer | None:
-    """Return the next answer, None if none comes in time."""
+    """Return the next answer, None if none is received in time."""
     try:
         async with asyncio.timeout(seconds):
             return await inbox.get()
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -1,4 +1,4 @@
-"""Finds the upstream of a request: by the own model of a scheduler, else by asking one."""
+"""Finds the upstream of a request, by the own model of a scheduler or by querying one."""
 
 from __future__ import annotations
 
@@ -44,17 +44,20 @@
     from lotushill.views.upstream_view import UpstreamView
 
 _ALONE_SHARE = 0.25
-"""Of the upstreams, drawn for each request, among which a gateway chooses that gets no answer: by
-its own few requests alone, all gateways would choose the same one."""
+"""Fraction of the upstreams, drawn at random for each request, among which a gateway chooses that
+receives no answer from schedulers: by their own few requests alone, all gateways would choose the
+same upstream."""
 _LEAST_ALONE = 3
 _MOST_UNKNOWN = 2
-"""Upstreams that a scheduler knows and this gateway does not, before a request waits."""
+"""Number of further queries after answers with an upstream that this gateway does not know; after
+them the request is refused with a retry time."""
 _UNKNOWN_RETRY = 0.2
-"""Seconds until this gateway has heard of an upstream that a scheduler knows already."""
+"""Retry time in seconds, within which this gateway is notified of an upstream that a scheduler
+knows already."""
 
 
 class Placer:
-    """Decides where requests of this gateway go."""
+    """Chooses the upstreams of this gateway's requests."""
 
     def __init__(
         self,
@@ -71,13 +74,13 @@
         knows_fleet: Callable[[], bool] = lambda: True,
         keeper: LineKeeper | None = None,
     ) -> None:
-        """Place for the gateway `name`; without schedulers, always by the own model.
+        """Place requests of the gateway `name`; without schedulers, always by the own model.
 
-        What finds no room by the own model waits with `keeper`.
+        Requests for which the own model finds no free slot are queued with `keeper`.
 
-        `barred` tells which upstreams are to be sent nothing by this gateway now, which no other
-        one knows, and `limits` which ones are sent few; `knows_fleet` is false while this gateway
-        has started and has not been told what runs.
+        `barred` holds the upstreams to which this gateway must not send requests now, which no
+        other gateway knows, and `limits` those that accept few requests. `knows_fleet` returns
+        False from the start of this gateway until it has received the running requests of others.
         """
         self._name = name
         self._fleet = fleet
@@ -95,19 +98,19 @@
         self._numbers = itertools.count()
 
     def number(self) -> int:
-        """Return a number for an attempt that is hardly ever that of another, of any gateway."""
+        """Return an attempt number that hardly ever collides with that of any gateway."""
         return xxhash.xxh64_intdigest(f"{self._name}/{self._salt}/{next(self._numbers)}")
 
     def models_all(self) -> bool:
-        """Return whether this gateway hears of what all others run."""
+        """Return whether this gateway receives the load reports of all others."""
         return self._schedulers is None or self._schedulers.schedules()
 
     async def place(
         self, request: Request, excluded: frozenset[str], again: bool, waits: bool = True
     ) -> Placement | NoChoice:
-        """Return where a request is to go; `again` says that it was asked for before.
+        """Return the placement of a request; `again` is true if it was queried before.
 
-        One that `waits` does so for room, where there is none now.
+        If `waits` is true, the request is queued while there is no free slot.
         """
         barred = self._barred.names(request.need.route, self._clock())
         if barred:
@@ -146,7 +149,7 @@
             found = self._from_answer(request, answer)
             if found is not None:
                 return found
-            # It has left, or this gateway has not heard of it yet.
+            # The upstream has left, or this gateway has not been notified of it yet.
             self._shared_load.give_up(answer.request)
             unknown.add(answer.upstream)
         return NoChoice(Refusal.NO_UPSTREAM, _UNKNOWN_RETRY)
@@ -155,7 +158,7 @@
         return all(item.id in barred for item in self._upstreams.of(request.service.name))
 
     def _all_barred(self, request: Request, barred: frozenset[str]) -> NoChoice:
-        """Refuse until the first upstream may be sent a request, or say that there is none."""
+        """Refuse until the first upstream may be sent a request, or for lack of any upstream."""
         known = [item.id for item in self._upstreams.of(request.service.name)]
         closed = [name for name in known if name in barred]
         if not closed:
@@ -168,8 +171,6 @@
     def _note_size(self, need: Need) -> None:
         self._fleet.note_arrival(need, self._clock())
 
-    # By the own model
-
     def _by_own_model(
         self, request: Request, excluded: frozenset[str], candidates: list[Upstream]
     ) -> Placement | NoChoice:
@@ -190,9 +191,9 @@
         excluded: frozenset[str],
         candidates: list[Upstream],
     ) -> Placement | NoChoice | None:
-        """Return where a request goes by the own model, if need be after it has waited.
+        """Return the placement of a request by the own model, after queueing it if necessary.
 
-        None where this gateway has come to ask schedulers meanwhile.
+        Return None if this gateway has lost the scheduler role meanwhile and queries schedulers.
         """
         key = self.number()
         try:
@@ -217,7 +218,7 @@
         candidates: list[Upstream],
         key: int,
     ) -> Choice | NoChoice | Held:
-        """Return the answer that comes before a request is to be asked for again."""
+        """Return the answer given before the entry must be renewed, `Held` if there is none."""
         later: asyncio.Future[Choice | NoChoice] = asyncio.get_running_loop().create_future()
 
         def answer(entry: Waiting, found: Choice | NoChoice, now: float) -> None:
@@ -251,7 +252,7 @@
         return Placement(found, self._placed(self.number(), request, found), memory)
 
     def _drawn(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
-        """Place a request while nothing is known of what others run."""
+        """Place a request while the running requests of other gateways are unknown."""
         now = self._clock()
         loads = {
             item: self._fleet.load(item.id)
@@ -278,11 +279,9 @@
         return placed(number, request.need, choice, request.service.engine is not None)
 
     def continued(self, request: Request, choice: Choice) -> Placement:
-        """Return the placement of a run that goes on at an upstream that is known."""
+        """Return the placement of a run that continues at an upstream chosen before."""
         return Placement(choice, self._placed(self.number(), request, choice))
 
-    # By a scheduler
-
     def _ask(
         self, request: Request, excluded: frozenset[str], again: bool, waits: bool
     ) -> PlacementAsk:
@@ -312,7 +311,7 @@
         )
 
     def _out_of_reach(self, request: Request, excluded: frozenset[str]) -> list[str]:
-        """Return the upstreams that this gateway could not reach just now, whoever else may."""
+        """Return the ids of upstreams that this gateway cannot reach now, even if others can."""
         now = self._clock()
         return [
             item.id
@@ -354,7 +353,7 @@
 
 
 def _may_be_copied(request: Request) -> bool:
-    """Return whether a copy of a run may be kept: one that could not be repeated."""
+    """Return whether a backup copy of a run may be kept: only for runs that cannot be repeated."""
     return request.route.kind is RouteKind.STREAM and not request.route.repeatable
 
 
@@ -362,7 +361,7 @@
     try:
         refusal = Refusal(answer.refusal)
     except ValueError:
-        # A scheduler of a later version may have reasons that are not known here.
+        # A scheduler of a later version may send reasons that this version does not know.
         refusal = Refusal.NO_UPSTREAM
     return NoChoice(
         refusal,
--- a/src/lotushill/scheduling/request.py
+++ b/src/lotushill/scheduling/request.py
@@ -28,25 +28,25 @@
     method: bytes
     target: bytes
     headers: Headers
-    """The client's headers that travel on."""
+    """The client's headers that are forwarded."""
     body: bytes
     route: Route
-    """With the values that the settings tree puts in force for its team."""
+    """Route with the values that the settings tree puts in force for the team."""
     service: Service
     need: Need
     team: str
     arrived: float
     ends: float
-    """When its client or its route no longer waits."""
+    """When the time limit of the client or the route ends."""
 
     @cached_property
     def identity(self) -> bytes:
-        """Return what stays the same when the caller sends the request again."""
+        """Return a hash that stays the same when the caller sends the request again."""
         return identity_of(self.team, self.demand.host, self.method, self.target, self.body)
 
     @cached_property
     def groups(self) -> tuple[Group, ...]:
-        """Return what its caller's next request may have in common with it."""
+        """Return the quarantine groups that the caller's next request may share with this one."""
         return groups_of(
             self.service.name, self.team, self.route.name, self.target, self.need.parts
         )
--- a/src/lotushill/scheduling/shared_load.py
+++ b/src/lotushill/scheduling/shared_load.py
@@ -1,4 +1,4 @@
-"""What this gateway runs, told to the schedulers, and what others run, told by them."""
+"""Replicates load: publishes this gateway's running requests and merges those of others."""
 
 from __future__ import annotations
 
@@ -21,27 +21,30 @@
     from lotushill.routing.service import Service
 
 _SILENT_SECONDS = 1.0
-"""A request of a gateway that was silent for so long is kept for its expected time only."""
+"""Margin after twice the expected run time until a request expires whose gateway has been
+silent."""
 _LIST_SECONDS = 0.5
-"""Between two lists of one gateway in a small fleet."""
+"""Interval between two snapshots of one gateway in a small fleet."""
 _LISTS_A_SECOND = 40.0
-"""Of all gateways together, so that hearing them costs the same in a large fleet."""
+"""Maximum rate of the snapshots of all gateways together, so that receiving them costs the same in
+a large fleet."""
 _LISTS_OF_EVERYTHING = 6
-"""Every so many lists all starts are told again, for gateways that came later."""
+"""Number of snapshots after which one repeats all starts, for gateways that joined later."""
 _EMPTY_LISTS = 3
-"""One that runs nothing says so so often, and then no more."""
+"""Number of empty snapshots that a gateway without requests sends before it stops."""
 _MOST_PLACED = 16
-"""Requests told in one datagram."""
+"""Maximum number of started requests in one datagram."""
 _MOST_NUMBERS = 110
-"""Numbers told in one datagram, twice where all have begun."""
+"""Maximum number of request numbers in one datagram; each is sent twice if all have begun."""
 _LEAST_AGE = 0.001
-"""Seconds; one that is told again has some age, so that its reading is not learned from twice."""
+"""Minimum age in seconds of a repeated start. An age above 0 marks the repetition, so that
+receivers do not learn from its prompt reading twice."""
 _YOUNG_SECONDS = 0.3
-"""A request as young as this may be missing from a list that was on its way."""
+"""Age up to which a request may be missing from a snapshot that was already in transit."""
 
 
 class SharedLoad:
-    """Keeps the fleet's model in step over all gateways; pure, with the clock passed in."""
+    """Keeps the fleet model consistent over all gateways; pure, with the clock passed in."""
 
     def __init__(
         self,
@@ -52,9 +55,9 @@
         tell: Callable[[Load], None],
         is_near: Callable[[str], bool] = lambda _: True,
     ) -> None:
-        """Follow the load of `fleet`; `service_of` finds an upstream's service by its id.
+        """Update `fleet` by load reports; `service_of` finds an upstream's service by its id.
 
-        `is_near` tells whether a gateway stands in the own hall.
+        `is_near` returns whether a gateway is in the same hall.
         """
         self._name = name
         self._fleet = fleet
@@ -68,12 +71,12 @@
         self._list_due = float("-inf")
         self._list_last = float("-inf")
         self._list_before = float("-inf")
-        """When the list before the last was told: what started since is told again."""
+        """When the last snapshot but one was sent: requests started since are repeated."""
         self._empty_lists = 0
         self._ends_by: dict[int, float] = {}
 
     def start(self, placed: Placed, service: Service, told: bool = False) -> None:
-        """Count in a request of this gateway; tell of it, unless whoever placed it has."""
+        """Add a request of this gateway; publish it unless the scheduler that placed it has."""
         if placed.request in self._own:
             return
         now = self._clock()
@@ -84,12 +87,12 @@
             self._tell(Load(self._name, False, placed=(placed,)))
 
     def start_for(self, sender: str, placed: Placed, service: Service) -> None:
-        """Count in a request that was placed here for another gateway, and tell of it."""
+        """Add a request that this scheduler placed for another gateway, and publish it."""
         self._count_in(placed, self._others.setdefault(sender, {}), self._clock(), service)
         self._tell(Load(sender, False, placed=(placed,)))
 
     def begin(self, request: int, seconds: float) -> None:
-        """Note the first event of a request of this gateway, so long after it was sent."""
+        """Note the first event of a request of this gateway, `seconds` after it was sent."""
         known = self._own.get(request)
         if known is not None:
             began = Began(request, seconds)
@@ -98,23 +101,23 @@
             self._tell(Load(self._name, False, began=(began,)))
 
     def note_paced(self, request: int, pause: float) -> None:
-        """Tell a typical pause of a stream of this gateway, whose pauses are all known here."""
+        """Publish a typical pause of a stream of this gateway, which sees all of its pauses."""
         if request in self._own:
             self._tell(Load(self._name, False, paced=(Paced(request, pause),)))
 
     def end(self, request: int, outcome: Outcome = Outcome.UNKNOWN, seconds: float = 0.0) -> None:
-        """Count out a request of this gateway, which ran for so long."""
+        """Remove a request of this gateway that ran for `seconds`, and publish its end."""
         if self._own.pop(request, None) is not None:
             ended = Ended(request, outcome, seconds)
             self._fleet.end(ended, self._clock())
             self._tell(Load(self._name, False, ended=(ended,)))
 
     def give_up(self, request: int) -> None:
-        """Tell that a request was placed for this gateway and is not sent."""
+        """Publish that a request that was placed for this gateway is not sent."""
         self._tell(Load(self._name, False, ended=(Ended(request),)))
 
     def due_lists(self, gateways: int) -> list[Load]:
-        """Return the list that is due now in a fleet of so many gateways, if one is."""
+        """Return the snapshot due now in a fleet of `gateways`, empty if none is due."""
         now = self._clock()
         if now < self._list_due:
             return []
@@ -122,7 +125,7 @@
         return self.whole()
 
     def everything(self) -> list[Load]:
-        """Return all that is held to run, for a gateway that becomes a scheduler."""
+        """Return all requests known to run, for a gateway that becomes a scheduler."""
         now = self._clock()
         loads = [_started(self._name, [(item, since) for item, since in self._own.values()], now)]
         for sender, held in self._others.items():
@@ -135,21 +138,21 @@
         return [load for load in loads if load.placed]
 
     def paces(self) -> list[LastingPace]:
-        """Return what is known of the pace of upstreams, for the same."""
+        """Return the known paces of upstreams, for a gateway that becomes a scheduler."""
         return self._fleet.engine_paces.known()
 
     def take_paces(self, paces: Sequence[LastingPace]) -> None:
-        """Take in what another scheduler has found of upstreams of which nothing is known here."""
+        """Merge paces from another scheduler, for upstreams whose pace is unknown here."""
         for told in paces:
             service = self._service_of(told.upstream)
             if service is not None:
                 self._fleet.presume_pace(told, service.name)
 
     def whole(self) -> list[Load]:
-        """Return what repairs whatever others have missed: all that this gateway runs.
+        """Return a snapshot of this gateway's requests, which repairs what others have missed.
 
-        The numbers of all its requests end those that others still count; the ones that began
-        lately are told again, in case that their start was lost.
+        The numbers of all its requests end those that others still count; the ones that started
+        recently are sent again, in case the report of their start was lost.
         """
         now = self._clock()
         self._lists += 1
@@ -172,12 +175,12 @@
         else:
             self._empty_lists += 1
         if len(self._own) <= _MOST_NUMBERS:
-            # In parts it would no longer be all, and must not be taken for it.
+            # Only one datagram can carry the complete list: a part must not be taken for all.
             loads.append(Load(self._name, True, began=began, running=tuple(self._own)))
         return loads
 
     def receive(self, load: Load) -> None:
-        """Take in what another gateway tells."""
+        """Merge a load report of another gateway."""
         if load.sender == self._name:
             return
         now = self._clock()
@@ -197,14 +200,14 @@
                     self._count_out(Ended(request), held)
 
     def expire(self) -> None:
-        """Drop requests whose end was never told, long after they should have ended."""
+        """Drop requests whose end was never reported, long after they should have ended."""
         now = self._clock()
         for held in self._others.values():
             for request in [item for item in held if self._ends_by[item] < now]:
                 self._count_out(Ended(request), held)
 
     def drop_sender(self, name: str) -> None:
-        """Drop all requests of a gateway that has gone."""
+        """Drop all requests of a gateway that has left."""
         held = self._others.pop(name, {})
         for request in list(held):
             self._count_out(Ended(request), held)
@@ -232,6 +235,6 @@
 
 
 def _started(sender: str, running: list[tuple[Placed, float]], now: float) -> Load:
-    """Return news of requests that run since some moments."""
+    """Return a load report of running requests, given with the times of their starts."""
     placed = tuple(replace(item, age=max(_LEAST_AGE, now - since)) for item, since in running)
     return Load(sender, False, placed=placed)
