--- a/src/lotushill/returns/__init__.py
+++ b/src/lotushill/returns/__init__.py
@@ -1,3 +1,3 @@
-"""Who was refused and told when to come back, and what they get when they do."""
+"""Retry promises: the retry times given to refused callers, and their priority on return."""
 
 from __future__ import annotations
--- a/src/lotushill/returns/promise.py
+++ b/src/lotushill/returns/promise.py
@@ -1,29 +1,30 @@
-"""What is held and told of one caller that was refused."""
+"""Data types of the promise to one refused caller."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 KEPT_SECONDS = 2.0
-"""After its time, how long a place is kept: a client may first try a host that is gone."""
+"""Time after its due time for which a promise is kept: a client may first try a host that is
+gone."""
 
 
 @dataclass(frozen=True)
 class Asker:
-    """A request that looks for room; times are seconds."""
+    """A request that needs an upstream; times are seconds."""
 
     caller: int
-    """Number that stays the same when it is sent again, 0 where that is not known."""
+    """Number that stays the same when the request is sent again, 0 if unknown."""
     service: str
     tier: int
     arrived: float
-    """When it came to its gateway, on the own clock."""
+    """When the request arrived at its gateway, on the own clock."""
     time_left: float
 
 
 @dataclass
 class Promise:
-    """When one caller was told to come back, on the own clock."""
+    """The retry time given to one caller, on the own clock."""
 
     service: str
     tier: int
@@ -31,27 +32,27 @@
     refused_at: float
     """When the caller was last refused."""
     first: bool
-    """Whether it then goes before newcomers; without, it was told a time and nothing else."""
+    """Whether the caller then goes before new requests; if not, it was given only a time."""
     own: bool
-    """Whether this gateway is to tell the others."""
+    """Whether this gateway has to notify the others."""
     used: bool = False
     tell_at: float = 0.0
     tellings: int = 0
 
     @property
     def ends(self) -> float:
-        """Return until when it is kept."""
+        """Return until when the promise is kept."""
         return self.due + KEPT_SECONDS
 
 
 @dataclass(frozen=True)
 class PromiseState:
-    """What one gateway tells others of a promise."""
+    """The state of a promise that one gateway sends to others."""
 
     caller: int
     service: str
     tier: int
     due_in: float
-    """Seconds, below 0 for one whose time has come."""
+    """Seconds until the promise is due, below 0 if it is due already."""
     first: bool
     used: bool
--- a/src/lotushill/returns/promises.py
+++ b/src/lotushill/returns/promises.py
@@ -1,7 +1,7 @@
-"""Who was told to come back, and when: kept by each gateway that places requests. Pure.
+"""Stores the retry times of refused callers, at each gateway that places requests. Pure.
 
-A caller is known by its number, which is the same at all gateways, so that it may return to any of
-them. A promise is used once, and counts neither before its time nor long after it.
+A caller is identified by its number, which is the same at all gateways, so that it may return to
+any of them. A promise is used once, and is valid neither before its time nor long after it.
 """
 
 from __future__ import annotations
@@ -23,66 +23,66 @@
     from lotushill.returns.promise import Asker
 
 EARLY_SECONDS = 0.05
-"""So much before its time a return still counts: clocks and ways differ by less."""
+"""Time before its due time from which a return is on time: clocks and network delays differ by
+less."""
 MOST_PROMISES = 4096
-"""At one time, some two megabytes. Whoever is refused beyond that is promised nothing."""
+"""Maximum number of stored promises, some two megabytes. Callers refused beyond that get no
+promise."""
 MOST_TOLD = 90
-"""At one time, so that three datagrams hold them."""
+"""Maximum number of promises sent to others at one time, so that they fit in three datagrams."""
 _LONGEST_SECONDS = 60.0
-"""No promise that is heard lies further ahead: no client waits so long."""
+"""Upper bound of the time until due of a received promise: no client waits so long."""
 _SETTLED_SECONDS = 0.1
-"""A request that waits at its gateway is refused again and again; only the last refusal is told to
-its client."""
+"""Delay until a promise is sent to others, unless its refusal is final. A request that waits at its
+gateway is refused again and again, and only the last refusal reaches its client."""
 _TELLINGS = 2
-"""So often each promise is told to others, in case that a datagram is lost."""
+"""Number of times that each promise is sent to others, in case a datagram is lost."""
 _SCARCE_SECONDS = 0.5
-"""While somebody of a tier was refused so lately, who comes before its time takes no room."""
+"""Time after a refusal or a wait in a tier for which early returns to that tier are refused."""
 _TIER_SECONDS = 5.0
-"""While a more urgent tier was refused so lately, none of a less urgent one goes first: users hold
-what was refused against what began within five seconds of it."""
+"""Time after a refusal in a tier for which returns to less urgent tiers have no priority: users
+compare a refusal with the requests that began within five seconds of it."""
 _RESERVE_SECONDS = 1.0
-"""The time over which the share of those who return is counted."""
+"""Time window over which the fraction of returns is counted."""
 _MOST_COUNTED = 512
-"""Returns that are counted within that time."""
+"""Maximum number of returns counted within that window."""
 _FORGET_SECONDS = 0.25
-"""Between two looks for promises that are over."""
+"""Interval between two sweeps for expired promises."""
 
 
 class Returns:
-    """The promises that are open."""
+    """The promises to refused callers, made here or received from other gateways."""
 
     def __init__(self) -> None:
         self.room = RoomRate()
         self._promises: dict[int, Promise] = {}
         self._open: Counter[tuple[str, int]] = Counter()
-        """Places that are kept and not used, by service and tier."""
+        """Number of unused promises with priority, by service and tier."""
         self._refused: dict[tuple[str, int], float] = {}
-        """When a tier of a service was last refused room."""
+        """When a request of a service and tier was last refused for lack of capacity."""
         self._scarce: dict[tuple[str, int], float] = {}
-        """When one last had to wait for it."""
+        """When a request of a service and tier last had to wait for capacity."""
         self._served: dict[tuple[str, int], deque[float]] = {}
-        """When returns of a tier were placed."""
+        """When returns were placed, by service and tier."""
         self._to_tell: dict[int, None] = {}
         self._forget_at = float("-inf")
         self.made = 0
-        """Places promised here so far."""
+        """Number of promises with priority made here since the start."""
         self.kept = 0
-        """Returns that were placed here as promised so far."""
+        """Number of returns placed here as promised since the start."""
         self.early = 0
-        """Asks of returns before their time so far."""
+        """Number of early returns received here since the start."""
 
     def __len__(self) -> int:
-        """Return how many places are kept."""
+        """Return the number of unused promises with priority."""
         return self._open.total()
 
-    # Refusing
-
     def retry_after(self, asker: Asker, spread: float, now: float, final: bool = False) -> float:
-        """Return after how many seconds a request that is refused is to come back.
+        """Return after how many seconds a refused request should be sent again.
 
-        A place that was promised stays, however often its caller is refused. `spread`, from 0 to 1,
-        is drawn for each request. What is `final` is told to other gateways at once: its caller may
-        come to any of them before its time.
+        A promise with priority stays, however often its caller is refused. `spread`, from 0 to 1,
+        is drawn at random for each request. A `final` refusal is sent to other gateways at once:
+        its caller may come to any of them before its time.
         """
         self._forget(now)
         self._refused[asker.service, asker.tier] = now
@@ -110,20 +110,18 @@
         )
 
     def note_scarce(self, service: str, tier: int, now: float) -> None:
-        """Note that a request of a tier has to wait for room."""
+        """Note that a request of a tier has to wait for capacity."""
         self._scarce[service, tier] = now
 
-    # Returning
-
     def has_place(self, caller: int, now: float) -> bool:
-        """Return whether a caller comes as it was promised."""
+        """Return whether a caller returns on time to a promise with priority."""
         known = self._promises.get(caller)
         if known is None or known.used or not known.first:
             return False
         return known.due - EARLY_SECONDS <= now <= known.ends
 
     def is_due(self, caller: int, now: float) -> bool:
-        """Return whether a caller comes as it was promised, and the reserve lasts."""
+        """Return whether a caller returns as promised while the reserve is not used up."""
         if not self.has_place(caller, now):
             return False
         known = self._promises[caller]
@@ -141,9 +139,9 @@
         )
 
     def until_due(self, asker: Asker, now: float) -> float:
-        """Return how many seconds too early another try of a caller comes, 0 if it does not.
+        """Return how many seconds too early a caller's retry is, 0 if it is not.
 
-        While nobody else is refused it is welcome at any time.
+        While no other request is refused, a retry is accepted at any time.
         """
         known = self._promises.get(asker.caller)
         if known is None or known.used or asker.arrived <= known.refused_at:
@@ -158,7 +156,7 @@
         return max(0.0, known.due - now)
 
     def note_placed(self, caller: int, now: float) -> bool:
-        """Note that a caller's request goes to an upstream; return whether that was promised."""
+        """Note that a caller's request was placed; return whether that was promised."""
         known = self._promises.get(caller)
         if known is None or known.used:
             return False
@@ -174,10 +172,8 @@
         self._to_tell[caller] = None
         return promised
 
-    # Telling others
-
     def due_news(self, now: float) -> list[PromiseState]:
-        """Return what is to be told now to the other gateways that place requests."""
+        """Return the promises to send now to the other gateways that place requests."""
         self._forget(now)
         told = []
         for caller in list(self._to_tell):
@@ -193,7 +189,7 @@
         return told
 
     def hear(self, states: Iterable[PromiseState], now: float) -> None:
-        """Take what another gateway tells."""
+        """Merge the promises that another gateway has sent."""
         for state in states:
             known = self._promises.get(state.caller)
             if known is None and len(self._promises) >= MOST_PROMISES:
@@ -202,7 +198,7 @@
                 continue
             due, used = now + state.due_in, state.used
             if known is not None:
-                # A request that waits asks several gateways; it was told one of their times.
+                # A waiting request queries several gateways; its client was given one of their times.
                 due, used = min(due, known.due), used or known.used
             promise = Promise(
                 state.service, state.tier, due, now, state.first, own=False, used=used
--- a/src/lotushill/returns/room_rate.py
+++ b/src/lotushill/returns/room_rate.py
@@ -1,4 +1,4 @@
-"""How fast room comes for the requests of a tier, from those that began of late. Pure."""
+"""Measures the rate at which capacity becomes free, by the requests started lately. Pure."""
 
 from __future__ import annotations
 
@@ -6,9 +6,11 @@
 from dataclasses import dataclass
 
 SPAN_SECONDS = 2.0
-"""Long enough to see the ends of usual streams, short enough to follow a loss of upstreams."""
+"""Time window of the rate: long enough to include the ends of usual streams, short enough to follow
+a loss of upstreams."""
 _SLICE_SECONDS = 0.25
-"""What began within one slice is kept as one count, so that memory does not grow with traffic."""
+"""Length of a slice. The requests started within one slice are stored as one count, so that memory
+does not grow with traffic."""
 
 
 @dataclass
@@ -18,7 +20,7 @@
 
 
 class RoomRate:
-    """Counts what began by service and tier, at all gateways that are heard."""
+    """Counts started requests by service and tier, at all gateways whose reports are received."""
 
     def __init__(self) -> None:
         self._slices: dict[tuple[str, int], deque[_Slice]] = {}
@@ -33,7 +35,7 @@
         self._forget(slices, at)
 
     def rate(self, service: str, tier: int, now: float) -> float:
-        """Return the requests a second of a tier that found room of late."""
+        """Return the requests per second of a tier that were started lately."""
         slices = self._slices.get((service, tier))
         if not slices:
             return 0.0
--- a/src/lotushill/returns/schedule.py
+++ b/src/lotushill/returns/schedule.py
@@ -1,8 +1,8 @@
-"""When somebody who is refused is to come back. Pure.
+"""Computes retry times of refused requests. Pure.
 
-The load that it answers: requests come for some seconds at 1.3 to 2 times the rate at which room
-comes. Told the same short pause, nearly all who were refused come back into the same crowd, and
-most clients come back only once.
+Handles requests that arrive for some seconds at 1.3 to 2 times the rate at which capacity becomes
+free. Given the same short pause, nearly all refused callers would return into the same overload,
+and most clients retry only once.
 """
 
 from __future__ import annotations
@@ -10,38 +10,39 @@
 from dataclasses import dataclass
 
 RESERVED_SHARE = 0.5
-"""Of the room that comes, how much goes to those who return: with more, newcomers that could still
-be in time would wait for those who mostly no longer can."""
+"""Fraction of the freed capacity that goes to returning requests: with more, new requests that can
+still be on time would wait for returning ones, most of which no longer can."""
 LEAST_SECONDS = 0.2
-"""Sooner, those who were refused together would meet the same full slots."""
+"""Minimum retry time: with a shorter one, requests refused together would meet the same full
+slots."""
 _HONOURED_SHARE = 1.0 / 3.0
-"""Of the time that a client has left, up to which it waits as told."""
+"""Fraction of its time left up to which a client honours a retry time."""
 _MARGIN = 0.95
-"""Of that, what is used: the answer takes its time to reach the client."""
+"""Fraction of that limit that is used, since the answer takes time to reach the client."""
 _SPREAD = 0.25
-"""Of a pause that leads to no promise, over which returns are spread."""
+"""Fraction of a pause without a promise over which returns are spread."""
 
 
 @dataclass(frozen=True)
 class Moment:
-    """When to come back."""
+    """A retry time and whether it is promised."""
 
     seconds: float
     promised: bool
-    """Whether there is likely to be room then."""
+    """Whether there is likely to be capacity then."""
 
 
 def latest(time_left: float) -> float:
-    """Return after how many seconds a client that has so much time left comes back at most."""
+    """Return the longest retry time in seconds that a client with `time_left` honours."""
     return _MARGIN * _HONOURED_SHARE * max(0.0, time_left)
 
 
 def moment(backlog: int, room_rate: float, time_left: float, spread: float) -> Moment:
-    """Return when there is room for one more, behind `backlog` others who were told to return.
+    """Return when there is capacity for one more request, behind `backlog` promised returns.
 
-    `room_rate` is in requests a second; `spread`, from 0 to 1, is drawn for each request.
-    Where room comes too late for the client, it is told to come as late as it can, in case that
-    the crowd has gone: sooner it would use up its last try in vain.
+    `room_rate` is in requests per second; `spread`, from 0 to 1, is drawn at random for each
+    request. If capacity becomes free too late for the client, it is given the latest time that it
+    honours, in case the overload has ended: sooner it would waste its last retry.
     """
     last = latest(time_left)
     reserved = RESERVED_SHARE * room_rate
--- a/src/lotushill/shares/__init__.py
+++ b/src/lotushill/shares/__init__.py
@@ -1,3 +1,3 @@
-"""Fair shares of teams: what each has had of a service, and who goes first where room is short."""
+"""Fair shares of teams: their work at each service, and their order while capacity is short."""
 
 from __future__ import annotations
--- a/src/lotushill/shares/ledger.py
+++ b/src/lotushill/shares/ledger.py
@@ -1,8 +1,9 @@
-"""The work that each team has had of a service, summed over the fleet. Pure.
+"""Accounts of the work that each team has had at a service, summed over the fleet. Pure.
 
-Fed by what gateways tell of all requests that they send, so that every scheduler holds the same
-sums but for what is on its way. A sum is rebuilt from what still runs; recent work is lost with the
-process and is as good as forgotten after some ten seconds anyway.
+The accounts are updated from the load reports of all gateways on the requests that they send, so
+every scheduler holds the same sums, except for reports in transit. After a restart a sum is rebuilt
+from the requests still running; recent work is lost with the process, but has almost no weight
+after some ten seconds anyway.
 """
 
 from __future__ import annotations
@@ -17,20 +18,21 @@
     from collections.abc import Iterator
 
 _RECENT_SECONDS = 10.0
-"""After which a third of the work counts. Shorter than a burst, so that who had much in it does not
-pay long after; longer than a request, so that what ran just now counts beside what runs."""
+"""Time constant of the decay of past work, after which a third of it counts. Shorter than a burst,
+so that a team with much work in it does not pay long after; longer than a request, so that work
+that has just ended counts beside running work."""
 _ASKED_SECONDS = 5.0
-"""A team that asked within it is taken to ask again."""
+"""Time after a request for which its team counts as active, that is, as likely to send another."""
 _LOOK_SECONDS = 0.03
-"""Between two looks at all teams: requests that wait ask again some thirty times a second each, and
-news of others are as old."""
+"""Time for which the set of active teams is cached: queued requests look it up some thirty times a
+second each, and load reports of other gateways are as old."""
 _IDLE_SECONDS = 60.0
-"""Until an account without work is dropped."""
+"""Time after which an account without work is dropped."""
 
 
 @dataclass(frozen=True)
 class AccountKey:
-    """A team's part of one tier of one service; the team is told by its number."""
+    """Key of a team's account in one tier of one service; `team` is the team's number."""
 
     service: str
     tier: int
@@ -39,13 +41,13 @@
 
 @dataclass(frozen=True)
 class _Running:
-    """One request that runs."""
+    """A running request."""
 
     key: AccountKey
     work: float
     since: float
     seconds: float
-    """How long it is expected to run."""
+    """Expected run time."""
 
 
 class Account:
@@ -53,7 +55,7 @@
 
     def __init__(self) -> None:
         self.share = 1.0
-        """Its weight beside other teams."""
+        """Weight of the team relative to other teams."""
         self.asked_at = -math.inf
         self.served = ServedCounts()
         self._running = 0.0
@@ -62,31 +64,31 @@
         self._recent_at = 0.0
 
     def work(self, now: float) -> float:
-        """Return what it has running, and what it had of late."""
+        """Return the sum of the running work and the decayed past work."""
         return self._running + self._recent_work(now)
 
     def standing(self, now: float) -> float:
-        """Return its work beside its weight; who has the least goes first."""
+        """Return the work divided by the weight; the team with the lowest standing goes first."""
         return self.work(now) / self.share
 
     def asks(self, now: float) -> bool:
-        """Return whether the team has asked of late."""
+        """Return whether the team has sent a request recently."""
         return now - self.asked_at < _ASKED_SECONDS
 
     def is_idle(self, now: float) -> bool:
-        """Return whether the account may be forgotten."""
+        """Return whether the account may be dropped."""
         return not self._count and now - max(self.asked_at, self._recent_at) > _IDLE_SECONDS
 
     def start(self, work: float, at: float) -> None:
-        """Count a request in that started then."""
+        """Add a request that started at `at`."""
         self._running += work
         self._count += 1
         self.asked_at = max(self.asked_at, at)
 
     def end(self, work: float, done: float, now: float) -> None:
-        """Count a request out of which so much was done."""
+        """Remove a request of which `done` of the predicted `work` was done."""
         self._count -= 1
-        # Sums of floats drift: without requests the sum is 0.
+        # Sums of floats drift, so the sum is reset to 0 when no request runs.
         self._running = max(0.0, self._running - work) if self._count else 0.0
         self._recent = self._recent_work(now) + done
         self._recent_at = now
@@ -97,7 +99,7 @@
 
 @dataclass(frozen=True)
 class Part:
-    """What one team had, and its weight."""
+    """Work and weight of one team."""
 
     work: float
     share: float
@@ -105,12 +107,12 @@
 
 @dataclass(frozen=True)
 class Asking:
-    """The teams of one tier of a service that asked of late, as they stood at one moment."""
+    """Snapshot of the active teams of one tier of a service."""
 
     at: float
     teams: dict[int, Part]
     work: float
-    """Of all of them."""
+    """Total work of these teams."""
     share: float
 
 
@@ -124,7 +126,7 @@
         self._served: dict[tuple[str, int], ServedCounts] = {}
 
     def account(self, key: AccountKey) -> Account:
-        """Return the account of a team, a new one for a team that is not known."""
+        """Return the account of a team; create it for an unknown team."""
         teams = self._accounts.setdefault((key.service, key.tier), {})
         found = teams.get(key.team)
         if found is None:
@@ -132,11 +134,11 @@
         return found
 
     def served(self, key: AccountKey) -> ServedCounts:
-        """Return how all teams of the tier were served."""
+        """Return the counts of all teams of the tier together."""
         return self._served.setdefault((key.service, key.tier), ServedCounts())
 
     def asking(self, key: AccountKey, now: float) -> Asking:
-        """Return the teams of the tier that ask, as of some hundredths of a second ago."""
+        """Return the active teams of the tier, cached for some hundredths of a second."""
         place = (key.service, key.tier)
         found = self._asking.get(place)
         if found is None or not 0.0 <= now - found.at < _LOOK_SECONDS:
@@ -144,7 +146,7 @@
         return found
 
     def largest(self, now: float) -> list[AccountKey]:
-        """Return the team with the most work beside its weight, for each service and tier."""
+        """Return the team with the highest standing, for each service and tier."""
         return [
             AccountKey(service, tier, max(teams, key=lambda team: teams[team].standing(now)))
             for (service, tier), teams in self._accounts.items()
@@ -159,14 +161,14 @@
     def start(
         self, request: int, key: AccountKey, work: float, since: float, seconds: float
     ) -> None:
-        """Count in a request that started at `since` and is to run for some seconds."""
+        """Add a request that started at `since` and is expected to run for `seconds`."""
         if request in self._running:
             return
         self._running[request] = _Running(key, work, since, seconds)
         self.account(key).start(work, since)
 
     def end(self, request: int, ran: bool, now: float) -> None:
-        """Count a request out; one that ended early has cost its part of the time predicted."""
+        """Remove a request; if it ended early, charge its fraction of the predicted time."""
         running = self._running.pop(request, None)
         if running is None:
             return
@@ -174,7 +176,7 @@
         self.account(running.key).end(running.work, part * running.work, now)
 
     def forget(self, now: float) -> None:
-        """Drop accounts that nobody uses."""
+        """Drop idle accounts."""
         for held, teams in list(self._accounts.items()):
             for team in [item for item, account in teams.items() if account.is_idle(now)]:
                 del teams[team]
--- a/src/lotushill/shares/served.py
+++ b/src/lotushill/shares/served.py
@@ -1,7 +1,7 @@
-"""How many of the requests of a team were placed of late, as one scheduler sees it. Pure.
+"""Counts the requests of a team and those that were placed lately, at one scheduler. Pure.
 
-A team that asks many times its share of a service would get next to nothing of what it asks for;
-users hold it against a service if a team is served far less often than all are.
+A team that requests many times its share of a service would have next to none of its requests
+served; users hold it against a service if a team is served far less often than all teams are.
 """
 
 from __future__ import annotations
@@ -9,13 +9,14 @@
 import math
 
 _SECONDS = 30.0
-"""After which a third of the requests counts: a scheduler of many sees few of each team."""
+"""Time constant of the decay, after which a third of the requests counts: with many schedulers,
+each sees few requests of each team."""
 _LEAST_ASKED = 3.0
-"""With fewer nothing is said of a team."""
+"""Minimum decayed number of requests from which a fraction is given."""
 
 
 class ServedCounts:
-    """Requests asked and placed, the recent ones counting most."""
+    """Decaying counts of requests received and placed."""
 
     def __init__(self) -> None:
         self._asked = 0.0
@@ -23,17 +24,17 @@
         self._at = 0.0
 
     def note_asked(self, now: float) -> None:
-        """Count a request that came; not again when it is looked for again."""
+        """Count a request that arrived, once even if an upstream is searched for repeatedly."""
         self._fade(now)
         self._asked += 1.0
 
     def note_placed(self, now: float) -> None:
-        """Count a request that got an upstream."""
+        """Count a request that was placed on an upstream."""
         self._fade(now)
         self._placed += 1.0
 
     def part(self, now: float) -> float | None:
-        """Return which part of the requests was placed, None where too few came."""
+        """Return the fraction of requests that were placed, None if too few arrived."""
         self._fade(now)
         return self._placed / self._asked if self._asked >= _LEAST_ASKED else None
 
--- a/src/lotushill/shares/shares.py
+++ b/src/lotushill/shares/shares.py
@@ -1,13 +1,13 @@
-"""Which teams have had more than their share of a service. Pure.
+"""Decides which teams have had more than their share of a service. Pure.
 
-The load that it answers: one team of many asks many times its usual while upstreams have too little
-room. Served in the order in which they ask, all teams get the same part of what they ask for, so
-that the one that asks most takes the room of all others.
+Handles the load where one team of many sends many times its usual requests while upstreams have too
+little capacity. Served in the order of arrival, all teams would have the same fraction of their
+requests served, so the team with the most requests would take the capacity of all others.
 
-Shares are weighted and max-min: what a team does not ask for is divided among the others, again by
-their weights. Work in progress and of late stands for what a team asks for, since what was refused
-is known only where it was refused. Only tiers divide the room before that: teams are held against
-teams of the same tier.
+Shares are weighted and max-min fair: capacity that a team does not request is divided among the
+others, again by their weights. Running and recent work stands for a team's demand, since a refusal
+is known only to the scheduler that refused. Capacity is divided by tier before that: teams are
+compared only with teams of the same tier.
 """
 
 from __future__ import annotations
@@ -28,24 +28,26 @@
     from lotushill.shares.work import Placed
 
 _NEAR = 0.9
-"""Of its share, from which a team counts as over it: sums waver with each request."""
+"""Fraction of its share from which a team counts as over it, since the sums fluctuate with each
+request."""
 _MORE = 1.5
-"""Times the mean standing of the others that ask, from which a team has clearly had more. Teams
-that are nearly even have nothing to be protected from, and are served in the order in which they
-ask: with some ten requests of each in a sum, even teams differ by a third."""
+"""Multiple of the mean standing of the other active teams from which a team has clearly had more.
+Nearly even teams need no protection from each other and are served in the order of arrival: with
+some ten requests of each in a sum, even teams differ by a third."""
 _AHEAD = 1.15
-"""Times the mean standing of the others, up to which those who wait go in the order they came."""
+"""Multiple of the mean standing of the others up to which a team's queued requests go in the order
+of arrival."""
 _LEAST_SERVED = 0.35
-"""Of the part of all requests that is placed, what a team keeps of its own however much it asks:
-users take a team for starved that is served under a quarter as often as all."""
+"""Guaranteed served fraction of a team, as a fraction of that of all teams, however many requests
+it sends: users consider a team starved that is served less than a quarter as often as all."""
 _LEAST_SHARE = 1e-3
 _MOST_TIMES = 1000.0
-"""Told of a team beside others that have had nothing."""
+"""Relative standing reported for a team while the others have had no work."""
 _NOTHING = Part(0.0, 0.0)
 
 
 class Asked(Protocol):
-    """What is known of a request in search of an upstream."""
+    """The properties of a request that is to be placed."""
 
     @property
     def service(self) -> str:
@@ -53,43 +55,43 @@
 
     @property
     def tier(self) -> int:
-        """0 is the most urgent."""
+        """Urgency; 0 is the most urgent."""
 
     @property
     def team(self) -> str:
-        """Name of its team, empty for none."""
+        """Name of the team, empty for none."""
 
     @property
     def share(self) -> float:
-        """Weight of its team."""
+        """Weight of the team."""
 
 
 @dataclass(frozen=True)
 class Ahead:
-    """A team that others of its tier go before while a service has too little room."""
+    """A team over its share, which other teams of its tier precede while capacity is short."""
 
     service: str
     tier: int
     team: int
-    """Its number."""
+    """Number of the team."""
     times: float
-    """Its standing, times the mean of the others."""
+    """Standing of the team as a multiple of the mean of the others."""
 
 
 class Shares:
-    """What teams have had, and who has had too much of it."""
+    """Tracks the work of teams and finds those over their shares."""
 
     def __init__(self) -> None:
         self._ledger = Ledger()
 
     def note_ask(self, need: Asked, now: float) -> None:
-        """Learn that a team asks, and its weight."""
+        """Note that a team is active, and its weight."""
         account = self._ledger.account(_key(need))
         account.asked_at = now
         account.share = max(_LEAST_SHARE, need.share)
 
     def note_arrival(self, need: Asked, now: float) -> None:
-        """Count a request that has come, once however often an upstream is looked for."""
+        """Count a request that arrived, once even if an upstream is searched for repeatedly."""
         key = _key(need)
         self._ledger.account(key).served.note_asked(now)
         self._ledger.served(key).note_asked(now)
@@ -101,37 +103,37 @@
         self._ledger.served(key).note_placed(now)
 
     def note_start(self, placed: Placed, service: Service, now: float) -> None:
-        """Count in a request that any gateway has sent to an upstream."""
+        """Add a request that any gateway has sent to an upstream."""
         key = AccountKey(service.name, placed.tier, placed.team)
         work = predicted_work(placed, service)
         self._ledger.start(placed.request, key, work, now - placed.age, placed.seconds)
 
     def note_end(self, request: int, now: float, ran: bool = True) -> None:
-        """Count a request out; `ran` is false for one that never reached its upstream."""
+        """Remove a request; `ran` is false for one that never reached its upstream."""
         self._ledger.end(request, ran, now)
 
     def standing(self, service: str, team: str, share: float, now: float) -> float:
-        """Return a team's work of a service beside its weight; who has the least goes first."""
+        """Return a team's work at a service divided by its weight; the lowest value goes first."""
         work = sum(item.work(now) for item in self._ledger.of_team(service, team_number(team)))
         return work / max(_LEAST_SHARE, share)
 
     def over_share(self, need: Asked, now: float) -> bool:
-        """Return whether another team that asks has to go before this one's request.
+        """Return whether requests of other active teams have to go before this one.
 
-        True for a team near or over its share that has clearly had more than others that ask, as
-        long as its requests are not served far less often than those of all teams.
+        True for a team near or over its share that has clearly had more than the other active
+        teams, as long as its requests are not served far less often than those of all teams.
         """
         key = _key(need)
         return self._is_ahead(key, now) and not self._is_starved(key, now)
 
     def beside_others(self, need: Asked, now: float) -> float:
-        """Return a team's standing times the mean of the others that ask, 0 where none does."""
+        """Return a team's standing divided by the mean of the other active teams, 0 without any."""
         return self._times(_key(need), now)
 
     def ahead_by(self, need: Asked, now: float) -> float:
-        """Return how many times the others' standing a team has that is ahead of them, else 0.
+        """Return a team's relative standing if it is ahead of the others, otherwise 0.
 
-        For those who wait for the same room: whoever goes first keeps nobody from going at all.
+        Used to order queued requests: going first there does not exclude others altogether.
         """
         times = self.beside_others(need, now)
         if times < _AHEAD or self._is_starved(_key(need), now):
@@ -139,7 +141,7 @@
         return times
 
     def ahead(self, now: float) -> list[Ahead]:
-        """Return the team of each service and tier that others go before while room is short."""
+        """Return the team of each service and tier that others precede while capacity is short."""
         return [
             Ahead(key.service, key.tier, key.team, self._times(key, now))
             for key in self._ledger.largest(now)
@@ -147,7 +149,7 @@
         ]
 
     def forget(self, now: float) -> None:
-        """Drop what is known of teams that ask no more."""
+        """Drop the accounts of idle teams."""
         self._ledger.forget(now)
 
     def _is_ahead(self, key: AccountKey, now: float) -> bool:
@@ -156,13 +158,13 @@
         if standing <= 0.0 or standing < _MORE * self._mean_of_others(key, now):
             return False
         level = standing / _NEAR
-        # With `level` for everybody, less could be taken from others than this team lacks to it.
+        # At this standing for all teams, others would free less work than this team lacks up to it.
         teams = self._ledger.asking(key, now).teams
         above = sum(_over(part, level) for team, part in teams.items() if team != key.team)
         return above <= level * own.share - own.work(now)
 
     def _mean_of_others(self, key: AccountKey, now: float) -> float:
-        """Return the mean standing of the others that ask, by weight; endless without any."""
+        """Return the weighted mean standing of the other active teams, infinity without any."""
         asking = self._ledger.asking(key, now)
         own = asking.teams.get(key.team, _NOTHING)
         share = asking.share - own.share
@@ -181,7 +183,7 @@
 
 
 def _over(part: Part, level: float) -> float:
-    """Return the work that a team has had over a level beside its weight."""
+    """Return the work of a team above the standing `level`."""
     return max(0.0, part.work - level * part.share)
 
 
--- a/src/lotushill/shares/work.py
+++ b/src/lotushill/shares/work.py
@@ -1,4 +1,4 @@
-"""What requests cost the upstreams of a service. Pure."""
+"""Predicts the cost of requests to the upstreams of a service. Pure."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
     from lotushill.routing.service import Service
 
 _OUTPUT_WORTH = 10.0
-"""A token made costs an engine as much as so many that it reads."""
+"""Cost of a generated token to an engine, in prompt tokens read."""
 _LEAST_WORK = 1e-3
-"""So that no request is free."""
+"""Lower bound of the work of a request, so that no request is free."""
 
 
 class Placed(Protocol):
-    """What is known of a request that was sent to an upstream."""
+    """The properties of a request that was sent to an upstream."""
 
     @property
     def request(self) -> int:
@@ -23,35 +23,35 @@
 
     @property
     def team(self) -> int:
-        """Number of its team."""
+        """Number of the team."""
 
     @property
     def tier(self) -> int:
-        """0 is the most urgent."""
+        """Urgency; 0 is the most urgent."""
 
     @property
     def reading(self) -> int:
-        """Prompt tokens that have to be read."""
+        """Prompt tokens that the upstream has to read."""
 
     @property
     def prompt(self) -> int:
-        """Tokens of the whole prompt."""
+        """Number of tokens of the whole prompt."""
 
     @property
     def memory(self) -> int:
-        """Tokens of prompt and answer."""
+        """Number of tokens of prompt and answer."""
 
     @property
     def seconds(self) -> float:
-        """How long it is expected to run."""
+        """Expected run time."""
 
     @property
     def age(self) -> float:
-        """How long it has run already, in seconds."""
+        """Time since the start in seconds."""
 
 
 def predicted_work(placed: Placed, service: Service) -> float:
-    """Return what a request is expected to cost: tokens at an engine, seconds at plain services.
+    """Return the expected cost of a request: tokens at an engine, seconds at a plain service.
 
     Only requests of one service are compared with each other.
     """
