--- a/src/lotushill/returns/__init__.py
+++ b/src/lotushill/returns/__init__.py
@@ -1,3 +1,3 @@
-"""Retry promises: the retry times given to refused callers, and their priority on return."""
+"""Promised returns: the Retry-After times of refused callers, and their priority on return."""
 
 from __future__ import annotations
--- a/src/lotushill/returns/promise.py
+++ b/src/lotushill/returns/promise.py
@@ -24,7 +24,7 @@
 
 @dataclass
 class Promise:
-    """The retry time given to one caller, on the own clock."""
+    """The Retry-After time given to one caller, on the own clock."""
 
     service: str
     tier: int
--- a/src/lotushill/returns/promises.py
+++ b/src/lotushill/returns/promises.py
@@ -1,4 +1,4 @@
-"""Stores the retry times of refused callers, at each gateway that places requests. Pure.
+"""Stores the Retry-After times of refused callers, at each gateway that places requests. Pure.
 
 A caller is identified by its number, which is the same at all gateways, so that it may return to
 any of them. A promise is used once, and is valid neither before its time nor long after it.
@@ -139,9 +139,9 @@
         )
 
     def until_due(self, asker: Asker, now: float) -> float:
-        """Return how many seconds too early a caller's retry is, 0 if it is not.
+        """Return how many seconds too early a caller's return is, 0 if it is not.
 
-        While no other request is refused, a retry is accepted at any time.
+        While no other request is refused, a return is accepted at any time.
         """
         known = self._promises.get(asker.caller)
         if known is None or known.used or asker.arrived <= known.refused_at:
@@ -198,7 +198,7 @@
                 continue
             due, used = now + state.due_in, state.used
             if known is not None:
-                # A waiting request queries several gateways; its client was given one of their times.
+                # A waiting request queries several gateways; its client got one of their times.
                 due, used = min(due, known.due), used or known.used
             promise = Promise(
                 state.service, state.tier, due, now, state.first, own=False, used=used
--- a/src/lotushill/returns/room_rate.py
+++ b/src/lotushill/returns/room_rate.py
@@ -20,7 +20,7 @@
 
 
 class RoomRate:
-    """Counts started requests by service and tier, at all gateways whose reports are received."""
+    """Counts started requests by service and tier, at all gateways whose updates are received."""
 
     def __init__(self) -> None:
         self._slices: dict[tuple[str, int], deque[_Slice]] = {}
--- a/src/lotushill/returns/schedule.py
+++ b/src/lotushill/returns/schedule.py
@@ -1,8 +1,8 @@
-"""Computes retry times of refused requests. Pure.
+"""Computes Retry-After times of refused requests. Pure.
 
 Handles requests that arrive for some seconds at 1.3 to 2 times the rate at which capacity becomes
 free. Given the same short pause, nearly all refused callers would return into the same overload,
-and most clients retry only once.
+and most clients return only once.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 """Fraction of the freed capacity that goes to returning requests: with more, new requests that can
 still be on time would wait for returning ones, most of which no longer can."""
 LEAST_SECONDS = 0.2
-"""Minimum retry time: with a shorter one, requests refused together would meet the same full
+"""Minimum Retry-After time: with a shorter one, requests refused together would meet the same full
 slots."""
 _HONOURED_SHARE = 1.0 / 3.0
-"""Fraction of its time left up to which a client honours a retry time."""
+"""Fraction of its time left up to which a client honours a Retry-After time."""
 _MARGIN = 0.95
 """Fraction of that limit that is used, since the answer takes time to reach the client."""
 _SPREAD = 0.25
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Moment:
-    """A retry time and whether it is promised."""
+    """A Retry-After time and whether it is promised."""
 
     seconds: float
     promised: bool
@@ -33,7 +33,7 @@
 
 
 def latest(time_left: float) -> float:
-    """Return the longest retry time in seconds that a client with `time_left` honours."""
+    """Return the longest Retry-After time in seconds that a client with `time_left` honours."""
     return _MARGIN * _HONOURED_SHARE * max(0.0, time_left)
 
 
@@ -42,7 +42,7 @@
 
     `room_rate` is in requests per second; `spread`, from 0 to 1, is drawn at random for each
     request. If capacity becomes free too late for the client, it is given the latest time that it
-    honours, in case the overload has ended: sooner it would waste its last retry.
+    honours, in case the overload has ended: sooner it would waste its last return.
     """
     last = latest(time_left)
     reserved = RESERVED_SHARE * room_rate
--- a/src/lotushill/scheduling/__init__.py
+++ b/src/lotushill/scheduling/__init__.py
@@ -1,3 +1,3 @@
-"""Placement of requests by schedulers, and the exchange of load reports that it needs."""
+"""Placement of requests by schedulers, and the exchange of load updates that it needs."""
 
 from __future__ import annotations
--- a/src/lotushill/scheduling/hall_contact.py
+++ b/src/lotushill/scheduling/hall_contact.py
@@ -10,7 +10,7 @@
 SILENT_SECONDS = 0.8
 """Time without a batch after which a hall counts as silent: three missed batches and some jitter.
 The membership alone is too slow for this: it probes the members of a large hall one by one, and
-takes many seconds until it holds the last member of a hall that was cut off for lost."""
+takes many seconds until it marks the last member of a hall that was cut off as lost."""
 
 
 class HallContact:
--- a/src/lotushill/scheduling/line_keeper.py
+++ b/src/lotushill/scheduling/line_keeper.py
@@ -34,7 +34,7 @@
 _LOG_SECONDS = 1.0
 """Minimum interval between two log lines on one service."""
 _LAST_TIER = 255
-"""Highest tier that a report can hold: less urgent tiers are reported as this one."""
+"""Highest tier that an update can hold: less urgent tiers are sent as this one."""
 
 
 class LineKeeper:
@@ -50,7 +50,7 @@
         clock: Callable[[], float],
         log: EventLog | None = None,
     ) -> None:
-        """Run the queue of the gateway `name`; `tell` sends reports to the other schedulers."""
+        """Run the queue of the gateway `name`; `tell` sends updates to the other schedulers."""
         self._name = name
         self.line = line
         self._service_named = service_named
@@ -61,7 +61,7 @@
         self._answers: dict[int, Answer] = {}
         self._something = asyncio.Event()
         self._told: dict[str, float] = {}
-        """Times of the last reports by service, for services whose last report was not empty."""
+        """Times of the last updates by service, for services whose last update was not empty."""
         self._logged: dict[str, float] = {}
 
     def place(
@@ -86,7 +86,7 @@
         self._answers.pop(key, None)
 
     def drop_asker(self, name: str) -> None:
-        """Drop the queued requests and the queue report of a gateway that has left."""
+        """Drop the queued requests and the queue update of a gateway that has left."""
         self.line.rivals.drop(name)
         for key in [entry.key for entry in self.line.room if entry.asker == name]:
             self.drop(key)
@@ -124,7 +124,7 @@
         return LOOK_SECONDS
 
     def _tell_due(self, now: float) -> None:
-        """Report the queue lengths to other schedulers, and an empty queue once."""
+        """Send the queue lengths to other schedulers, and an empty queue once."""
         waiting = self.line.room.services()
         for name in {*waiting, *self._told}:
             if now - self._told.get(name, float("-inf")) < NEWS_SECONDS and name in waiting:
@@ -139,7 +139,7 @@
                 self._told.pop(name, None)
 
     def receive(self, news: WaitingNews) -> None:
-        """Store the queue report of another scheduler."""
+        """Store the queue update of another scheduler."""
         tiers = {tier: count for tier, count in zip(news.tiers, news.counts) if count}
         self.line.rivals.note(news.sender, news.service, tiers, self._clock())
 
--- a/src/lotushill/scheduling/load_relay.py
+++ b/src/lotushill/scheduling/load_relay.py
@@ -1,7 +1,7 @@
-"""Distributes load reports to all schedulers, in batches.
+"""Distributes load updates to all schedulers, in batches.
 
-A scheduler sends the other schedulers the load reports that it makes and receives. Any other
-gateway sends its reports to one scheduler of its hall, which forwards them. So only schedulers
+A scheduler sends the other schedulers the load updates that it makes and receives. Any other
+gateway sends its updates to one scheduler of its hall, which forwards them. So only schedulers
 receive the load of all gateways, and each of them receives a bounded number of datagrams, however
 many gateways there are.
 """
@@ -32,7 +32,7 @@
 
 
 class LoadRelay:
-    """Collects and forwards load reports; the clock is passed in, and `send` takes the packets."""
+    """Collects and forwards load updates; the clock is passed in, and `send` takes the packets."""
 
     def __init__(
         self,
@@ -51,13 +51,13 @@
         self._something = asyncio.Event()
 
     async def waits(self) -> None:
-        """Return when there are reports to forward."""
+        """Return when there are updates to forward."""
         await self._something.wait()
 
     def tell(self, records: bytes, turn: int, now: float) -> None:
         """Send records to all schedulers, through one of them if this gateway is not a scheduler.
 
-        `turn` is the number of the request: its reports go to the scheduler that was asked to
+        `turn` is the number of the request: its updates go to the scheduler that was asked to
         place it.
         """
         if self._schedulers.schedules():
--- a/src/lotushill/scheduling/model_sync.py
+++ b/src/lotushill/scheduling/model_sync.py
@@ -13,7 +13,7 @@
 _AGAIN_SECONDS = 0.5
 """Time without an answer after which the next scheduler is asked."""
 _MOST_PULLS = 3
-"""Maximum number of pulls; after them the model fills from the reports received from then on."""
+"""Maximum number of pulls; after them the model fills from the updates received from then on."""
 
 
 class ModelSync:
--- a/src/lotushill/scheduling/placement.py
+++ b/src/lotushill/scheduling/placement.py
@@ -16,7 +16,7 @@
 
     choice: Choice
     placed: Placed
-    """The report on it that other gateways receive."""
+    """The record of the request that other gateways receive."""
     memory: int = 0
     """Tokens that the upstream's running requests may occupy at their end."""
     scheduler: str = ""
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -50,10 +50,10 @@
 _LEAST_ALONE = 3
 _MOST_UNKNOWN = 2
 """Number of further queries after answers with an upstream that this gateway does not know; after
-them the request is refused with a retry time."""
+them the request is refused with a Retry-After time."""
 _UNKNOWN_RETRY = 0.2
-"""Retry time in seconds, within which this gateway is notified of an upstream that a scheduler
-knows already."""
+"""Retry-After time in seconds, within which this gateway is notified of an upstream that a
+scheduler knows already."""
 
 
 class Placer:
@@ -102,7 +102,7 @@
         return xxhash.xxh64_intdigest(f"{self._name}/{self._salt}/{next(self._numbers)}")
 
     def models_all(self) -> bool:
-        """Return whether this gateway receives the load reports of all others."""
+        """Return whether this gateway receives the load updates of all others."""
         return self._schedulers is None or self._schedulers.schedules()
 
     async def place(
--- a/src/lotushill/scheduling/shared_load.py
+++ b/src/lotushill/scheduling/shared_load.py
@@ -55,7 +55,7 @@
         tell: Callable[[Load], None],
         is_near: Callable[[str], bool] = lambda _: True,
     ) -> None:
-        """Update `fleet` by load reports; `service_of` finds an upstream's service by its id.
+        """Update `fleet` by load updates; `service_of` finds an upstream's service by its id.
 
         `is_near` returns whether a gateway is in the same hall.
         """
@@ -152,7 +152,7 @@
         """Return a snapshot of this gateway's requests, which repairs what others have missed.
 
         The numbers of all its requests end those that others still count; the ones that started
-        recently are sent again, in case the report of their start was lost.
+        recently are sent again, in case the update on their start was lost.
         """
         now = self._clock()
         self._lists += 1
@@ -180,7 +180,7 @@
         return loads
 
     def receive(self, load: Load) -> None:
-        """Merge a load report of another gateway."""
+        """Merge a load update of another gateway."""
         if load.sender == self._name:
             return
         now = self._clock()
@@ -200,7 +200,7 @@
                     self._count_out(Ended(request), held)
 
     def expire(self) -> None:
-        """Drop requests whose end was never reported, long after they should have ended."""
+        """Drop requests whose end was never received, long after they should have ended."""
         now = self._clock()
         for held in self._others.values():
             for request in [item for item in held if self._ends_by[item] < now]:
@@ -235,6 +235,6 @@
 
 
 def _started(sender: str, running: list[tuple[Placed, float]], now: float) -> Load:
-    """Return a load report of running requests, given with the times of their starts."""
+    """Return a load update on running requests, given with the times of their starts."""
     placed = tuple(replace(item, age=max(_LEAST_AGE, now - since)) for item, since in running)
     return Load(sender, False, placed=placed)
--- a/src/lotushill/shares/ledger.py
+++ b/src/lotushill/shares/ledger.py
@@ -1,7 +1,7 @@
 """Accounts of the work that each team has had at a service, summed over the fleet. Pure.
 
-The accounts are updated from the load reports of all gateways on the requests that they send, so
-every scheduler holds the same sums, except for reports in transit. After a restart a sum is rebuilt
+The accounts are updated from the load updates of all gateways on the requests that they send, so
+every scheduler holds the same sums, except for updates in transit. After a restart a sum is rebuilt
 from the requests still running; recent work is lost with the process, but has almost no weight
 after some ten seconds anyway.
 """
@@ -25,7 +25,7 @@
 """Time after a request for which its team counts as active, that is, as likely to send another."""
 _LOOK_SECONDS = 0.03
 """Time for which the set of active teams is cached: queued requests look it up some thirty times a
-second each, and load reports of other gateways are as old."""
+second each, and load updates of other gateways are as old."""
 _IDLE_SECONDS = 60.0
 """Time after which an account without work is dropped."""
 
--- a/src/lotushill/shares/shares.py
+++ b/src/lotushill/shares/shares.py
@@ -42,7 +42,7 @@
 it sends: users consider a team starved that is served less than a quarter as often as all."""
 _LEAST_SHARE = 1e-3
 _MOST_TIMES = 1000.0
-"""Relative standing reported for a team while the others have had no work."""
+"""Relative standing given for a team while the others have had no work."""
 _NOTHING = Part(0.0, 0.0)
 
 
--- a/src/lotushill/waiting/entry.py
+++ b/src/lotushill/waiting/entry.py
@@ -19,7 +19,7 @@
 _PATIENCE_SHARE = 0.9
 """Fraction of its client's patience for which a request stays queued: in the rest it can still
 begin together with others that are admitted at the same time, or be refused so that its client
-retries."""
+returns."""
 
 
 @dataclass(frozen=True)
--- a/src/lotushill/waiting/line.py
+++ b/src/lotushill/waiting/line.py
@@ -53,7 +53,7 @@
 _FOR_WANT_OF_ROOM = (Refusal.OVERLOAD, Refusal.NO_ROOM, Refusal.SHARE, Refusal.RETURNED)
 _NO_ROOM = NoChoice(Refusal.NO_ROOM, 0.0)
 _OVERLOAD = NoChoice(Refusal.OVERLOAD, 0.0)
-"""Interim refusals without a retry time: only the final answer tells the client when to retry."""
+"""Interim refusals without a Retry-After time, which only the final answer gives."""
 
 
 class WaitingLine:
@@ -122,7 +122,7 @@
     ) -> Choice | None:
         """Return an engine in whose own queue a short request is on time, None if there is none.
 
-        Engines admit the most urgent request first, some milliseconds before the report of the
+        Engines admit the most urgent request first, some milliseconds before the update on the
         free slot arrives at this gateway.
         """
         need = entry.need_at(now)
@@ -280,7 +280,7 @@
         """Return the expected time in seconds until the requests before this one are placed.
 
         While the queue is too new to have a known rate, the worst case is assumed for long
-        requests, since they can retry in time if they are refused at once, and no wait for short
+        requests, since they can return in time if they are refused at once, and no wait for short
         ones.
         """
         need = entry.need
--- a/src/lotushill/waiting/turns.py
+++ b/src/lotushill/waiting/turns.py
@@ -7,7 +7,7 @@
 
 Each slot of an engine is offered to the schedulers with queued requests in an order that all of
 them compute alike, the one with the most urgent requests first. A slot that stays free passes on to
-the next scheduler after the time that a load report takes.
+the next scheduler after the time that a load update takes.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 """Time until other schedulers have been notified that a slot was taken: one batch interval, two
 network transits and some margin."""
 NEWS_SECONDS = 0.05
-"""Interval between two queue reports of one scheduler."""
+"""Interval between two queue updates of one scheduler."""
 _FRESH_SECONDS = 0.2
-"""Age from which a queue report no longer counts: three reports may be lost."""
+"""Age from which a queue update no longer counts: three updates may be lost."""
 _RANKS_KEPT = 4096
 
 
 @dataclass
 class _Told:
-    """Last report of one scheduler on its queue of a service."""
+    """Last update of one scheduler on its queue of a service."""
 
     tiers: dict[int, int]
     at: float
 
 
 class Rivals:
-    """Queues of the other schedulers, by their reports."""
+    """Queues of the other schedulers, by their updates."""
 
     def __init__(self, own: str) -> None:
         self._own = own
@@ -48,7 +48,7 @@
         self._told.setdefault(service, {})[sender] = _Told(tiers, now)
 
     def drop(self, sender: str) -> None:
-        """Drop the reports of a gateway that has left."""
+        """Drop the updates of a gateway that has left."""
         for told in self._told.values():
             told.pop(sender, None)
 
