--- a/tests/returns/test_promises.py
+++ b/tests/returns/test_promises.py
@@ -1,4 +1,4 @@
-"""Who comes back as promised goes first, once; who comes early or often gains nothing."""
+"""Tests that a promised return has priority once, and early or repeated returns gain nothing."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def busy(until: float = 2.0) -> Returns:
-    """Return the promises of a gateway that hears of 40 requests a second that begin."""
+    """Return the promises of a gateway that has seen 40 requests start per second."""
     found = Returns()
     for number in range(int(until * RATE)):
         found.room.note("llm", 1, number / RATE)
@@ -77,7 +77,7 @@
         self.assertEqual(0.0, returns.until_due(asker(29, 2.6), 2.6))
 
     def test_no_more_than_the_reserve_goes_first(self) -> None:
-        """Promised while there was room for 40 a second; then half of the upstreams are lost."""
+        """The promises are made at a capacity of 40 per second; then half of it is lost."""
         returns = busy()
         due = [2.0 + returns.retry_after(asker(n, 2.0), 0.0, 2.0) for n in range(1, 25)]
         for number in range(60):
@@ -154,7 +154,7 @@
         self.assertEqual(2, sum(told))
 
     def test_of_two_times_told_the_earlier_counts(self) -> None:
-        """A request that waits asks several schedulers; its client hears the last one."""
+        """A waiting request queries several schedulers; its client receives the last answer."""
         here, there = busy(), busy()
         for number in range(50, 60):
             there.retry_after(asker(number, 2.0), 0.0, 2.0)
--- a/tests/returns/test_schedule.py
+++ b/tests/returns/test_schedule.py
@@ -20,7 +20,7 @@
         self.assertAlmostEqual(91.0 / (20.0 * RESERVED_SHARE), moment(90, 20.0, 30.0, 0.5).seconds)
 
     def test_who_cannot_wait_so_long_is_promised_nothing(self) -> None:
-        """A digest with 5 s left comes back within 1.7 s, whatever it is told."""
+        """A client with 5 s left returns within 1.7 s, whatever Retry-After time it is given."""
         self.assertTrue(moment(10, 20.0, 5.0, 0.0).promised)
         late = moment(40, 20.0, 5.0, 0.0)
         self.assertFalse(late.promised)
--- a/tests/scheduling/test_fleet_learning.py
+++ b/tests/scheduling/test_fleet_learning.py
@@ -1,9 +1,9 @@
-"""What one gateway learns of an upstream, all that place requests know.
+"""Tests that what one gateway learns of an upstream reaches all schedulers.
 
-What happened: each of 195 gateways found a failing engine by its own requests, one in some 50 s to
-each engine, and had forgotten it before it met it again. The cause: only what runs was told to all,
-and not how it ended. With 61 gateways before nine engines of which two failed six in ten requests,
-232 of 2,201 runs went badly; with ends told, 79 of 2,170.
+Guards against load updates that contain the running requests but not their outcomes. Each of 195
+gateways then found a failing engine only by its own requests, one in some 50 s to each engine, and
+the finding had expired before the next one. With 61 gateways and nine engines, of which two failed
+six in ten requests, 232 of 2,201 runs failed; with outcomes in the updates, 79 of 2,170.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 CALM_SECONDS = 4.0
 LEARNING_SECONDS = 4.0
 MOST_SENT = 20
-"""Requests to a bad engine until the fleet has turned away, however many gateways there are."""
+"""Maximum number of requests to a bad engine until the fleet avoids it, for any number of
+gateways."""
 
 
 def struck(gateways: int, fails: float = 0.0, slow: float = 1.0, silent: bool = False) -> int:
-    """Return how many requests go to the busiest engine after it turned bad."""
+    """Return how many requests are sent to the busiest engine after it has become bad."""
     fleet = VirtualFleet(gateways, seed=2)
     fleet.run(CALM_SECONDS)
     name = max(fleet.engines, key=lambda item: fleet.sent_between(item, 0.0, CALM_SECONDS))
--- a/tests/scheduling/test_lives.py
+++ b/tests/scheduling/test_lives.py
@@ -1,4 +1,4 @@
-"""An upstream that starts again under its name: news of its former life change nothing."""
+"""Tests that updates on a former incarnation of an upstream do not affect the new one."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class TestNews(unittest.TestCase):
-    """One gateway hears of what another sends, while the upstream ends and starts again."""
+    """One gateway receives the updates of another while the upstream ends and starts again."""
 
     def setUp(self) -> None:
         self.now = 10.0
--- a/tests/scheduling/test_placement_client.py
+++ b/tests/scheduling/test_placement_client.py
@@ -1,4 +1,4 @@
-"""The exchange between a gateway that has a request and the schedulers it asks."""
+"""Tests of the placement queries that a gateway sends to schedulers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def large_fleet() -> Membership:
-    """Return the membership of a gateway that is no scheduler."""
+    """Return the membership of a gateway that is not a scheduler."""
     network = Network(0)
     for index in range(FLEET):
         network.add(index, seeds=[network.address(item) for item in range(FLEET)])
@@ -104,7 +104,7 @@
         asked = [name for name, _ in self.asked]
         self.assertEqual(3, len(set(asked)))
         halls = {state.hall for name in asked if (state := self.membership.find(name))}
-        self.assertEqual(2, len(halls), "one of another hall is asked too")
+        self.assertEqual(2, len(halls), "a scheduler of another hall is asked too")
 
     async def test_a_late_answer_is_given_up(self) -> None:
         answers: list[PlacementAnswer] = []
--- a/tests/scheduling/test_placer.py
+++ b/tests/scheduling/test_placer.py
@@ -1,4 +1,7 @@
-"""A gateway that asks schedulers tells them what only it knows: who wants nothing from it."""
+"""Tests that placement queries exclude upstreams that accept no requests from this gateway.
+
+Only this gateway knows them, so a scheduler would choose them without that.
+"""
 
 from __future__ import annotations
 
@@ -45,14 +48,14 @@
 
 
 class AskingOnly:
-    """Schedulers of which this gateway is none."""
+    """Fake schedulers; this gateway is not one of them."""
 
     def schedules(self) -> bool:
         return False
 
 
 class Client:
-    """Schedulers that answer with the first upstream that is not left out, or not at all."""
+    """Fake client whose schedulers answer with the first upstream not excluded, or not at all."""
 
     def __init__(self) -> None:
         self.asks: list[PlacementAsk] = []
@@ -68,7 +71,7 @@
 
 
 class FakeRequest:
-    """As much of a request as a placer reads."""
+    """The attributes of a request that a placer reads."""
 
     need = Need("llm", "r", 0.4, 0.2, 5.0, True, 100, 20, ())
     service = SERVICE
@@ -128,7 +131,7 @@
             self.assertNotIn(found.choice.upstream.id, names)
 
     async def test_one_that_has_just_started_sends_to_all_by_turns(self) -> None:
-        """Its model is empty: by it, every gateway would choose the same upstream."""
+        """Its model is empty: by this model, every gateway would choose the same upstream."""
         self.client.silent = True
         self.knows_fleet = False
         taken = set()
--- a/tests/scheduling/test_shared_load.py
+++ b/tests/scheduling/test_shared_load.py
@@ -29,7 +29,7 @@
 
 @dataclass
 class Node:
-    """One gateway's part, with what it told."""
+    """The shared load of one gateway, with the updates that it has published."""
 
     name: str
     clock: list[float]
@@ -69,7 +69,7 @@
         lives = [0] * 9
         for what, number, arrives in steps:
             self.clock[0] += 0.01
-            # As in a gateway, an attempt that ended never starts again under its number.
+            # As in a gateway, the number of an attempt that has ended is never used again.
             name = f"one/{number}.{lives[number]}"
             if what == "start":
                 self.one.load.start(placed(name), SERVICE)
--- a/tests/scheduling/test_told_paces.py
+++ b/tests/scheduling/test_told_paces.py
@@ -1,7 +1,7 @@
-"""A gateway that becomes a scheduler knows at once how fast each engine is.
+"""Tests that a gateway that becomes a scheduler receives the pace of each engine.
 
-It held all engines for alike, and until its own streams had told otherwise a fifth and more of what
-it placed went to engines that everybody else knew to be slow.
+Without it, the gateway took all engines for equally fast, and until it had learned otherwise from
+its own streams it placed a fifth and more of its requests on engines known as slow to all others.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def uneven(gateways: int) -> VirtualFleet:
-    """Return a fleet of which a quarter of the engines are slow, after some seconds."""
+    """Return a fleet that has run for some seconds, with a quarter of the engines slow."""
     fleet = VirtualFleet(gateways, engines=12, seed=3)
     for name in SLOW:
         fleet.engines[name].slow = 2.2
--- a/tests/scheduling/test_waiting_client.py
+++ b/tests/scheduling/test_waiting_client.py
@@ -1,6 +1,6 @@
-"""A gateway whose request waits at a scheduler: what is lost on the way, or with its holder.
+"""Tests of requests queued at a scheduler when datagrams or the scheduler itself are lost.
 
-The scheduler is a fake, and one failure is brought about in each test.
+The scheduler is a fake, and each test causes one failure.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class Holder:
-    """A scheduler that holds what it is asked for, until it is told to place it."""
+    """Fake scheduler that queues each request until `place` is called."""
 
     def __init__(self, name: str, answer: Callable[[PlacementAnswer], None]) -> None:
         self.name = name
@@ -34,12 +34,12 @@
         self.left: list[int] = []
         self.silent = False
         self.places_after = 10**6
-        """Asks that are answered as held."""
+        """Number of queries answered as queued before a request is placed."""
         self.grants: dict[int, PlacementAnswer] = {}
         self._answer = answer
 
     def take(self, ask: PlacementAsk) -> None:
-        """Take in an ask; one that was placed is answered alike again."""
+        """Handle a query; one for a placed request is answered with the same placement again."""
         if self.silent:
             return
         if ask.leaves:
@@ -52,7 +52,7 @@
             self._answer(PlacementAnswer(self.name, ask.request, refusal=HELD, retry_after=RENEW))
 
     def place(self, request: int, lost: bool = False) -> None:
-        """Place a request, and have its answer lost on the way if so told."""
+        """Place a request; drop the answer if `lost` is true."""
         grant = self.grants.setdefault(request, PlacementAnswer(self.name, request, "b0"))
         if not lost:
             self._answer(grant)
@@ -86,7 +86,7 @@
         return replace(ASK, request=next(self.numbers), waits=True, waited=waited)
 
     async def start(self) -> asyncio.Task[PlacementAnswer | None]:
-        """Have a request wait at the first scheduler."""
+        """Start a request and return once it is queued at the first scheduler."""
         task = asyncio.create_task(self.client.ask(self.make))
         while not self.first.asks:
             await asyncio.sleep(0)
@@ -111,7 +111,7 @@
         self.assertGreater(waited[-1], 2 * RENEW)
 
     async def test_a_holder_that_is_lost_is_passed_over_and_the_place_kept(self) -> None:
-        """Killed, frozen and cut off look the same from here: it no longer answers."""
+        """Killed, frozen or cut off: in each case the scheduler no longer answers."""
         self.second.places_after = 0
         task = await self.start()
         self.first.silent = True
@@ -119,7 +119,7 @@
         assert answer is not None
         self.assertEqual(self.second.name, answer.sender)
         self.assertGreater(self.second.asks[0].waited, RENEW)
-        self.assertNotEqual(1, answer.request, "what the first may place later is told apart")
+        self.assertNotEqual(1, answer.request, "a later placement by the first must differ")
 
     async def test_what_a_frozen_holder_places_later_is_given_up(self) -> None:
         self.second.places_after = 0
@@ -158,7 +158,7 @@
         assert answer is not None
         self.client.receive(self.first.grants[1])
         await asyncio.sleep(RENEW)
-        self.assertEqual([], self.late, "it runs, and is not to be ended")
+        self.assertEqual([], self.late, "the request runs and must not be ended")
 
     async def test_an_answer_right_behind_the_word_that_it_waits_is_not_missed(self) -> None:
         task = asyncio.create_task(self.client.ask(self.make))
--- a/tests/scheduling/test_waiting_desk.py
+++ b/tests/scheduling/test_waiting_desk.py
@@ -1,4 +1,4 @@
-"""A scheduler that holds requests of other gateways, and a gateway that holds its own."""
+"""Tests of queueing at a scheduler, for requests of other gateways and for its own."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class Scheduler:
-    """The model, the line and the desk of one scheduler whose engines are full."""
+    """The model, queue and placement responder of one scheduler whose engines are full."""
 
     def __init__(self) -> None:
         self.now = START
@@ -81,14 +81,14 @@
         return self.now
 
     def end(self, number: int) -> None:
-        """Free a slot."""
+        """End a running request, which frees its slot."""
         self.fleet.end(Ended(number), self.now)
 
     def answer(self, item: PlacementAsk) -> PlacementAnswer:
         return self.desk.answer(item, self.now)
 
     def look(self, seconds: float = 0.01) -> None:
-        """Let time pass, and look for room."""
+        """Advance the clock and process the queue."""
         self.now += seconds
         self.keeper.look()
 
@@ -107,7 +107,7 @@
         self.scheduler.look()
         answer, name = self.scheduler.sent[0]
         self.assertEqual((1, "e0", "gw"), (answer.request, answer.upstream, name))
-        self.assertTrue(self.scheduler.fleet.knows(1), "it is counted in")
+        self.assertTrue(self.scheduler.fleet.knows(1), "the model contains the request")
 
     def test_a_gateway_that_cannot_wait_is_answered_as_before(self) -> None:
         answer = self.scheduler.answer(replace(ask(1), waits=False))
@@ -141,7 +141,7 @@
         self.assertEqual(([], 0), (self.scheduler.sent, len(self.scheduler.line.room)))
 
     def test_one_that_is_asked_for_no_more_expires(self) -> None:
-        """Its gateway was killed, or cut off: a slot would be kept for nobody."""
+        """If its gateway was killed or cut off, a slot would be reserved for no one."""
         self.scheduler.answer(ask(1))
         self.scheduler.now += EXPIRY_SECONDS + 0.1
         self.scheduler.end(1_003)
@@ -170,7 +170,7 @@
 
 
 class FakeRequest:
-    """As much of a request as a placer reads."""
+    """The attributes of a request that a placer reads."""
 
     need = chat()
     service = SERVICE
@@ -180,7 +180,7 @@
 
 
 class TestOwnRequests(unittest.IsolatedAsyncioTestCase):
-    """A small fleet, in which each gateway places by its own model."""
+    """Tests in a small fleet, in which each gateway places by its own model."""
 
     def setUp(self) -> None:
         self.scheduler = Scheduler()
@@ -193,7 +193,7 @@
         )  # fmt: skip
 
     async def start(self) -> asyncio.Task[Placement | NoChoice]:
-        """Have a request of this gateway wait."""
+        """Start a request of this gateway and return once it is queued."""
         request = cast("Request", FakeRequest())
         task = asyncio.create_task(self.placer.place(request, frozenset(), False))
         await asyncio.sleep(0)
--- a/tests/scheduling/virtual_fleet.py
+++ b/tests/scheduling/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of gateways and engines in virtual time: the real decisions, news with a delay."""
+"""A fleet of gateways and engines in virtual time: real decisions, updates with a delay."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 SERVICE = Service("llm", 1300, EngineProfile(24, 478_000, 7))
 HALLS = 6
 NEWS_SECONDS = 0.025
-"""Until other schedulers hear of something: a batch and the way."""
+"""Delay until other schedulers receive an update: a batch interval and the network transit."""
 EVENT_SECONDS = 0.03
 EVENTS = 40
 FIRST_SECONDS = 0.06
@@ -37,21 +37,21 @@
 
 @dataclass
 class Engine:
-    """How an engine behaves from some moment on."""
+    """The current behaviour of an engine."""
 
     upstream: Upstream
     fails: float = 0.0
-    """Share of its requests."""
+    """Fraction of its requests that fail."""
     slow: float = 1.0
-    """How many times longer it takes."""
+    """Factor by which its requests take longer."""
     silent: bool = False
     sent: list[float] = field(default_factory=list)
-    """When requests were sent to it."""
+    """Times at which requests were sent to it."""
 
 
 @dataclass
 class Scheduler:
-    """A gateway that places, for itself and for others."""
+    """A gateway that places its own requests and those of others."""
 
     name: str
     hall: str
@@ -61,7 +61,7 @@
 
 
 class VirtualFleet:
-    """So many gateways, each with one request a second, before 39 engines."""
+    """`gateways` gateways, each with one request per second, in front of 39 engines by default."""
 
     def __init__(self, gateways: int, engines: int = 39, seed: int = 1) -> None:
         self.now = 0.0
@@ -85,7 +85,7 @@
             self._later(self.rng.random(), lambda index=index: self._arrive(index))  # type: ignore[misc]
 
     def run(self, until: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time to `until`."""
         while self._due and self._due[0][0] <= until:
             self.now, _, call = heapq.heappop(self._due)
             call()
@@ -138,7 +138,7 @@
             self._run(scheduler, sender, number, self.engines[answer.upstream])
 
     def _run(self, scheduler: Scheduler, sender: str, number: int, engine: Engine) -> None:
-        """Have a request run, and its news told as its gateway would tell them."""
+        """Run a request, and send its updates as its gateway would send them."""
         engine.sent.append(self.now)
         news = SharedLoad(sender, Fleet(scheduler.hall), lambda: self.now, lambda _: SERVICE,
                           lambda load: self._tell(scheduler, load))  # fmt: skip
@@ -159,7 +159,7 @@
         self._later(whole, lambda: news.end(number, Outcome.WHOLE, whole))
 
     def _tell(self, scheduler: Scheduler, load: Load) -> None:
-        """Have a gateway tell its scheduler, which tells the others."""
+        """Send an update to the scheduler of a gateway, which forwards it to the others."""
         self._later(0.001, lambda: scheduler.load.receive(load))
         for other in self.schedulers:
             if other is not scheduler:
--- a/tests/shares/test_shares.py
+++ b/tests/shares/test_shares.py
@@ -1,4 +1,4 @@
-"""Who has had more than its share of a service."""
+"""Tests of the accounts of teams and of the decision which team is over its share."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         self.requests = 0
 
     def run_for(self, team: str, count: int, tier: int = 0, share: float = 1.0) -> None:
-        """Let a team ask for so many requests, which all run from the start."""
+        """Start `count` requests of a team at time 0."""
         self.shares.note_ask(Ask(team, share, tier), 0.0)
         for _ in range(count):
             self.requests += 1
@@ -94,7 +94,7 @@
         self.assertEqual([], [team for team in "abc" if self.over(team)])
 
     def test_a_team_is_not_starved_however_much_it_asks(self) -> None:
-        """Of a team's requests a third of the part stays that is placed of all."""
+        """A team keeps about a third of the fraction of requests that is placed for all teams."""
         self.run_for("much", 10)
         self.run_for("some", 2)
         for _ in range(100):
@@ -118,7 +118,7 @@
         self.assertTrue(self.over("small"))
 
     def test_what_small_teams_leave_is_divided_among_those_that_want_it(self) -> None:
-        """Of four large teams beside twenty small ones, only the one with most gives way."""
+        """Of four large teams and twenty small ones, only the team with the most work gives way."""
         for number in range(20):
             self.run_for(f"small{number}", 1)
         for number in range(3):
--- a/tests/waiting/__init__.py
+++ b/tests/waiting/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of requests that wait for room."""
+"""Tests of lotushill.waiting."""
 
 from __future__ import annotations
--- a/tests/waiting/entries.py
+++ b/tests/waiting/entries.py
@@ -1,4 +1,4 @@
-"""Requests and engines for tests of what waits."""
+"""Requests and engines for tests of the admission queue."""
 
 from __future__ import annotations
 
@@ -21,30 +21,30 @@
 
 
 def chat(tokens: int = CHAT_TOKENS, team: str = "", caller: int = 0) -> Need:
-    """Return what a short urgent request needs."""
+    """Return the need of a short, urgent request."""
     parts = (PromptPart(7, tokens),)
     return Need("llm", "chat", 0.5, 0.2, 12.0, True, tokens, 50, parts, 0, team, caller=caller)
 
 
 def triage(tokens: int = CHAT_TOKENS) -> Need:
-    """Return what a short request of the middle tier needs."""
+    """Return the need of a short request of the middle tier."""
     parts = (PromptPart(9, tokens),)
     return Need("llm", "triage", 0.5, 0.2, 12.0, True, tokens, 50, parts, 1)
 
 
 def letter(tokens: int = LETTER_TOKENS) -> Need:
-    """Return what a long, less urgent request needs."""
+    """Return the need of a long, less urgent request."""
     parts = (PromptPart(8, tokens),)
     return Need("llm", "letter", 1.5, 0.5, 10.0, True, tokens, 50, parts, 2)
 
 
 def waiting(key: int, need: Need, since: float = 100.0, asker: str = "gw") -> Waiting:
-    """Return a request that came at some moment, and asked then."""
+    """Return a queue entry that arrived at `since` and has not been renewed."""
     return Waiting(key, need, asker, since, since)
 
 
 def placed(number: int, upstream: str, need: Need, seconds: float = 2.0) -> Placed:
-    """Return news of a request that runs."""
+    """Return the load record of a running request."""
     return Placed(
         number, upstream, 0, need.prompt_tokens, need.gap, seconds, 0.0,
         began=True, route=route_number(need.route), tier=need.tier, prompt=need.prompt_tokens,
@@ -54,7 +54,7 @@
 def filled_fleet(now: float = 100.0, known: bool = True) -> Fleet:
     """Return the model of two engines whose slots are all taken by urgent requests.
 
-    Where both kinds are `known`, the longer one counts as long.
+    If `known` is true, the model has seen both kinds of request, and the longer one counts as long.
     """
     fleet = Fleet("z")
     number = 1_000
--- a/tests/waiting/test_line.py
+++ b/tests/waiting/test_line.py
@@ -1,6 +1,6 @@
-"""Who waits, who goes first, and who is given up.
+"""Tests of queueing, order and refusal in the admission queue.
 
-The load: all slots of all engines are taken, and more comes than ends.
+All slots of all engines are taken, and more requests arrive than end.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class LeastFirst:
-    """Shares of teams by name."""
+    """Fake team shares, by the name of the team."""
 
     def ahead_by(self, need: Need, now: float) -> float:
         del now
@@ -43,7 +43,7 @@
 
 
 class Told:
-    """Callers that come back as they were told."""
+    """Fake promised returns: only caller 7 has one."""
 
     def is_due(self, caller: int, now: float) -> bool:
         del now
@@ -59,7 +59,7 @@
         return self.line.place(entry, SERVICE, UPSTREAMS, now)
 
     def due(self, now: float) -> list[tuple[int, bool]]:
-        """Return the keys of what is due, with whether it was placed, and count that in."""
+        """Return the due keys and whether each was placed; add placed ones to the model."""
         found = []
         for entry, answer in self.line.due(SERVICE, UPSTREAMS, now):
             if isinstance(answer, Choice):
@@ -105,13 +105,13 @@
         self.assertEqual([3, 2, 1], [key for key, _ in self.due(START + 0.03)])
 
     def test_a_short_one_goes_to_a_queue_in_which_it_is_in_time(self) -> None:
-        """Held here it would hear of a free slot later than the engine that frees it."""
+        """In the queue it would get a free slot later than in the engine that frees it."""
         slow = replace(chat(), target=60.0)
         self.assertIsInstance(self.place(waiting(1, slow)), Choice)
         self.assertIsInstance(self.place(waiting(2, chat())), Held)
         later = START + 0.01
         found = self.place(waiting(3, slow, later), later)
-        self.assertIsInstance(found, Held, "it stands behind the other")
+        self.assertIsInstance(found, Held, "it must not overtake the queued request")
 
     def test_a_newcomer_does_not_overtake_those_that_wait(self) -> None:
         self.place(waiting(1, chat()))
@@ -127,7 +127,7 @@
         self.assertEqual([(2, True)], self.due(late))
 
     def test_who_had_less_of_its_share_goes_first_and_who_returns_before_that(self) -> None:
-        """Who returns goes before others of its share, and of a team over it before nobody."""
+        """A returning caller precedes equal teams only, and none if its team is over its share."""
         for first, needs in (
             (2, (chat(team="had much"), chat(team="had little"), chat(caller=7))),
             (1, (chat(team="had much", caller=7), chat(team="had little"), chat(team="had some"))),
@@ -181,7 +181,10 @@
         self.assertIsInstance(self.place(waiting(91, chat(), now), now), Held)
 
     def test_what_began_after_a_wait_in_an_engine_counts_from_then(self) -> None:
-        """Queued for six seconds it would be forgotten, and begin while urgent ones are refused."""
+        """Counted from when it was sent, six seconds ago, it would no longer count as just begun.
+
+        Urgent requests would then be refused although the larger one has begun.
+        """
         told = replace(placed(2_000, "e0", letter()), began=False)
         self.fleet.start(told, SERVICE, START - 6.0)
         self.assertFalse(self.fleet.shedding.must_serve(chat(), START))
--- a/tests/waiting/test_room.py
+++ b/tests/waiting/test_room.py
@@ -1,4 +1,4 @@
-"""The room is bounded in number, bytes and time."""
+"""Tests of the bounds of the queue storage: number, bytes and time."""
 
 from __future__ import annotations
 
--- a/tests/waiting/test_turns.py
+++ b/tests/waiting/test_turns.py
@@ -1,4 +1,4 @@
-"""Freed slots go round among up to eight schedulers, and none stays empty."""
+"""Tests that each freed slot is filled by one of up to eight schedulers, and none stays empty."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def schedulers(tiers: dict[str, dict[int, int]], now: float = 0.0) -> dict[str, Turns]:
-    """Return the turns of schedulers that have heard what waits at each other."""
+    """Return the slot turns of schedulers that have received each other's queue updates."""
     found = {}
     for name in tiers:
         rivals = Rivals(name)
@@ -24,7 +24,7 @@
 
 
 def takers(all_turns: dict[str, Turns], tier: int, free: int, now: float) -> list[str]:
-    """Return who takes slots of one engine, each as many as it may before news come."""
+    """Return the names of schedulers that take slots of one engine, before any update arrives."""
     found = []
     for name, turns in all_turns.items():
         left = free
@@ -70,7 +70,7 @@
         self.assertEqual(["s3"] * 4, takers({"s3": turns["s3"]}, 2, 4, 5.0))
 
     def test_an_engine_that_was_away_counts_as_just_freed(self) -> None:
-        """All would otherwise fill it at once when it comes back."""
+        """Otherwise all schedulers would fill it at once when it is reachable again."""
         turns = schedulers({name: {2: 5} for name in NAMES}, now=9.9)
         for item in turns.values():
             item.look("e0", 16, 1.0)
