--- a/tests/returns/test_promises.py
+++ b/tests/returns/test_promises.py
@@ -30,7 +30,7 @@
 
 
 class TestPromises(unittest.TestCase):
-    def test_who_comes_at_its_time_is_due_once(self) -> None:
+    def test_a_promise_is_valid_once_at_its_due_time(self) -> None:
         returns = busy()
         due = 2.0 + returns.retry_after(asker(7, 2.0), 0.0, 2.0)
         self.assertFalse(returns.is_due(7, 2.0))
@@ -40,18 +40,18 @@
         self.assertFalse(returns.note_placed(7, due))
         self.assertEqual(0, len(returns))
 
-    def test_a_place_is_not_kept_for_ever(self) -> None:
+    def test_a_promise_expires(self) -> None:
         returns = busy()
         due = 2.0 + returns.retry_after(asker(7, 2.0), 0.0, 2.0)
         self.assertFalse(returns.is_due(7, due + KEPT_SECONDS + 0.1))
 
-    def test_returns_are_spread_over_the_time_when_room_comes(self) -> None:
+    def test_returns_are_spread_at_the_rate_of_freed_capacity(self) -> None:
         returns = busy()
         pauses = [returns.retry_after(asker(n, 2.0), 0.5, 2.0) for n in range(1, 25)]
         self.assertEqual(sorted(pauses), pauses)
         self.assertAlmostEqual(24 / (RATE * RESERVED_SHARE), pauses[-1], delta=0.2)
 
-    def test_a_request_that_waits_keeps_the_time_it_was_told_first(self) -> None:
+    def test_a_repeated_refusal_keeps_the_first_due_time(self) -> None:
         returns = busy()
         for number in range(1, 20):
             returns.retry_after(asker(number, 2.0), 0.0, 2.0)
@@ -60,7 +60,7 @@
         self.assertAlmostEqual(first - 0.03, again)
         self.assertEqual(20, len(returns))
 
-    def test_who_comes_early_is_sent_away_until_its_time(self) -> None:
+    def test_an_early_return_is_refused_until_its_due_time(self) -> None:
         returns = busy()
         for number in range(1, 20):
             returns.retry_after(asker(number, 2.0), 0.0, 2.0)
@@ -70,13 +70,13 @@
             self.assertAlmostEqual(told - seconds, returns.until_due(early, 2.0 + seconds))
             self.assertFalse(returns.is_due(20, 2.0 + seconds))
 
-    def test_but_it_is_welcome_when_nobody_else_is_refused(self) -> None:
+    def test_an_early_return_is_accepted_while_no_other_is_refused(self) -> None:
         returns = busy()
         for number in range(1, 30):
             returns.retry_after(asker(number, 2.0), 0.0, 2.0)
         self.assertEqual(0.0, returns.until_due(asker(29, 2.6), 2.6))
 
-    def test_no_more_than_the_reserve_goes_first(self) -> None:
+    def test_returns_with_priority_are_limited_to_the_reserve(self) -> None:
         """The promises are made at a capacity of 40 per second; then half of it is lost."""
         returns = busy()
         due = [2.0 + returns.retry_after(asker(n, 2.0), 0.0, 2.0) for n in range(1, 25)]
@@ -90,14 +90,14 @@
         self.assertLessEqual(placed, RESERVED_SHARE * 20 + 2)
         self.assertGreater(placed, 4)
 
-    def test_none_goes_first_while_a_more_urgent_tier_is_refused(self) -> None:
+    def test_returns_have_no_priority_while_a_more_urgent_tier_is_refused(self) -> None:
         returns = busy()
         due = 2.0 + returns.retry_after(asker(7, 2.0, tier=1), 0.0, 2.0)
         returns.retry_after(asker(8, due, tier=0), 0.0, due)
         self.assertTrue(returns.has_place(7, due))
         self.assertFalse(returns.is_due(7, due))
 
-    def test_a_storm_of_refusals_is_bounded(self) -> None:
+    def test_number_of_promises_is_bounded(self) -> None:
         returns = busy()
         for number in range(1, 3 * MOST_PROMISES):
             returns.retry_after(asker(number, 2.0), 0.0, 2.0)
@@ -105,7 +105,7 @@
         returns.retry_after(asker(1, 20.0), 0.0, 20.0)
         self.assertLessEqual(len(returns), 1)
 
-    def test_more_urgent_tiers_come_first_in_the_backlog(self) -> None:
+    def test_the_backlog_counts_only_tiers_at_least_as_urgent(self) -> None:
         returns = busy()
         for number in range(1, 10):
             returns.retry_after(asker(number, 2.0, tier=1), 0.0, 2.0)
@@ -116,7 +116,9 @@
         self.assertLess(urgent, returns.retry_after(asker(98, 2.1), 0.0, 2.1))
 
     @given(st.lists(st.tuples(st.floats(0.0, 0.5), st.integers(1, 6), st.booleans()), max_size=60))
-    def test_places_are_counted_truly(self, steps: list[tuple[float, int, bool]]) -> None:
+    def test_open_promises_are_counted_correctly(
+        self, steps: list[tuple[float, int, bool]]
+    ) -> None:
         returns, now = busy(), 2.0
         for pause, caller, placed in steps:
             now += pause
@@ -132,14 +134,14 @@
 
 
 class TestNews(unittest.TestCase):
-    def test_a_caller_may_return_to_another_gateway(self) -> None:
+    def test_a_promise_is_valid_at_another_gateway(self) -> None:
         here, there = busy(), busy()
         told = here.retry_after(asker(7, 2.0), 0.9, 2.0)
         self.assertEqual([], here.due_news(2.05))
         there.hear(here.due_news(2.11), 2.13)
         self.assertTrue(there.is_due(7, 2.0 + told + 0.02))
 
-    def test_what_was_used_there_is_used_here(self) -> None:
+    def test_a_promise_used_at_another_gateway_is_used_here(self) -> None:
         here, there = busy(), busy()
         told = here.retry_after(asker(7, 2.0), 0.9, 2.0)
         there.hear(here.due_news(2.11), 2.11)
@@ -147,13 +149,13 @@
         here.hear(there.due_news(2.0 + told), 2.0 + told)
         self.assertFalse(here.is_due(7, 2.0 + told))
 
-    def test_each_is_told_twice_and_no_more(self) -> None:
+    def test_each_promise_is_sent_twice(self) -> None:
         returns = busy()
         returns.retry_after(asker(7, 2.0), 0.0, 2.0)
         told = [len(returns.due_news(2.0 + tick * 0.05)) for tick in range(60)]
         self.assertEqual(2, sum(told))
 
-    def test_of_two_times_told_the_earlier_counts(self) -> None:
+    def test_the_earlier_of_two_due_times_is_valid(self) -> None:
         """A waiting request queries several schedulers; its client receives the last answer."""
         here, there = busy(), busy()
         for number in range(50, 60):
@@ -166,7 +168,7 @@
         for returns in (here, there):
             self.assertEqual(0.0, returns.until_due(asker(7, 2.0 + first), 2.0 + first))
 
-    def test_figures_without_sense_are_passed_over(self) -> None:
+    def test_implausible_times_are_ignored(self) -> None:
         here, there = busy(), Returns()
         here.retry_after(asker(7, 2.0), 0.0, 2.0)
         state = here.due_news(2.2)[0]
--- a/tests/returns/test_schedule.py
+++ b/tests/returns/test_schedule.py
@@ -14,23 +14,23 @@
 
 
 class TestSchedule(unittest.TestCase):
-    def test_the_farther_back_the_later(self) -> None:
+    def test_the_time_grows_with_the_backlog(self) -> None:
         seconds = [moment(backlog, 20.0, 30.0, 0.5).seconds for backlog in range(0, 90, 5)]
         self.assertEqual(sorted(seconds), seconds)
         self.assertAlmostEqual(91.0 / (20.0 * RESERVED_SHARE), moment(90, 20.0, 30.0, 0.5).seconds)
 
-    def test_who_cannot_wait_so_long_is_promised_nothing(self) -> None:
+    def test_a_client_with_too_little_time_left_gets_no_promise(self) -> None:
         """A client with 5 s left returns within 1.7 s, whatever Retry-After time it is given."""
         self.assertTrue(moment(10, 20.0, 5.0, 0.0).promised)
         late = moment(40, 20.0, 5.0, 0.0)
         self.assertFalse(late.promised)
         self.assertEqual(latest(5.0), late.seconds)
 
-    def test_without_room_nobody_is_promised_any(self) -> None:
+    def test_no_promise_is_made_without_free_capacity(self) -> None:
         self.assertFalse(moment(0, 0.0, 30.0, 0.5).promised)
 
     @given(st.integers(0, 10_000), st.floats(0.0, 1e4), st.floats(0.0, 1e4), st.floats(0.0, 0.999))
-    def test_no_client_is_told_to_wait_longer_than_it_would(
+    def test_the_time_never_exceeds_what_the_client_honours(
         self, backlog: int, rate: float, left: float, spread: float
     ) -> None:
         found = moment(backlog, rate, left, spread)
@@ -40,7 +40,7 @@
 
 
 class TestRoomRate(unittest.TestCase):
-    def test_a_loss_of_upstreams_shows_within_the_span(self) -> None:
+    def test_a_loss_of_upstreams_lowers_the_rate_within_the_window(self) -> None:
         rates = RoomRate()
         for number in range(100):
             rates.note("llm", 1, number * 0.05)
--- a/tests/scheduling/test_fleet_learning.py
+++ b/tests/scheduling/test_fleet_learning.py
@@ -31,22 +31,22 @@
 
 
 class TestFleetLearning(unittest.TestCase):
-    def test_a_failing_engine_is_left_as_soon_by_many_gateways_as_by_few(self) -> None:
+    def test_a_failing_engine_is_avoided_as_soon_by_many_gateways_as_by_few(self) -> None:
         for gateways in (9, 87, 195, 360):
             with self.subTest(gateways=gateways):
                 self.assertLessEqual(struck(gateways, fails=0.6), MOST_SENT)
 
-    def test_a_slow_engine_is_left(self) -> None:
+    def test_a_slow_engine_is_avoided(self) -> None:
         for gateways in (9, 195):
             with self.subTest(gateways=gateways):
                 self.assertLessEqual(struck(gateways, slow=8.0), MOST_SENT)
 
-    def test_a_silent_engine_is_left(self) -> None:
+    def test_a_silent_engine_is_avoided(self) -> None:
         for gateways in (9, 195):
             with self.subTest(gateways=gateways):
                 self.assertLessEqual(struck(gateways, silent=True), MOST_SENT)
 
-    def test_an_engine_that_is_well_again_gets_work_again(self) -> None:
+    def test_a_recovered_engine_gets_requests_again(self) -> None:
         fleet = VirtualFleet(87, engines=12, seed=2)
         for engine in fleet.engines.values():
             engine.fails = 0.6 if engine.upstream.id == "e3" else 0.0
--- a/tests/scheduling/test_lives.py
+++ b/tests/scheduling/test_lives.py
@@ -54,7 +54,7 @@
         for item in unpack(pack(load), self.view.id_of):
             self.shared.receive(item)
 
-    def test_what_is_told_late_of_a_former_life_is_not_held_against_the_new_one(self) -> None:
+    def test_late_updates_on_a_former_incarnation_do_not_affect_the_new_one(self) -> None:
         self.view.replace(life(1), 1)
         self.hear(Load("gw-2", False, placed=(placed(1, "i-1@1"),)))
         self.assertEqual(1, len(self.fleet.load("i-1@1").running))
@@ -67,7 +67,7 @@
         self.assertEqual(Fleet("z").load("x").failures.rate(10.0), new.failures.rate(10.0))
 
     @given(st.integers(0, 10**6), st.integers(2, 30))
-    def test_whatever_the_order_the_new_life_holds_only_what_was_sent_to_it(
+    def test_the_new_incarnation_counts_only_its_own_requests_in_any_order_of_updates(
         self, seed: int, count: int
     ) -> None:
         self.setUp()
@@ -87,14 +87,14 @@
         self.assertIn(held, (sent, sent - 1))
         self.assertEqual(0, len(self.fleet.load("i-1@1").running))
 
-    def test_one_that_drained_ended_and_came_back_is_chosen_at_once(self) -> None:
+    def test_an_upstream_that_drained_ended_and_restarted_is_eligible_at_once(self) -> None:
         for revision, upstreams in enumerate((life(1), life(1, state="draining"), [], life(2))):
             self.view.replace(upstreams, revision)
         self.assertEqual(["i-1@2"], [item.id for item in self.view.of("llm")])
 
 
 class TestConnections(unittest.IsolatedAsyncioTestCase):
-    async def test_no_connection_of_a_former_life_is_used_for_the_new_one(self) -> None:
+    async def test_no_connection_of_a_former_incarnation_is_used_for_the_new_one(self) -> None:
         async def whole(seen: Seen) -> None:
             seen.whole()
 
--- a/tests/scheduling/test_placement_client.py
+++ b/tests/scheduling/test_placement_client.py
@@ -88,7 +88,7 @@
             self.assertEqual(second.name, answer.sender)
         self.assertEqual([first.name, *[second.name] * 3], [name for name, _ in self.asked])
 
-    async def test_one_that_cannot_tell_yet_is_passed_over_at_once(self) -> None:
+    async def test_a_scheduler_that_is_not_ready_is_passed_over_at_once(self) -> None:
         first, second, *_ = self.schedulers.in_order(0.0, 1)
         self.answering = lambda name, ask: PlacementAnswer(
             name, ask.request, *(("", UNREADY) if name == first.name else ("b1",))
@@ -130,7 +130,7 @@
 
 
 class TestSchedulers(unittest.TestCase):
-    def test_a_lone_gateway_schedules(self) -> None:
+    def test_a_single_gateway_schedules(self) -> None:
         own = MemberState("gw", "10.0.0.1:1", "h", "r", 1, MemberPhase.ALIVE)
         membership = Membership(own, (), MembershipOptions(), Network(0).rng)
         schedulers = Schedulers(membership)
--- a/tests/scheduling/test_placer.py
+++ b/tests/scheduling/test_placer.py
@@ -113,14 +113,14 @@
         request = cast("Request", FakeRequest())
         return await self.placer.place(request, frozenset(), False)
 
-    async def test_a_scheduler_is_told_whom_to_leave_out(self) -> None:
+    async def test_upstreams_in_cooldown_are_excluded_from_the_query(self) -> None:
         self.ask_for_rest("e0", "e1", "e2")
         found = await self.place()
         assert isinstance(found, Placement)
         self.assertEqual("e3", found.choice.upstream.id)
         self.assertEqual({"e0", "e1", "e2"}, set(self.client.asks[0].excluded))
 
-    async def test_nor_is_one_of_them_chosen_where_no_scheduler_answers(self) -> None:
+    async def test_upstreams_in_cooldown_are_not_chosen_without_a_scheduler(self) -> None:
         self.client.silent = True
         names = [item.id for item in UPSTREAMS[:9]]
         self.ask_for_rest(*names)
@@ -130,7 +130,7 @@
             self.assertTrue(found.alone)
             self.assertNotIn(found.choice.upstream.id, names)
 
-    async def test_one_that_has_just_started_sends_to_all_by_turns(self) -> None:
+    async def test_a_gateway_that_has_just_started_spreads_its_requests(self) -> None:
         """Its model is empty: by this model, every gateway would choose the same upstream."""
         self.client.silent = True
         self.knows_fleet = False
@@ -142,7 +142,7 @@
             taken.add(found.choice.upstream.id)
         self.assertGreater(len(taken), len(UPSTREAMS) // 2)
 
-    async def test_where_all_rest_nobody_is_asked_and_the_first_end_is_told(self) -> None:
+    async def test_with_all_in_cooldown_the_first_end_is_given_without_a_query(self) -> None:
         self.ask_for_rest(*(item.id for item in UPSTREAMS[1:]), seconds=9.0)
         self.ask_for_rest("e0", seconds=2.0)
         self.now += 0.5
@@ -151,14 +151,16 @@
         self.assertEqual((Refusal.RESTING, 1.5), (found.refusal, found.retry_after))
         self.assertEqual([], self.client.asks)
 
-    async def test_after_its_end_it_is_chosen_again(self) -> None:
+    async def test_an_upstream_is_chosen_again_after_its_cooldown(self) -> None:
         self.ask_for_rest("e0", seconds=2.0)
         self.now += 2.0
         found = await self.place()
         assert isinstance(found, Placement)
         self.assertEqual("e0", found.choice.upstream.id)
 
-    async def test_what_has_no_permit_is_left_out_for_its_rank_and_later_ones(self) -> None:
+    async def test_an_upstream_without_a_permit_is_excluded_for_its_rank_and_later_ones(
+        self,
+    ) -> None:
         self.denials.note_denied("e1", "r", 1, self.now + 2.0)
         self.denials.note_denied("e0", "r", 0, self.now + 2.0)
         found = await self.place()
@@ -166,7 +168,7 @@
         self.assertEqual("e1", found.choice.upstream.id)
         self.assertEqual({"e0"}, set(self.client.asks[0].excluded))
 
-    async def test_where_some_are_limited_and_the_others_rest_the_first_end_is_told(self) -> None:
+    async def test_with_some_limited_and_others_in_cooldown_the_first_end_is_given(self) -> None:
         self.ask_for_rest(*(item.id for item in UPSTREAMS[1:]), seconds=9.0)
         self.denials.note_denied("e0", "r", 0, self.now + 2.0)
         found = await self.place()
--- a/tests/scheduling/test_shared_load.py
+++ b/tests/scheduling/test_shared_load.py
@@ -62,7 +62,7 @@
             self.other.load.receive(load)
 
     @given(_STEPS)
-    def test_after_a_whole_list_both_agree_whatever_was_lost(
+    def test_after_a_snapshot_both_gateways_agree_whatever_was_lost(
         self, steps: list[tuple[str, int, bool]]
     ) -> None:
         self.setUp()
@@ -90,7 +90,7 @@
         ]
         self.assertEqual(unread[0], unread[1])
 
-    def test_a_lost_end_and_a_lost_start_are_repaired_by_the_whole_list(self) -> None:
+    def test_a_lost_end_and_a_lost_start_are_repaired_by_a_snapshot(self) -> None:
         self.one.load.start(placed("one/1"), SERVICE)
         self.other.load.receive(self.one.told.pop())
         self.one.load.end(key("one/1"))
@@ -99,7 +99,7 @@
         self.receive_whole()
         self.assertEqual({key("one/2")}, self.other.running())
 
-    def test_a_request_whose_end_is_never_told_is_dropped_in_time(self) -> None:
+    def test_a_request_whose_end_is_never_received_expires(self) -> None:
         self.other.load.receive(Load("one", False, placed=(placed("one/1"),)))
         self.clock[0] = 2.0
         self.other.load.expire()
@@ -113,14 +113,14 @@
         self.other.load.drop_sender("one")
         self.assertEqual(set(), self.other.running())
 
-    def test_a_young_request_survives_a_list_that_was_on_its_way(self) -> None:
+    def test_a_young_request_survives_a_snapshot_that_was_in_transit(self) -> None:
         whole = self.one.load.whole()
         self.other.load.receive(Load("one", False, placed=(placed("one/1"),)))
         for load in whole:
             self.other.load.receive(load)
         self.assertEqual({key("one/1")}, self.other.running())
 
-    def test_one_that_comes_later_is_told_of_all_that_runs_within_some_lists(self) -> None:
+    def test_a_late_joiner_receives_all_running_requests_within_some_snapshots(self) -> None:
         for index in range(40):
             self.one.load.start(placed(f"one/{index}"), SERVICE)
         self.one.told.clear()
@@ -131,7 +131,7 @@
         self.assertEqual(self.one.running(), self.other.running())
         self.assertEqual(40, len(self.other.running()))
 
-    def test_lists_of_a_large_fleet_come_less_often(self) -> None:
+    def test_snapshots_of_a_large_fleet_are_less_frequent(self) -> None:
         lists = {9: 0, 360: 0}
         for gateways in lists:
             node = Node(f"one of {gateways}", self.clock)
@@ -142,7 +142,7 @@
         self.assertGreaterEqual(lists[9], 35)
         self.assertLessEqual(lists[360], 1 + 20 * 40 / 360)
 
-    def test_each_start_is_told_again_in_two_lists(self) -> None:
+    def test_each_start_is_repeated_in_two_snapshots(self) -> None:
         self.one.load.start(placed("a"), SERVICE)
         told = []
         for _ in range(3):
@@ -150,7 +150,7 @@
             told.append(sum(len(load.placed) for load in self.one.load.whole()))
         self.assertEqual([1, 1, 0], told)
 
-    def test_a_gateway_that_becomes_a_scheduler_is_told_all_that_runs_anywhere(self) -> None:
+    def test_a_gateway_that_becomes_a_scheduler_receives_all_running_requests(self) -> None:
         for name in "abcdefgh":
             self.one.load.start(placed(name), SERVICE)
             self.other.load.receive(self.one.told.pop())
@@ -162,7 +162,7 @@
         self.assertEqual(9, len(newcomer.running()))
         self.assertEqual(self.other.running(), newcomer.running())
 
-    def test_a_request_placed_for_another_gateway_is_told_in_its_name(self) -> None:
+    def test_a_request_placed_for_another_gateway_is_published_in_its_name(self) -> None:
         self.one.load.start_for("asker", placed("asker/1"), SERVICE)
         (told,) = self.one.told
         self.assertEqual("asker", told.sender)
--- a/tests/scheduling/test_told_paces.py
+++ b/tests/scheduling/test_told_paces.py
@@ -32,7 +32,7 @@
 
 
 class TestNewcomer(unittest.TestCase):
-    def test_it_knows_at_once_what_another_scheduler_has_found(self) -> None:
+    def test_a_new_scheduler_knows_the_paces_found_by_another(self) -> None:
         for gateways in (16, 81):
             with self.subTest(gateways=gateways):
                 self.check_newcomer(uneven(gateways))
@@ -54,7 +54,7 @@
         self.assertTrue(slow)
         self.assertLessEqual(slow, set(SLOW))
 
-    def test_all_schedulers_of_a_fleet_find_the_same(self) -> None:
+    def test_all_schedulers_of_a_fleet_find_the_same_paces(self) -> None:
         fleet = uneven(81)
         for scheduler in fleet.schedulers:
             paces = scheduler.fleet.engine_paces.of(SERVICE.name).lasting()
--- a/tests/scheduling/test_waiting_client.py
+++ b/tests/scheduling/test_waiting_client.py
@@ -92,7 +92,7 @@
             await asyncio.sleep(0)
         return task
 
-    async def test_it_is_placed_as_soon_as_there_is_room(self) -> None:
+    async def test_a_queued_request_is_placed_as_soon_as_a_slot_is_free(self) -> None:
         task = await self.start()
         await asyncio.sleep(RENEW / 2)
         self.first.place(1)
@@ -101,7 +101,7 @@
         self.assertEqual(("b0", [1]), (answer.upstream, [ask.request for ask in self.first.asks]))
         self.assertEqual([], self.late + self.first.left)
 
-    async def test_it_is_asked_for_again_with_its_number_and_the_time_waited(self) -> None:
+    async def test_renewals_carry_the_number_and_the_time_waited(self) -> None:
         self.first.places_after = 3
         answer = await self.client.ask(self.make)
         assert answer is not None
@@ -110,7 +110,7 @@
         self.assertEqual(sorted(waited), waited)
         self.assertGreater(waited[-1], 2 * RENEW)
 
-    async def test_a_holder_that_is_lost_is_passed_over_and_the_place_kept(self) -> None:
+    async def test_a_lost_scheduler_is_passed_over_and_the_time_waited_is_kept(self) -> None:
         """Killed, frozen or cut off: in each case the scheduler no longer answers."""
         self.second.places_after = 0
         task = await self.start()
@@ -121,7 +121,7 @@
         self.assertGreater(self.second.asks[0].waited, RENEW)
         self.assertNotEqual(1, answer.request, "a later placement by the first must differ")
 
-    async def test_what_a_frozen_holder_places_later_is_given_up(self) -> None:
+    async def test_a_late_placement_by_a_frozen_scheduler_is_given_up(self) -> None:
         self.second.places_after = 0
         task = await self.start()
         self.first.silent = True
@@ -142,7 +142,7 @@
         self.assertEqual((self.first.name, 1), (answer.sender, answer.request))
         self.assertEqual([], self.second.asks)
 
-    async def test_an_answer_that_was_lost_comes_with_the_next_ask(self) -> None:
+    async def test_a_lost_answer_is_repeated_on_the_next_renewal(self) -> None:
         task = await self.start()
         self.first.place(1, lost=True)
         answer = await task
@@ -150,7 +150,7 @@
         self.assertEqual("b0", answer.upstream)
         self.assertEqual([], self.late)
 
-    async def test_an_answer_that_crosses_an_ask_is_used_once(self) -> None:
+    async def test_an_answer_that_crosses_a_renewal_is_used_once(self) -> None:
         task = await self.start()
         self.first.place(1)
         self.first.place(1)
@@ -160,7 +160,7 @@
         await asyncio.sleep(RENEW)
         self.assertEqual([], self.late, "the request runs and must not be ended")
 
-    async def test_an_answer_right_behind_the_word_that_it_waits_is_not_missed(self) -> None:
+    async def test_a_placement_right_after_the_queued_answer_is_not_missed(self) -> None:
         task = asyncio.create_task(self.client.ask(self.make))
         await asyncio.sleep(0)
         self.client.receive(PlacementAnswer("any", 1, refusal=HELD, retry_after=RENEW))
@@ -169,7 +169,7 @@
         assert answer is not None
         self.assertEqual("b0", answer.upstream)
 
-    async def test_where_its_client_leaves_the_place_is_given_up(self) -> None:
+    async def test_the_queue_entry_is_given_up_when_the_client_leaves(self) -> None:
         task = await self.start()
         await asyncio.sleep(RENEW / 2)
         task.cancel()
--- a/tests/scheduling/test_waiting_desk.py
+++ b/tests/scheduling/test_waiting_desk.py
@@ -97,7 +97,7 @@
     def setUp(self) -> None:
         self.scheduler = Scheduler()
 
-    def test_what_finds_no_room_is_held_and_answered_when_there_is(self) -> None:
+    def test_a_request_without_a_slot_is_queued_and_answered_when_one_is_free(self) -> None:
         held = self.scheduler.answer(ask(1))
         self.assertEqual((HELD, ""), (held.refusal, held.upstream))
         self.assertGreater(held.retry_after, 0.1)
@@ -109,12 +109,12 @@
         self.assertEqual((1, "e0", "gw"), (answer.request, answer.upstream, name))
         self.assertTrue(self.scheduler.fleet.knows(1), "the model contains the request")
 
-    def test_a_gateway_that_cannot_wait_is_answered_as_before(self) -> None:
+    def test_a_query_without_waits_is_answered_at_once(self) -> None:
         answer = self.scheduler.answer(replace(ask(1), waits=False))
         self.assertNotEqual(HELD, answer.refusal)
         self.assertEqual(0, len(self.scheduler.line.room))
 
-    def test_an_answer_that_may_be_lost_is_given_again_and_counted_once(self) -> None:
+    def test_an_answer_that_may_be_lost_is_repeated_and_counted_once(self) -> None:
         self.scheduler.answer(ask(1))
         self.scheduler.end(1_003)
         self.scheduler.end(1_004)
@@ -125,14 +125,14 @@
         self.assertEqual(1, len(self.scheduler.sent))
         self.assertEqual(3, len(self.scheduler.fleet.load("e0").running))
 
-    def test_one_that_leaves_is_placed_no_more(self) -> None:
+    def test_a_request_that_leaves_is_not_placed(self) -> None:
         self.scheduler.answer(ask(1))
         self.scheduler.answer(replace(ask(1), leaves=True))
         self.scheduler.end(1_003)
         self.scheduler.look()
         self.assertEqual([], self.scheduler.sent)
 
-    def test_one_whose_gateway_is_gone_is_placed_no_more(self) -> None:
+    def test_requests_of_a_gateway_that_has_left_are_not_placed(self) -> None:
         self.scheduler.answer(ask(1))
         self.scheduler.answer(ask(2))
         self.scheduler.keeper.drop_asker("gw")
@@ -140,7 +140,7 @@
         self.scheduler.look()
         self.assertEqual(([], 0), (self.scheduler.sent, len(self.scheduler.line.room)))
 
-    def test_one_that_is_asked_for_no_more_expires(self) -> None:
+    def test_a_request_without_renewal_expires(self) -> None:
         """If its gateway was killed or cut off, a slot would be reserved for no one."""
         self.scheduler.answer(ask(1))
         self.scheduler.now += EXPIRY_SECONDS + 0.1
@@ -148,16 +148,16 @@
         self.scheduler.look()
         self.assertEqual([], self.scheduler.sent)
 
-    def test_where_the_room_is_full_it_is_refused_at_once(self) -> None:
+    def test_a_request_is_refused_at_once_when_the_queue_is_full(self) -> None:
         self.scheduler.line.room = WaitingRoom(most=1)
         self.assertEqual(HELD, self.scheduler.answer(ask(1)).refusal)
         self.assertNotIn(self.scheduler.answer(ask(2)).refusal, ("", HELD))
 
-    def test_one_that_started_again_takes_a_renewal_for_a_new_request(self) -> None:
+    def test_a_restarted_scheduler_queues_a_renewal_as_a_new_request(self) -> None:
         held = Scheduler().answer(ask(1, 0.4))
         self.assertEqual(HELD, held.refusal)
 
-    def test_others_are_told_while_requests_wait_and_once_that_none_does(self) -> None:
+    def test_updates_are_sent_while_requests_wait_and_once_when_none_does(self) -> None:
         self.scheduler.answer(ask(1))
         self.scheduler.look()
         self.scheduler.look()
@@ -200,7 +200,7 @@
         self.assertEqual(1, len(self.scheduler.line.room))
         return task
 
-    async def test_it_waits_and_is_placed(self) -> None:
+    async def test_an_own_request_is_queued_and_placed(self) -> None:
         task = await self.start()
         self.scheduler.end(1_003)
         self.scheduler.look()
@@ -208,7 +208,7 @@
         assert isinstance(found, Placement)
         self.assertEqual("e0", found.choice.upstream.id)
 
-    async def test_two_that_wait_do_not_get_one_slot(self) -> None:
+    async def test_two_queued_requests_do_not_get_the_same_slot(self) -> None:
         first, second = await self.start(), None
         request = cast("Request", FakeRequest())
         second = asyncio.create_task(self.placer.place(request, frozenset(), False))
@@ -222,13 +222,13 @@
         self.assertFalse(second.done())
         second.cancel()
 
-    async def test_where_its_client_leaves_it_waits_no_longer(self) -> None:
+    async def test_an_own_request_leaves_the_queue_with_its_client(self) -> None:
         task = await self.start()
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         self.assertEqual(0, len(self.scheduler.line.room))
 
-    async def test_it_is_refused_when_its_client_would_leave(self) -> None:
+    async def test_an_own_request_is_refused_when_its_client_would_give_up(self) -> None:
         task = await self.start()
         self.scheduler.look(chat().patience + 0.1)
         found = await task
--- a/tests/shares/test_shares.py
+++ b/tests/shares/test_shares.py
@@ -36,10 +36,10 @@
 
 
 class TestWork(unittest.TestCase):
-    def test_an_engine_is_charged_what_it_reads_and_ten_times_what_it_makes(self) -> None:
+    def test_work_at_an_engine_is_prompt_tokens_and_ten_times_output_tokens(self) -> None:
         self.assertEqual(2000.0, predicted_work(Sent(1, 1), ENGINES))
 
-    def test_a_plain_service_its_seconds(self) -> None:
+    def test_work_at_a_plain_service_is_its_seconds(self) -> None:
         self.assertEqual(2.0, predicted_work(Sent(1, 1), PLAIN))
 
 
@@ -59,22 +59,22 @@
     def over(self, team: str, now: float = 0.0, tier: int = 0, share: float = 1.0) -> bool:
         return self.shares.over_share(Ask(team, share, tier), now)
 
-    def test_a_team_alone_is_never_over_its_share(self) -> None:
+    def test_a_single_team_is_never_over_its_share(self) -> None:
         self.run_for("much", 100)
         self.assertFalse(self.over("much"))
 
-    def test_who_has_most_gives_way_to_teams_that_ask(self) -> None:
+    def test_the_team_with_the_most_work_gives_way_to_active_teams(self) -> None:
         self.run_for("much", 10)
         self.run_for("some", 2)
         self.assertTrue(self.over("much"))
         self.assertFalse(self.over("some"))
 
-    def test_it_gives_way_also_to_one_that_got_nothing(self) -> None:
+    def test_a_team_gives_way_to_an_active_team_without_work(self) -> None:
         self.run_for("much", 10)
         self.shares.note_ask(Ask("some"), 0.0)
         self.assertTrue(self.over("much"))
 
-    def test_operators_are_told_who_is_ahead_and_by_how_much(self) -> None:
+    def test_teams_over_their_share_are_listed_with_their_standing(self) -> None:
         self.run_for("much", 10)
         self.run_for("some", 2)
         (found,) = self.shares.ahead(0.0)
@@ -82,18 +82,18 @@
         self.assertAlmostEqual(5.0, found.times)
         self.assertAlmostEqual(5.0, self.shares.beside_others(Ask("much"), 0.0))
 
-    def test_but_not_to_teams_that_ask_no_more(self) -> None:
+    def test_a_team_does_not_give_way_to_inactive_teams(self) -> None:
         self.run_for("much", 10)
         self.run_for("some", 2)
         self.shares.note_ask(Ask("much"), 6.0)
         self.assertFalse(self.over("much", 6.0))
 
-    def test_even_teams_are_served_as_they_come(self) -> None:
+    def test_nearly_even_teams_are_served_in_order_of_arrival(self) -> None:
         for team, count in (("a", 10), ("b", 11), ("c", 13)):
             self.run_for(team, count)
         self.assertEqual([], [team for team in "abc" if self.over(team)])
 
-    def test_a_team_is_not_starved_however_much_it_asks(self) -> None:
+    def test_a_team_is_not_starved_however_many_requests_it_sends(self) -> None:
         """A team keeps about a third of the fraction of requests that is placed for all teams."""
         self.run_for("much", 10)
         self.run_for("some", 2)
@@ -109,7 +109,7 @@
             self.shares.note_arrival(Ask("much"), 0.0)
         self.assertFalse(self.over("much"))
 
-    def test_the_weight_of_a_share_counts(self) -> None:
+    def test_shares_are_weighted(self) -> None:
         self.run_for("large", 30, share=3.0)
         self.run_for("small", 10)
         self.assertFalse(self.over("large", share=3.0))
@@ -117,7 +117,7 @@
         self.run_for("small", 10)
         self.assertTrue(self.over("small"))
 
-    def test_what_small_teams_leave_is_divided_among_those_that_want_it(self) -> None:
+    def test_capacity_unused_by_small_teams_is_divided_among_the_others(self) -> None:
         """Of four large teams and twenty small ones, only the team with the most work gives way."""
         for number in range(20):
             self.run_for(f"small{number}", 1)
@@ -127,12 +127,12 @@
         self.assertTrue(self.over("much"))
         self.assertFalse(self.over("large0"))
 
-    def test_tiers_do_not_mix(self) -> None:
+    def test_tiers_are_accounted_separately(self) -> None:
         self.run_for("much", 10, tier=1)
         self.run_for("some", 1, tier=0)
         self.assertFalse(self.over("much", tier=1))
 
-    def test_recent_work_is_forgotten_within_seconds(self) -> None:
+    def test_recent_work_decays_within_seconds(self) -> None:
         self.run_for("much", 4)
         for request in range(1, 5):
             self.shares.note_end(request, 2.0)
@@ -140,29 +140,29 @@
         self.assertAlmostEqual(8000.0, before)
         self.assertLess(self.shares.standing("llm", "much", 1.0, 22.0), 0.15 * before)
 
-    def test_what_ended_early_costs_its_part_alone(self) -> None:
+    def test_a_request_that_ended_early_is_charged_for_its_run_time(self) -> None:
         self.run_for("cut", 1)
         self.shares.note_end(1, 0.5)
         self.assertAlmostEqual(500.0, self.shares.standing("llm", "cut", 1.0, 0.5))
 
-    def test_what_never_reached_an_upstream_costs_nothing(self) -> None:
+    def test_a_request_that_never_reached_an_upstream_costs_nothing(self) -> None:
         self.run_for("lost", 1)
         self.shares.note_end(1, 0.5, ran=False)
         self.assertEqual(0.0, self.shares.standing("llm", "lost", 1.0, 0.5))
 
-    def test_what_is_told_twice_counts_once(self) -> None:
+    def test_a_repeated_update_counts_once(self) -> None:
         self.run_for("team", 1)
         self.shares.note_start(Sent(1, team_number("team")), ENGINES, 1.0)
         self.shares.note_end(1, 2.0)
         self.shares.note_end(1, 2.0)
         self.assertAlmostEqual(2000.0, self.shares.standing("llm", "team", 1.0, 2.0))
 
-    def test_a_request_heard_of_late_is_charged_from_its_start(self) -> None:
+    def test_a_request_received_late_is_charged_from_its_start(self) -> None:
         self.shares.note_start(Sent(7, team_number("team"), age=1.0), ENGINES, 5.0)
         self.shares.note_end(7, 5.0)
         self.assertAlmostEqual(1000.0, self.shares.standing("llm", "team", 1.0, 5.0))
 
-    def test_teams_that_are_gone_leave_nothing(self) -> None:
+    def test_accounts_of_idle_teams_are_dropped(self) -> None:
         self.run_for("gone", 1)
         self.shares.note_end(1, 2.0)
         self.shares.forget(63.0)
--- a/tests/waiting/test_line.py
+++ b/tests/waiting/test_line.py
@@ -71,24 +71,24 @@
     def end(self, number: int, now: float) -> None:
         self.fleet.end(Ended(number), now)
 
-    def test_nothing_waits_while_engines_have_room(self) -> None:
+    def test_no_request_is_queued_while_engines_have_free_slots(self) -> None:
         line = WaitingLine(Fleet("z"), Rivals("s0"))
         found = line.place(waiting(1, letter()), SERVICE, UPSTREAMS, START)
         self.assertIsInstance(found, Choice)
         self.assertEqual(0, len(line.room))
 
-    def test_a_plain_service_has_no_line(self) -> None:
+    def test_a_plain_service_has_no_queue(self) -> None:
         plain = Service("app", 100, None)
         self.assertIsInstance(self.line.place(waiting(1, chat()), plain, UPSTREAMS, START), Choice)
 
-    def test_what_finds_no_slot_waits_and_is_placed_when_one_comes_free(self) -> None:
+    def test_a_request_without_a_slot_is_queued_and_placed_when_one_is_free(self) -> None:
         self.assertIsInstance(self.place(waiting(1, chat())), Held)
         self.assertEqual([], self.due(START + 0.01))
         self.end(1_003, START + 0.02)
         self.assertEqual([(1, True)], self.due(START + 0.02))
         self.assertEqual(0, len(self.line.room))
 
-    def test_each_slot_is_given_once(self) -> None:
+    def test_each_slot_is_filled_once(self) -> None:
         for key in range(1, 6):
             self.place(waiting(key, chat()))
         self.end(1_003, START + 0.02)
@@ -96,7 +96,7 @@
         self.assertEqual([(1, True), (2, True)], self.due(START + 0.02))
         self.assertEqual([], self.due(START + 0.03))
 
-    def test_the_more_urgent_go_first_and_then_who_came_first(self) -> None:
+    def test_requests_are_ordered_by_tier_and_then_by_arrival(self) -> None:
         self.place(waiting(1, triage(), START))
         self.place(waiting(2, chat(), START + 0.02), START + 0.02)
         self.place(waiting(3, chat(), START + 0.01), START + 0.02)
@@ -104,7 +104,7 @@
             self.end(number, START + 0.03)
         self.assertEqual([3, 2, 1], [key for key, _ in self.due(START + 0.03)])
 
-    def test_a_short_one_goes_to_a_queue_in_which_it_is_in_time(self) -> None:
+    def test_a_short_request_is_sent_to_an_engine_queue_if_on_time_there(self) -> None:
         """In the queue it would get a free slot later than in the engine that frees it."""
         slow = replace(chat(), target=60.0)
         self.assertIsInstance(self.place(waiting(1, slow)), Choice)
@@ -113,20 +113,20 @@
         found = self.place(waiting(3, slow, later), later)
         self.assertIsInstance(found, Held, "it must not overtake the queued request")
 
-    def test_a_newcomer_does_not_overtake_those_that_wait(self) -> None:
+    def test_a_new_request_does_not_overtake_queued_ones(self) -> None:
         self.place(waiting(1, chat()))
         self.end(1_003, START + 0.02)
         self.assertIsInstance(self.place(waiting(2, chat(), START + 0.02), START + 0.02), Held)
         self.assertEqual([(1, True)], self.due(START + 0.03))
 
-    def test_who_can_be_in_time_goes_before_who_cannot(self) -> None:
+    def test_requests_that_can_be_on_time_precede_late_ones(self) -> None:
         self.place(waiting(1, chat(), START))
         late = START + 0.7
         self.place(waiting(2, chat(), late), late)
         self.end(1_003, late)
         self.assertEqual([(2, True)], self.due(late))
 
-    def test_who_had_less_of_its_share_goes_first_and_who_returns_before_that(self) -> None:
+    def test_order_by_team_standing_and_promised_return(self) -> None:
         """A returning caller precedes equal teams only, and none if its team is over its share."""
         for first, needs in (
             (2, (chat(team="had much"), chat(team="had little"), chat(caller=7))),
@@ -142,7 +142,7 @@
                 order = [key for key, _ in self.due(START + 0.01)]
                 self.assertEqual([first, 3 - first, 0], order)
 
-    def test_a_long_one_is_given_up_as_soon_as_it_cannot_be_in_time(self) -> None:
+    def test_a_long_request_is_refused_as_soon_as_it_cannot_be_on_time(self) -> None:
         entry = waiting(1, letter())
         self.assertIsInstance(self.place(entry), Held)
         target = START + entry.need.target
@@ -150,7 +150,7 @@
         self.assertEqual([(1, False)], self.due(target))
         self.assertEqual(0, len(self.line.room))
 
-    def test_a_short_one_waits_as_long_as_its_client(self) -> None:
+    def test_a_short_request_is_queued_as_long_as_its_client_waits(self) -> None:
         entry = waiting(1, chat())
         self.place(entry)
         self.assertEqual([], self.due(START + 1.0))
@@ -163,14 +163,14 @@
             self.assertTrue(found.final)
             self.assertGreaterEqual(found.retry_after, 1.0)
 
-    def test_a_long_one_behind_a_long_line_is_refused_at_once(self) -> None:
+    def test_a_long_request_behind_a_long_queue_is_refused_at_once(self) -> None:
         for key in range(5):
             self.place(waiting(key, letter()))
         found = self.place(waiting(9, letter()))
         assert isinstance(found, NoChoice)
         self.assertTrue(found.final)
 
-    def test_an_urgent_one_is_not_refused_while_larger_ones_begin(self) -> None:
+    def test_an_urgent_request_is_not_refused_while_larger_ones_begin(self) -> None:
         now = START + 1.0
         for key in range(60):
             came = START + key / 60
@@ -180,7 +180,7 @@
         self.fleet.start(placed(2_000, "e0", letter()), SERVICE, now)
         self.assertIsInstance(self.place(waiting(91, chat(), now), now), Held)
 
-    def test_what_began_after_a_wait_in_an_engine_counts_from_then(self) -> None:
+    def test_a_request_that_waited_in_an_engine_counts_from_its_first_event(self) -> None:
         """Counted from when it was sent, six seconds ago, it would no longer count as just begun.
 
         Urgent requests would then be refused although the larger one has begun.
@@ -191,7 +191,7 @@
         self.fleet.begin(_began(2_000), START)
         self.assertTrue(self.fleet.shedding.must_serve(chat(), START))
 
-    def test_a_renewal_keeps_its_place_and_none_waits_twice(self) -> None:
+    def test_a_renewal_keeps_its_place_and_adds_no_entry(self) -> None:
         self.place(waiting(1, chat(), START))
         self.place(waiting(2, chat(), START + 0.01), START + 0.01)
         for moment in (0.2, 0.4):
@@ -201,14 +201,14 @@
         self.end(1_003, START + 0.41)
         self.assertEqual([(1, True)], self.due(START + 0.41))
 
-    def test_one_that_comes_from_another_holder_keeps_its_place(self) -> None:
+    def test_a_request_from_another_scheduler_keeps_its_place(self) -> None:
         self.place(waiting(1, chat(), START + 0.1), START + 0.1)
         moved = waiting(2, replace(chat(), waited=0.2), START)
         self.place(replace(moved, renewed=START + 0.2), START + 0.2)
         self.end(1_003, START + 0.21)
         self.assertEqual([(2, True)], self.due(START + 0.21))
 
-    def test_while_urgent_ones_had_to_wait_a_long_one_does_not_begin(self) -> None:
+    def test_a_long_request_does_not_begin_after_urgent_ones_had_to_wait(self) -> None:
         self.place(waiting(1, letter(), START + 0.3), START + 0.3)
         self.place(waiting(2, chat(), START), START + 0.3)
         for number in range(1_002, 1_010):
--- a/tests/waiting/test_room.py
+++ b/tests/waiting/test_room.py
@@ -14,13 +14,13 @@
 
 
 class TestRoom(unittest.TestCase):
-    def test_it_is_bounded_in_number(self) -> None:
+    def test_number_of_requests_is_bounded(self) -> None:
         room = WaitingRoom(most=3)
         taken = [room.add(waiting(key, chat())) for key in range(5)]
         self.assertEqual([True, True, True, False, False], taken)
         self.assertEqual((3, 2), (len(room), room.overflows))
 
-    def test_it_is_bounded_in_bytes(self) -> None:
+    def test_memory_is_bounded(self) -> None:
         room = WaitingRoom(most_bytes=10_000)
         large = replace(waiting(1, chat()), excluded=frozenset(f"e{n}" for n in range(80)))
         self.assertTrue(room.add(large))
@@ -29,7 +29,7 @@
         self.assertEqual(0, room.bytes)
         self.assertTrue(room.add(replace(large, key=2)))
 
-    def test_what_is_not_renewed_expires(self) -> None:
+    def test_an_entry_without_renewal_expires(self) -> None:
         room = WaitingRoom()
         room.add(waiting(1, chat(), 100.0))
         room.add(waiting(2, chat(), 100.0))
@@ -40,7 +40,7 @@
         self.assertIsNone(room.find(1))
         self.assertIsNotNone(room.find(2))
 
-    def test_a_renewal_takes_no_second_place(self) -> None:
+    def test_a_renewal_adds_no_entry(self) -> None:
         room = WaitingRoom(most=1)
         for _ in range(3):
             self.assertTrue(room.add(waiting(1, chat())))
--- a/tests/waiting/test_turns.py
+++ b/tests/waiting/test_turns.py
@@ -37,15 +37,15 @@
 
 
 class TestTurns(unittest.TestCase):
-    def test_one_slot_goes_to_one_of_eight(self) -> None:
+    def test_one_slot_is_filled_by_one_of_eight_schedulers(self) -> None:
         turns = schedulers({name: {2: 5} for name in NAMES})
         self.assertEqual(1, len(takers(turns, 2, 1, 0.0)))
 
-    def test_as_many_slots_go_to_as_many(self) -> None:
+    def test_all_free_slots_are_filled_once(self) -> None:
         turns = schedulers({name: {2: 5} for name in NAMES})
         self.assertEqual(16, len(takers(turns, 2, 16, 0.0)))
 
-    def test_one_that_its_owner_leaves_free_passes_on(self) -> None:
+    def test_a_slot_left_free_passes_on_to_the_next_scheduler(self) -> None:
         turns = schedulers({name: {2: 5} for name in NAMES})
         owner = takers(turns, 2, 1, 0.0)[0]
         others = {name: item for name, item in turns.items() if name != owner}
@@ -53,7 +53,7 @@
             item.look("e0", 1, TURN_SECONDS * 0.9)
         self.assertEqual(1, len(takers(others, 2, 1, TURN_SECONDS * 1.5)))
 
-    def test_the_most_urgent_go_first(self) -> None:
+    def test_the_scheduler_with_the_most_urgent_requests_goes_first(self) -> None:
         for urgent in NAMES:
             tiers = {name: {0: 1} if name == urgent else {2: 5} for name in NAMES}
             turns = schedulers(tiers)
@@ -61,15 +61,15 @@
             others = {name: item for name, item in turns.items() if name != urgent}
             self.assertEqual([], takers(others, 2, 1, 0.0))
 
-    def test_one_alone_takes_all_at_once(self) -> None:
+    def test_a_single_scheduler_fills_all_slots_at_once(self) -> None:
         turns = schedulers({"s0": {2: 5}})
         self.assertEqual(["s0"] * 7, takers(turns, 2, 7, 0.0))
 
-    def test_who_was_not_heard_of_late_has_no_part(self) -> None:
+    def test_a_scheduler_without_recent_updates_is_left_out(self) -> None:
         turns = schedulers({name: {2: 5} for name in NAMES}, now=0.0)
         self.assertEqual(["s3"] * 4, takers({"s3": turns["s3"]}, 2, 4, 5.0))
 
-    def test_an_engine_that_was_away_counts_as_just_freed(self) -> None:
+    def test_slots_of_an_engine_that_was_unreachable_count_as_just_freed(self) -> None:
         """Otherwise all schedulers would fill it at once when it is reachable again."""
         turns = schedulers({name: {2: 5} for name in NAMES}, now=9.9)
         for item in turns.values():
