--- a/src/lotushill/duties/ports.py
+++ b/src/lotushill/duties/ports.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class FleetSight:
+class FleetAccess:
     """What the keeper sees of the fleet."""
 
     members: Callable[[], Iterable[MemberState]]
@@ -67,9 +67,9 @@
     """Its place among all such gateways, 0 for the first."""
     services: Callable[[], Iterable[Service]]
     upstreams: UpstreamView
-    pull: Callable[[WorkPull, str], None]
+    send_pull: Callable[[WorkPull, str], None]
     """Sends a question for counts to an address."""
-    limit: Callable[[str], float]
+    request_rate_limit: Callable[[str], float]
     """Requests a second that an upstream takes from all gateways, infinity without a limit."""
     stream_seconds: Callable[[str], float]
     """How long a request of a service runs, as far as this gateway knows."""
--- a/src/lotushill/duties/true_time.py
+++ b/src/lotushill/duties/true_time.py
@@ -34,11 +34,11 @@
         """Return what the own host's clock shows."""
         return self._wall()
 
-    def adopt(self, now: float) -> None:
+    def set_time(self, now: float) -> None:
         """Take the time that another gateway worked out from many clocks."""
         self._offset = now - self._clock()
 
-    def compare(self, member: str, wall: float) -> None:
+    def add_sample(self, member: str, wall: float) -> None:
         """Take in what another host's clock shows, and follow the median of all."""
         clock = self._clock()
         self._samples[member] = (wall - clock, clock)
--- a/src/lotushill/quarantine/whole_memory.py
+++ b/src/lotushill/quarantine/completed_requests.py
@@ -9,7 +9,7 @@
 _SECONDS = 600.0
 
 
-class WholeMemory:
+class CompletedRequests:
     """Remembers the identities of answers that were whole; the time is an argument."""
 
     def __init__(self) -> None:
--- a/src/lotushill/quarantine/end_watch.py
+++ b/src/lotushill/quarantine/failure_watch.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Cut:
+class InterruptedRequest:
     """One request that lost its upstream."""
 
     identity: bytes
@@ -37,18 +37,20 @@
     """Its groups where no event of it had come, so that it may be what its upstream ended by."""
 
 
-class EndWatch:
+class FailureWatch:
     """Keeps cuts until their upstream is seen to be gone, for a bounded time."""
 
     def __init__(self) -> None:
-        self._cuts: list[tuple[Cut, float]] = []
+        self._cuts: list[tuple[InterruptedRequest, float]] = []
 
-    def note(self, cut: Cut, now: float) -> None:
+    def add(self, cut: InterruptedRequest, now: float) -> None:
         """Note a cut by an upstream that may have ended."""
         self._cuts.append((cut, now + _SECONDS))
         del self._cuts[:-_MOST]
 
-    def take_ended(self, state_of: Callable[[str], Listing], now: float) -> list[Cut]:
+    def pop_failed(
+        self, state_of: Callable[[str], Listing], now: float
+    ) -> list[InterruptedRequest]:
         """Return the cuts whose upstream is gone without a word, and forget planned ends."""
         if not self._cuts:
             return []
--- a/src/lotushill/quarantine/isolation.py
+++ b/src/lotushill/quarantine/isolation.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Term:
+class IsolationTerm:
     """How long a group is still kept apart, and the pause after its next end; seconds."""
 
     left: float
@@ -108,27 +108,29 @@
         self._whole: RecentCounts[Group] = RecentCounts(_WINDOW_SECONDS, _MOST_GROUPS)
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether nothing stands against any group."""
         return not self._evidence
 
-    def note_whole(self, groups: Iterable[Group], now: float) -> None:
+    def record_completion(self, groups: Iterable[Group], now: float) -> None:
         """Note that a request was answered whole at this gateway."""
         for group in groups:
             self._whole.note(group, now)
 
-    def whole(self, group: Group, now: float) -> int:
+    def completion_count(self, group: Group, now: float) -> int:
         """Return how many of a group were answered whole here of late."""
         return self._whole.count(group, now)
 
-    def note_end(self, group: Group, upstream: str, teller: str, whole: int, now: float) -> bool:
+    def record_upstream_failure(
+        self, group: Group, upstream: str, reporter: str, completions: int, now: float
+    ) -> bool:
         """Note that an upstream ended before a request of a group had its first event.
 
         `teller` is the gateway that saw it, which had so many `whole` answers of the group of late.
         Return whether the group is kept apart from now on.
         """
         evidence = self._of(group, now)
-        self.take_whole(group, teller, whole, now)
+        self.record_peer_completions(group, reporter, completions, now)
         if upstream in evidence.ends:
             return False
         evidence.ends[upstream] = now
@@ -144,12 +146,14 @@
         evidence.until = now + _TERM_SECONDS
         return True
 
-    def take_whole(self, group: Group, teller: str, whole: int, now: float) -> None:
+    def record_peer_completions(
+        self, group: Group, reporter: str, completions: int, now: float
+    ) -> None:
         """Take how many of a group a gateway had answered whole of late."""
         evidence = self._evidence.get(group)
         if evidence is None:
             return
-        evidence.whole[teller] = _Told(whole, now)
+        evidence.whole[reporter] = _Told(completions, now)
         if not evidence.shown and evidence.is_mostly_whole(now):
             evidence.until = float("-inf")
 
@@ -166,15 +170,15 @@
         evidence.pause = max(evidence.pause, min(_LONGEST_PAUSE_SECONDS, pause))
         return not was_apart
 
-    def terms(self, now: float) -> dict[Group, Term]:
+    def isolation_terms(self, now: float) -> dict[Group, IsolationTerm]:
         """Return all groups that are kept apart, with what is left of it."""
         return {
-            group: Term(item.until - now, item.pause)
+            group: IsolationTerm(item.until - now, item.pause)
             for group, item in self._evidence.items()
             if now < item.until
         }
 
-    def needs_proof(self, group: Group, now: float) -> bool:
+    def needs_completion_reports(self, group: Group, now: float) -> bool:
         """Return whether whole answers of a group that were not told yet speak for it."""
         evidence = self._evidence.get(group)
         return evidence is not None and evidence.whole_of_late(now) < _WHOLE_TOLD
@@ -189,20 +193,20 @@
             if other.is_within(group)
         )
 
-    def isolates(self, groups: Iterable[Group], now: float) -> bool:
+    def is_isolated(self, groups: Iterable[Group], now: float) -> bool:
         """Return whether a request of these groups is kept apart."""
         return any(now < self._until(group) for group in groups)
 
-    def wait(self, groups: Iterable[Group], now: float) -> float:
+    def retry_delay(self, groups: Iterable[Group], now: float) -> float:
         """Return after how many seconds one of these groups may be tried again."""
         found = (self._evidence[group] for group in groups if group in self._evidence)
         return max([0.0, *(item.tried_after - now for item in found if now < item.until)])
 
-    def services(self, now: float) -> frozenset[str]:
+    def isolated_services(self, now: float) -> frozenset[str]:
         """Return the services that have a group which is kept apart."""
-        return frozenset(group.service for group in self.groups(now))
+        return frozenset(group.service for group in self.isolated_groups(now))
 
-    def groups(self, now: float) -> list[Group]:
+    def isolated_groups(self, now: float) -> list[Group]:
         """Return all groups that are kept apart."""
         return [group for group, item in self._evidence.items() if now < item.until]
 
--- a/src/lotushill/quarantine/quarantine.py
+++ b/src/lotushill/quarantine/quarantine.py
@@ -6,8 +6,8 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING
 
+from lotushill.quarantine.completed_requests import CompletedRequests
 from lotushill.quarantine.suspect import Suspect
-from lotushill.quarantine.whole_memory import WholeMemory
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -32,45 +32,47 @@
         self._suspects: OrderedDict[bytes, Suspect] = OrderedDict()
         self._of_team: Counter[str] = Counter()
         self._stored: dict[bytes, StoredHold] = {}
-        self._whole = WholeMemory()
+        self._whole = CompletedRequests()
 
     def __len__(self) -> int:
         return len(self._suspects)
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether nothing is suspected, so that no identity has to be worked out."""
         return not self._suspects and not self._stored
 
-    def holds(self, identity: bytes, now: float) -> bool:
+    def is_held(self, identity: bytes, now: float) -> bool:
         """Return whether a request is to reach no upstream."""
         suspect = self._suspects.get(identity)
         if suspect is not None and suspect.held(now):
             return True
         return identity in self._stored and (suspect is None or not suspect.proven)
 
-    def ends_under(self, identity: bytes) -> int:
+    def failure_count(self, identity: bytes) -> int:
         """Return how many upstreams ended under a request since it was last cleared."""
         suspect = self._suspects.get(identity)
-        return len(suspect.ends) if suspect is not None else 0
+        return len(suspect.failed_upstreams) if suspect is not None else 0
 
     def find(self, identity: bytes) -> Suspect | None:
         """Return a suspect."""
         return self._suspects.get(identity)
 
-    def held(self, now: float) -> list[bytes]:
+    def held_identities(self, now: float) -> list[bytes]:
         """Return the identities of all requests that are held."""
-        return [item for item in {*self._suspects, *self._stored} if self.holds(item, now)]
+        return [item for item in {*self._suspects, *self._stored} if self.is_held(item, now)]
 
     # Against a request
 
-    def note_end(self, identity: bytes, team: str, path: str, upstream: str, now: float) -> bool:
+    def record_upstream_failure(
+        self, identity: bytes, team: str, path: str, upstream: str, now: float
+    ) -> bool:
         """Note that an upstream ended while it had the request; return whether that is news."""
         suspect = self._suspect(identity, team, path, now)
         suspect.seen_here = True
         return suspect.add(upstream, now)
 
-    def take(self, state: SuspectState, now: float) -> bool:
+    def merge_peer_state(self, state: SuspectState, now: float) -> bool:
         """Take what a peer holds against a request; return whether any of it is news."""
         suspect = self._suspect(state.identity, state.team, state.path, now)
         news = [suspect.add(upstream, now) for upstream in state.upstreams]
@@ -78,7 +80,7 @@
 
     # For a request
 
-    def note_whole(self, identity: bytes, now: float) -> bool:
+    def record_completion(self, identity: bytes, now: float) -> bool:
         """Note a whole answer; return whether it clears a suspect."""
         self._whole.note(identity, now)
         return self.clear(identity)
@@ -86,24 +88,24 @@
     def clear(self, identity: bytes) -> bool:
         """Note that a request was answered whole since; return whether it was suspected."""
         suspect = self._suspects.get(identity)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.failed_upstreams:
             return False
         suspect.clear()
         return True
 
-    def prove(self, identity: bytes, now: float) -> None:
+    def mark_known_good(self, identity: bytes, now: float) -> None:
         """Note that a request was answered whole before upstreams ended under it."""
         suspect = self._suspects.get(identity)
         if suspect is not None:
             suspect.prove(now)
 
-    def knows_whole(self, identity: bytes, now: float) -> bool:
+    def has_completed(self, identity: bytes, now: float) -> bool:
         """Return whether a request was answered whole here, which the others may not know."""
         return self._whole.knows(identity, now)
 
     # The store
 
-    def take_stored(self, holds: Mapping[bytes, StoredHold]) -> list[bytes]:
+    def replace_stored(self, holds: Mapping[bytes, StoredHold]) -> list[bytes]:
         """Take what the store has; return what was released there since."""
         released = [identity for identity in self._stored if identity not in holds]
         for identity in released:
@@ -121,7 +123,7 @@
             if suspect.held_for_good and identity not in self._stored
         ]
 
-    def stored_in_vain(self) -> list[bytes]:
+    def stored_but_cleared(self) -> list[bytes]:
         """Return what is in the store though it was answered whole."""
         return [
             identity
--- a/src/lotushill/quarantine/repeat_plan.py
+++ b/src/lotushill/quarantine/repeat_schedule.py
@@ -12,7 +12,7 @@
 """After the event. With one datagram in ten lost, one gateway in 10,000 misses all of them."""
 
 
-class RepeatPlan(Generic[Item]):
+class RepeatSchedule(Generic[Item]):
     """Items that are told some times each."""
 
     def __init__(self) -> None:
@@ -26,19 +26,19 @@
         """Return when something is due, infinity for never."""
         return min((times[0] for times in self._times.values()), default=math.inf)
 
-    def tell(self, item: Item, now: float) -> None:
+    def schedule_repeats(self, item: Item, now: float) -> None:
         """Tell of an item, now and some times more."""
         self._times[item] = [now + after for after in _REPEAT_SECONDS]
 
-    def tell_at(self, item: Item, when: float) -> None:
+    def schedule_once(self, item: Item, when: float) -> None:
         """Tell of an item once."""
         self._times[item] = [when]
 
-    def forget(self, item: Item) -> None:
+    def cancel(self, item: Item) -> None:
         """Tell of an item no more."""
         self._times.pop(item, None)
 
-    def take(self, now: float) -> list[Item]:
+    def pop_due(self, now: float) -> list[Item]:
         """Return what is due, which is told by then."""
         due = [item for item, times in self._times.items() if times[0] <= now]
         for item in due:
--- a/src/lotushill/quarantine/stored_hold.py
+++ b/src/lotushill/quarantine/stored_hold.py
@@ -24,7 +24,7 @@
     since: float
     """Seconds since 1970, by the clock of the gateway that wrote it."""
 
-    def spec(self) -> dict[str, object]:
+    def to_spec(self) -> dict[str, object]:
         """Return the object's spec."""
         return {
             "team": self.team,
--- a/src/lotushill/returns/promise.py
+++ b/src/lotushill/returns/promise.py
@@ -4,13 +4,13 @@
 
 from dataclasses import dataclass
 
-KEPT_SECONDS = 2.0
+GRACE_SECONDS = 2.0
 """Time after its due time for which a promise is kept: a client may first try a host that is
 gone."""
 
 
 @dataclass(frozen=True)
-class Asker:
+class Requester:
     """A request that needs an upstream; times are seconds."""
 
     caller: int
@@ -28,21 +28,21 @@
 
     service: str
     tier: int
-    due: float
+    due_at: float
     refused_at: float
     """When the caller was last refused."""
-    first: bool
+    prioritized: bool
     """Whether the caller then goes before new requests; if not, it was given only a time."""
     own: bool
     """Whether this gateway has to notify the others."""
     used: bool = False
-    tell_at: float = 0.0
-    tellings: int = 0
+    send_at: float = 0.0
+    times_sent: int = 0
 
     @property
     def ends(self) -> float:
         """Return until when the promise is kept."""
-        return self.due + KEPT_SECONDS
+        return self.due_at + GRACE_SECONDS
 
 
 @dataclass(frozen=True)
--- a/src/lotushill/returns/schedule.py
+++ b/src/lotushill/returns/schedule.py
@@ -9,10 +9,10 @@
 
 from dataclasses import dataclass
 
-RESERVED_SHARE = 0.5
+RESERVED_FRACTION = 0.5
 """Fraction of the freed capacity that goes to returning requests: with more, new requests that can
 still be on time would wait for returning ones, most of which no longer can."""
-LEAST_SECONDS = 0.2
+MIN_RETRY_AFTER_SECONDS = 0.2
 """Minimum Retry-After time: with a shorter one, requests refused together would meet the same full
 slots."""
 _HONOURED_SHARE = 1.0 / 3.0
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Moment:
+class ReturnTime:
     """A Retry-After time and whether it is promised."""
 
     seconds: float
@@ -32,22 +32,22 @@
     """Whether there is likely to be capacity then."""
 
 
-def latest(time_left: float) -> float:
+def latest_return(time_left: float) -> float:
     """Return the longest Retry-After time in seconds that a client with `time_left` honours."""
     return _MARGIN * _HONOURED_SHARE * max(0.0, time_left)
 
 
-def moment(backlog: int, room_rate: float, time_left: float, spread: float) -> Moment:
+def return_time(backlog: int, room_rate: float, time_left: float, spread: float) -> ReturnTime:
     """Return when there is capacity for one more request, behind `backlog` promised returns.
 
     `room_rate` is in requests per second; `spread`, from 0 to 1, is drawn at random for each
     request. If capacity becomes free too late for the client, it is given the latest time that it
     honours, in case the overload has ended: sooner it would waste its last return.
     """
-    last = latest(time_left)
-    reserved = RESERVED_SHARE * room_rate
+    last = latest_return(time_left)
+    reserved = RESERVED_FRACTION * room_rate
     seconds = (backlog + 0.5 + spread) / reserved if reserved > 0.0 else float("inf")
-    seconds = max(LEAST_SECONDS * (1.0 + spread), seconds)
+    seconds = max(MIN_RETRY_AFTER_SECONDS * (1.0 + spread), seconds)
     if seconds <= last:
-        return Moment(seconds, True)
-    return Moment(last * (1.0 - _SPREAD * spread), False)
+        return ReturnTime(seconds, True)
+    return ReturnTime(last * (1.0 - _SPREAD * spread), False)
--- a/src/lotushill/scheduling/hall_contact.py
+++ b/src/lotushill/scheduling/hall_contact.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from lotushill.membership.schedulers import Schedulers
 
-SILENT_SECONDS = 0.8
+SILENCE_TIMEOUT_SECONDS = 0.8
 """Time without a batch after which a hall counts as silent: three missed batches and some jitter.
 The membership alone is too slow for this: it probes the members of a large hall one by one, and
 takes many seconds until it marks the last member of a hall that was cut off as lost."""
@@ -21,11 +21,11 @@
         self._heard: dict[str, float] = {}
         self._listens_since: float | None = None
 
-    def hear(self, scheduler: str, now: float) -> None:
+    def note_batch(self, scheduler: str, now: float) -> None:
         """Note that a batch of a scheduler was received."""
         self._heard[scheduler] = now
 
-    def look(self, now: float) -> None:
+    def update_listening(self, now: float) -> None:
         """Note whether this gateway receives batches at all."""
         told = self._schedulers.schedules() and not self._schedulers.small_fleet()
         if not told:
@@ -36,9 +36,9 @@
     def is_silent(self, hall: str, now: float) -> bool:
         """Return whether a hall has schedulers and no batch of any of them was received lately."""
         since = self._listens_since
-        if since is None or now - since < SILENT_SECONDS:
+        if since is None or now - since < SILENCE_TIMEOUT_SECONDS:
             return False
         names = self._schedulers.halls().get(hall, ())
         return bool(names) and all(
-            now - self._heard.get(name, since) >= SILENT_SECONDS for name in names
+            now - self._heard.get(name, since) >= SILENCE_TIMEOUT_SECONDS for name in names
         )
--- a/src/lotushill/scheduling/placement_client.py
+++ b/src/lotushill/scheduling/placement_client.py
@@ -17,11 +17,11 @@
     from lotushill.links.messages import PlacementAsk
     from lotushill.membership.schedulers import Schedulers
 
-ANSWER_SECONDS = 0.05
+ANSWER_TIMEOUT_SECONDS = 0.05
 """Time without an answer after which the next scheduler is asked. A scheduler of the own hall
 answers in a few milliseconds; one that takes ten times as long is frozen, lost or overloaded. A
 fifth of the shortest target."""
-MOST_ASKED = 3
+MAX_SCHEDULERS_ASKED = 3
 """Maximum number of schedulers asked for one request: both of the own hall and one of another."""
 _RENEWALS = 2
 """Number of times that a renewal is sent before a scheduler counts as silent: one datagram may be
@@ -62,7 +62,9 @@
         scheduler is lost, the request is sent to the next one with the time that it has waited.
         """
         ask = make()
-        for scheduler in self._schedulers.in_order(self._clock(), ask.request)[:MOST_ASKED]:
+        for scheduler in self._schedulers.in_order(self._clock(), ask.request)[
+            :MAX_SCHEDULERS_ASKED
+        ]:
             answer = await self._ask_one(ask, make, scheduler)
             if answer is not None and answer.refusal != UNREADY:
                 return answer
@@ -85,7 +87,7 @@
         answer: PlacementAnswer | None = None
         try:
             self._send(ask, scheduler.address)
-            answer = await _next(inbox, ANSWER_SECONDS)
+            answer = await _next(inbox, ANSWER_TIMEOUT_SECONDS)
             if answer is not None and answer.refusal == HELD:
                 answer = await self._wait(ask, make, scheduler, inbox, answer.retry_after)
         finally:
@@ -114,7 +116,7 @@
                     if answer is not None:
                         break
                     self._send(replace(make(), request=ask.request), scheduler.address)
-                    answer = await _next(inbox, ANSWER_SECONDS)
+                    answer = await _next(inbox, ANSWER_TIMEOUT_SECONDS)
                 if answer is None or answer.refusal != HELD:
                     return answer
         finally:
--- a/src/lotushill/scheduling/line_keeper.py
+++ b/src/lotushill/scheduling/queue_runner.py
@@ -9,8 +9,8 @@
 
 from lotushill.links.messages import WaitingNews
 from lotushill.placement.choice import Choice
-from lotushill.waiting.entry import Held
-from lotushill.waiting.turns import NEWS_SECONDS
+from lotushill.waiting.entry import Queued
+from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -20,12 +20,12 @@
     from lotushill.placement.choice import NoChoice
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
-    from lotushill.waiting.entry import Waiting
-    from lotushill.waiting.line import WaitingLine
+    from lotushill.waiting.admission_queue import AdmissionQueue
+    from lotushill.waiting.entry import QueueEntry
 
-    Answer = Callable[[Waiting, Choice | NoChoice, float], None]
+    Answer = Callable[[QueueEntry, Choice | NoChoice, float], None]
 
-LOOK_SECONDS = 0.01
+POLL_INTERVAL_SECONDS = 0.01
 """Interval between two polls while requests are queued. An engine of 16 slots frees a slot in ten
 times as long."""
 _SOON_SECONDS = 0.001
@@ -37,25 +37,25 @@
 """Highest tier that an update can hold: less urgent tiers are sent as this one."""
 
 
-class LineKeeper:
+class QueueRunner:
     """Connects the admission queue to the clock, to other schedulers and to the callers."""
 
     def __init__(
         self,
         name: str,
-        line: WaitingLine,
+        queue: AdmissionQueue,
         service_named: Callable[[str], Service | None],
         upstreams_of: Callable[[str], Sequence[Upstream]],
-        tell: Callable[[WaitingNews], None],
+        broadcast: Callable[[WaitingNews], None],
         clock: Callable[[], float],
         log: EventLog | None = None,
     ) -> None:
-        """Run the queue of the gateway `name`; `tell` sends updates to the other schedulers."""
+        """Run the queue of the gateway `name`; `broadcast` sends updates to the other schedulers."""
         self._name = name
-        self.line = line
+        self.queue = queue
         self._service_named = service_named
         self._upstreams_of = upstreams_of
-        self._tell = tell
+        self._tell = broadcast
         self._clock = clock
         self._log = log
         self._answers: dict[int, Answer] = {}
@@ -65,15 +65,15 @@
         self._logged: dict[str, float] = {}
 
     def place(
-        self, entry: Waiting, service: Service, upstreams: Sequence[Upstream], answer: Answer
-    ) -> Choice | NoChoice | Held:
-        """Return a request's upstream, `Held` if it was queued, or the reason for its refusal.
+        self, entry: QueueEntry, service: Service, upstreams: Sequence[Upstream], answer: Answer
+    ) -> Choice | NoChoice | Queued:
+        """Return a request's upstream, `Queued` if it was queued, or the reason for its refusal.
 
         A queued request is answered later through `answer`, which adds it to the model if it was
         placed.
         """
-        found = self.line.place(entry, service, upstreams, self._clock())
-        if isinstance(found, Held):
+        found = self.queue.place(entry, service, upstreams, self._clock())
+        if isinstance(found, Queued):
             self._answers[entry.key] = answer
             self._something.set()
         else:
@@ -82,31 +82,31 @@
 
     def drop(self, key: int) -> None:
         """Drop a request that is no longer to be queued."""
-        self.line.room.drop(key)
+        self.queue.requests.drop(key)
         self._answers.pop(key, None)
 
-    def drop_asker(self, name: str) -> None:
+    def drop_gateway(self, name: str) -> None:
         """Drop the queued requests and the queue update of a gateway that has left."""
-        self.line.rivals.drop(name)
-        for key in [entry.key for entry in self.line.room if entry.asker == name]:
+        self.queue.remote_queues.drop(name)
+        for key in [entry.key for entry in self.queue.requests if entry.gateway == name]:
             self.drop(key)
 
     async def run(self) -> None:
         """Poll for free slots while requests are queued; never returns."""
         while True:
             await self._something.wait()
-            pause = self.look()
-            if not len(self.line.room):
+            pause = self.process_due()
+            if not len(self.queue.requests):
                 self._something.clear()
             await anyio.sleep(pause)
 
-    def look(self) -> float:
+    def process_due(self) -> float:
         """Place and refuse the requests that are due; return the seconds until the next poll."""
         now = self._clock()
-        for key in self.line.room.expire(now):
+        for key in self.queue.requests.expire(now):
             self._answers.pop(key, None)
-        pause = LOOK_SECONDS
-        for name in self.line.room.services():
+        pause = POLL_INTERVAL_SECONDS
+        for name in self.queue.requests.services():
             service = self._service_named(name)
             if service is not None:
                 pause = min(pause, self._look_at(service, now))
@@ -114,22 +114,25 @@
         return pause
 
     def _look_at(self, service: Service, now: float) -> float:
-        for entry, found in self.line.due(service, self._upstreams_of(service.name), now):
+        for entry, found in self.queue.due(service, self._upstreams_of(service.name), now):
             answer = self._answers.pop(entry.key, None)
             if answer is None:
                 continue
             answer(entry, found, now)
-            if not entry.asker and isinstance(found, Choice):
+            if not entry.gateway and isinstance(found, Choice):
                 return _SOON_SECONDS
-        return LOOK_SECONDS
+        return POLL_INTERVAL_SECONDS
 
     def _tell_due(self, now: float) -> None:
         """Send the queue lengths to other schedulers, and an empty queue once."""
-        waiting = self.line.room.services()
+        waiting = self.queue.requests.services()
         for name in {*waiting, *self._told}:
-            if now - self._told.get(name, float("-inf")) < NEWS_SECONDS and name in waiting:
+            if (
+                now - self._told.get(name, float("-inf")) < QUEUE_REPORT_INTERVAL_SECONDS
+                and name in waiting
+            ):
                 continue
-            tiers = self.line.room.tiers(name)
+            tiers = self.queue.requests.tiers(name)
             told = tuple(min(_LAST_TIER, tier) for tier in tiers)
             self._tell(WaitingNews(self._name, name, told, tuple(tiers.values())))
             self._note(name, now)
@@ -141,7 +144,7 @@
     def receive(self, news: WaitingNews) -> None:
         """Store the queue update of another scheduler."""
         tiers = {tier: count for tier, count in zip(news.tiers, news.counts) if count}
-        self.line.rivals.note(news.sender, news.service, tiers, self._clock())
+        self.queue.remote_queues.set_counts(news.sender, news.service, tiers, self._clock())
 
     def _note(self, service: str, now: float) -> None:
         if self._log is None or now - self._logged.get(service, float("-inf")) < _LOG_SECONDS:
@@ -150,10 +153,10 @@
         self._log.note(
             "waiting.line",
             service=service,
-            waiting=self.line.room.count(service),
-            tiers=self.line.room.tiers(service),
-            bytes=self.line.room.bytes,
-            held=self.line.held,
-            placed=self.line.placed,
-            given_up=self.line.given_up,
+            waiting=self.queue.requests.count(service),
+            tiers=self.queue.requests.tiers(service),
+            bytes=self.queue.requests.bytes,
+            held=self.queue.held,
+            placed=self.queue.placed,
+            given_up=self.queue.given_up,
         )
--- a/src/lotushill/scheduling/shared_load.py
+++ b/src/lotushill/scheduling/shared_load.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    from lotushill.placement.engine_pace import LastingPace
+    from lotushill.placement.engine_pace import LongTermPace
     from lotushill.placement.fleet import Fleet
     from lotushill.placement.messages import Placed
     from lotushill.routing.service import Service
@@ -52,19 +52,19 @@
         fleet: Fleet,
         clock: Callable[[], float],
         service_of: Callable[[str], Service | None],
-        tell: Callable[[Load], None],
-        is_near: Callable[[str], bool] = lambda _: True,
+        publish: Callable[[Load], None],
+        is_same_hall: Callable[[str], bool] = lambda _: True,
     ) -> None:
         """Update `fleet` by load updates; `service_of` finds an upstream's service by its id.
 
-        `is_near` returns whether a gateway is in the same hall.
+        `is_same_hall` returns whether a gateway is in the same hall.
         """
         self._name = name
         self._fleet = fleet
         self._clock = clock
         self._service_of = service_of
-        self._tell = tell
-        self._is_near = is_near
+        self._tell = publish
+        self._is_near = is_same_hall
         self._own: dict[int, tuple[Placed, float]] = {}
         self._others: dict[str, dict[int, float]] = {}
         self._lists = 0
@@ -75,15 +75,15 @@
         self._empty_lists = 0
         self._ends_by: dict[int, float] = {}
 
-    def start(self, placed: Placed, service: Service, told: bool = False) -> None:
+    def start(self, placed: Placed, service: Service, announced: bool = False) -> None:
         """Add a request of this gateway; publish it unless the scheduler that placed it has."""
         if placed.request in self._own:
             return
         now = self._clock()
         self._own[placed.request] = (placed, now)
         self._fleet.start(placed, service, now)
-        self._fleet.pace(service.name).note_reading(placed.reading)
-        if not told:
+        self._fleet.pace(service.name).note_prefill(placed.prefill_tokens)
+        if not announced:
             self._tell(Load(self._name, False, placed=(placed,)))
 
     def start_for(self, sender: str, placed: Placed, service: Service) -> None:
@@ -116,15 +116,15 @@
         """Publish that a request that was placed for this gateway is not sent."""
         self._tell(Load(self._name, False, ended=(Ended(request),)))
 
-    def due_lists(self, gateways: int) -> list[Load]:
+    def due_snapshots(self, gateways: int) -> list[Load]:
         """Return the snapshot due now in a fleet of `gateways`, empty if none is due."""
         now = self._clock()
         if now < self._list_due:
             return []
         self._list_due = now + max(_LIST_SECONDS, gateways / _LISTS_A_SECOND)
-        return self.whole()
+        return self.snapshot()
 
-    def everything(self) -> list[Load]:
+    def all_running(self) -> list[Load]:
         """Return all requests known to run, for a gateway that becomes a scheduler."""
         now = self._clock()
         loads = [_started(self._name, [(item, since) for item, since in self._own.values()], now)]
@@ -132,23 +132,23 @@
             running = [
                 (placed, since)
                 for request, since in held.items()
-                if (placed := self._fleet.find(request)) is not None
+                if (placed := self._fleet.running_request(request)) is not None
             ]
             loads.append(_started(sender, running, now))
         return [load for load in loads if load.placed]
 
-    def paces(self) -> list[LastingPace]:
+    def paces(self) -> list[LongTermPace]:
         """Return the known paces of upstreams, for a gateway that becomes a scheduler."""
-        return self._fleet.engine_paces.known()
+        return self._fleet.engine_paces.known_paces()
 
-    def take_paces(self, paces: Sequence[LastingPace]) -> None:
+    def merge_paces(self, paces: Sequence[LongTermPace]) -> None:
         """Merge paces from another scheduler, for upstreams whose pace is unknown here."""
         for told in paces:
             service = self._service_of(told.upstream)
             if service is not None:
-                self._fleet.presume_pace(told, service.name)
+                self._fleet.adopt_reported_pace(told, service.name)
 
-    def whole(self) -> list[Load]:
+    def snapshot(self) -> list[Load]:
         """Return a snapshot of this gateway's requests, which repairs what others have missed.
 
         The numbers of all its requests end those that others still count; the ones that started
@@ -226,7 +226,7 @@
         self._ends_by[placed.request] = now + 2 * placed.seconds + _SILENT_SECONDS
         self._fleet.start(placed, service, now)
         if not placed.age:
-            self._fleet.pace(service.name).note_reading(placed.reading)
+            self._fleet.pace(service.name).note_prefill(placed.prefill_tokens)
 
     def _count_out(self, ended: Ended, held: dict[int, float], near: bool = True) -> None:
         held.pop(ended.request, None)
--- a/src/lotushill/shares/ledger.py
+++ b/src/lotushill/shares/ledger.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from lotushill.shares.served import ServedCounts
+from lotushill.shares.served_counts import ServedCounts
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -56,7 +56,7 @@
     def __init__(self) -> None:
         self.share = 1.0
         """Weight of the team relative to other teams."""
-        self.asked_at = -math.inf
+        self.last_request_at = -math.inf
         self.served = ServedCounts()
         self._running = 0.0
         self._count = 0
@@ -71,19 +71,19 @@
         """Return the work divided by the weight; the team with the lowest standing goes first."""
         return self.work(now) / self.share
 
-    def asks(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Return whether the team has sent a request recently."""
-        return now - self.asked_at < _ASKED_SECONDS
+        return now - self.last_request_at < _ASKED_SECONDS
 
     def is_idle(self, now: float) -> bool:
         """Return whether the account may be dropped."""
-        return not self._count and now - max(self.asked_at, self._recent_at) > _IDLE_SECONDS
+        return not self._count and now - max(self.last_request_at, self._recent_at) > _IDLE_SECONDS
 
     def start(self, work: float, at: float) -> None:
         """Add a request that started at `at`."""
         self._running += work
         self._count += 1
-        self.asked_at = max(self.asked_at, at)
+        self.last_request_at = max(self.last_request_at, at)
 
     def end(self, work: float, done: float, now: float) -> None:
         """Remove a request of which `done` of the predicted `work` was done."""
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class Part:
+class TeamWork:
     """Work and weight of one team."""
 
     work: float
@@ -106,11 +106,11 @@
 
 
 @dataclass(frozen=True)
-class Asking:
+class ActiveTeams:
     """Snapshot of the active teams of one tier of a service."""
 
-    at: float
-    teams: dict[int, Part]
+    computed_at: float
+    teams: dict[int, TeamWork]
     work: float
     """Total work of these teams."""
     share: float
@@ -122,7 +122,7 @@
     def __init__(self) -> None:
         self._accounts: dict[tuple[str, int], dict[int, Account]] = {}
         self._running: dict[int, _Running] = {}
-        self._asking: dict[tuple[str, int], Asking] = {}
+        self._asking: dict[tuple[str, int], ActiveTeams] = {}
         self._served: dict[tuple[str, int], ServedCounts] = {}
 
     def account(self, key: AccountKey) -> Account:
@@ -137,22 +137,22 @@
         """Return the counts of all teams of the tier together."""
         return self._served.setdefault((key.service, key.tier), ServedCounts())
 
-    def asking(self, key: AccountKey, now: float) -> Asking:
+    def active_teams(self, key: AccountKey, now: float) -> ActiveTeams:
         """Return the active teams of the tier, cached for some hundredths of a second."""
         place = (key.service, key.tier)
         found = self._asking.get(place)
-        if found is None or not 0.0 <= now - found.at < _LOOK_SECONDS:
+        if found is None or not 0.0 <= now - found.computed_at < _LOOK_SECONDS:
             found = self._asking[place] = _look(self._accounts.get(place, {}), now)
         return found
 
-    def largest(self, now: float) -> list[AccountKey]:
+    def highest_standings(self, now: float) -> list[AccountKey]:
         """Return the team with the highest standing, for each service and tier."""
         return [
             AccountKey(service, tier, max(teams, key=lambda team: teams[team].standing(now)))
             for (service, tier), teams in self._accounts.items()
         ]
 
-    def of_team(self, service: str, team: int) -> Iterator[Account]:
+    def accounts_of_team(self, service: str, team: int) -> Iterator[Account]:
         """Yield the accounts of one team in all tiers of a service."""
         for (name, _), teams in self._accounts.items():
             if name == service and team in teams:
@@ -184,11 +184,11 @@
                 del self._accounts[held]
 
 
-def _look(accounts: dict[int, Account], now: float) -> Asking:
+def _look(accounts: dict[int, Account], now: float) -> ActiveTeams:
     teams = {
-        team: Part(account.work(now), account.share)
+        team: TeamWork(account.work(now), account.share)
         for team, account in accounts.items()
-        if account.asks(now)
+        if account.is_active(now)
     }
     work = sum(part.work for part in teams.values())
-    return Asking(now, teams, work, sum(part.share for part in teams.values()))
+    return ActiveTeams(now, teams, work, sum(part.share for part in teams.values()))
--- a/src/lotushill/shares/served.py
+++ b/src/lotushill/shares/served_counts.py
@@ -23,7 +23,7 @@
         self._placed = 0.0
         self._at = 0.0
 
-    def note_asked(self, now: float) -> None:
+    def note_request(self, now: float) -> None:
         """Count a request that arrived, once even if an upstream is searched for repeatedly."""
         self._fade(now)
         self._asked += 1.0
@@ -33,7 +33,7 @@
         self._fade(now)
         self._placed += 1.0
 
-    def part(self, now: float) -> float | None:
+    def placed_fraction(self, now: float) -> float | None:
         """Return the fraction of requests that were placed, None if too few arrived."""
         self._fade(now)
         return self._placed / self._asked if self._asked >= _LEAST_ASKED else None
--- a/src/lotushill/shares/shares.py
+++ b/src/lotushill/shares/shares.py
@@ -20,12 +20,12 @@
 from lotushill.routing.team import team_number
 from lotushill.shares.ledger import AccountKey
 from lotushill.shares.ledger import Ledger
-from lotushill.shares.ledger import Part
+from lotushill.shares.ledger import TeamWork
 from lotushill.shares.work import predicted_work
 
 if TYPE_CHECKING:
     from lotushill.routing.service import Service
-    from lotushill.shares.work import Placed
+    from lotushill.shares.work import SentRequest
 
 _NEAR = 0.9
 """Fraction of its share from which a team counts as over it, since the sums fluctuate with each
@@ -43,10 +43,10 @@
 _LEAST_SHARE = 1e-3
 _MOST_TIMES = 1000.0
 """Relative standing given for a team while the others have had no work."""
-_NOTHING = Part(0.0, 0.0)
+_NOTHING = TeamWork(0.0, 0.0)
 
 
-class Asked(Protocol):
+class ShareRequest(Protocol):
     """The properties of a request that is to be placed."""
 
     @property
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True)
-class Ahead:
+class TeamOverShare:
     """A team over its share, which other teams of its tier precede while capacity is short."""
 
     service: str
@@ -78,31 +78,31 @@
     """Standing of the team as a multiple of the mean of the others."""
 
 
-class Shares:
+class TeamShares:
     """Tracks the work of teams and finds those over their shares."""
 
     def __init__(self) -> None:
         self._ledger = Ledger()
 
-    def note_ask(self, need: Asked, now: float) -> None:
+    def note_demand(self, need: ShareRequest, now: float) -> None:
         """Note that a team is active, and its weight."""
         account = self._ledger.account(_key(need))
-        account.asked_at = now
+        account.last_request_at = now
         account.share = max(_LEAST_SHARE, need.share)
 
-    def note_arrival(self, need: Asked, now: float) -> None:
+    def note_arrival(self, need: ShareRequest, now: float) -> None:
         """Count a request that arrived, once even if an upstream is searched for repeatedly."""
         key = _key(need)
-        self._ledger.account(key).served.note_asked(now)
-        self._ledger.served(key).note_asked(now)
+        self._ledger.account(key).served.note_request(now)
+        self._ledger.served(key).note_request(now)
 
-    def note_placed(self, need: Asked, now: float) -> None:
+    def note_placed(self, need: ShareRequest, now: float) -> None:
         """Count a request for which an upstream was chosen."""
         key = _key(need)
         self._ledger.account(key).served.note_placed(now)
         self._ledger.served(key).note_placed(now)
 
-    def note_start(self, placed: Placed, service: Service, now: float) -> None:
+    def note_start(self, placed: SentRequest, service: Service, now: float) -> None:
         """Add a request that any gateway has sent to an upstream."""
         key = AccountKey(service.name, placed.tier, placed.team)
         work = predicted_work(placed, service)
@@ -114,10 +114,12 @@
 
     def standing(self, service: str, team: str, share: float, now: float) -> float:
         """Return a team's work at a service divided by its weight; the lowest value goes first."""
-        work = sum(item.work(now) for item in self._ledger.of_team(service, team_number(team)))
+        work = sum(
+            item.work(now) for item in self._ledger.accounts_of_team(service, team_number(team))
+        )
         return work / max(_LEAST_SHARE, share)
 
-    def over_share(self, need: Asked, now: float) -> bool:
+    def is_over_share(self, need: ShareRequest, now: float) -> bool:
         """Return whether requests of other active teams have to go before this one.
 
         True for a team near or over its share that has clearly had more than the other active
@@ -126,25 +128,25 @@
         key = _key(need)
         return self._is_ahead(key, now) and not self._is_starved(key, now)
 
-    def beside_others(self, need: Asked, now: float) -> float:
+    def relative_standing(self, need: ShareRequest, now: float) -> float:
         """Return a team's standing divided by the mean of the other active teams, 0 without any."""
         return self._times(_key(need), now)
 
-    def ahead_by(self, need: Asked, now: float) -> float:
+    def excess_standing(self, need: ShareRequest, now: float) -> float:
         """Return a team's relative standing if it is ahead of the others, otherwise 0.
 
         Used to order queued requests: going first there does not exclude others altogether.
         """
-        times = self.beside_others(need, now)
+        times = self.relative_standing(need, now)
         if times < _AHEAD or self._is_starved(_key(need), now):
             return 0.0
         return times
 
-    def ahead(self, now: float) -> list[Ahead]:
+    def teams_over_share(self, now: float) -> list[TeamOverShare]:
         """Return the team of each service and tier that others precede while capacity is short."""
         return [
-            Ahead(key.service, key.tier, key.team, self._times(key, now))
-            for key in self._ledger.largest(now)
+            TeamOverShare(key.service, key.tier, key.team, self._times(key, now))
+            for key in self._ledger.highest_standings(now)
             if self._is_ahead(key, now)
         ]
 
@@ -159,20 +161,20 @@
             return False
         level = standing / _NEAR
         # At this standing for all teams, others would free less work than this team lacks up to it.
-        teams = self._ledger.asking(key, now).teams
+        teams = self._ledger.active_teams(key, now).teams
         above = sum(_over(part, level) for team, part in teams.items() if team != key.team)
         return above <= level * own.share - own.work(now)
 
     def _mean_of_others(self, key: AccountKey, now: float) -> float:
         """Return the weighted mean standing of the other active teams, infinity without any."""
-        asking = self._ledger.asking(key, now)
+        asking = self._ledger.active_teams(key, now)
         own = asking.teams.get(key.team, _NOTHING)
         share = asking.share - own.share
         return max(0.0, asking.work - own.work) / share if share > _LEAST_SHARE / 2 else math.inf
 
     def _is_starved(self, key: AccountKey, now: float) -> bool:
-        own = self._ledger.account(key).served.part(now)
-        all_teams = self._ledger.served(key).part(now)
+        own = self._ledger.account(key).served.placed_fraction(now)
+        all_teams = self._ledger.served(key).placed_fraction(now)
         if own is None or all_teams is None:
             return False
         return own < _LEAST_SERVED * all_teams
@@ -182,10 +184,10 @@
         return self._ledger.account(key).standing(now) / mean if mean > 0.0 else _MOST_TIMES
 
 
-def _over(part: Part, level: float) -> float:
+def _over(part: TeamWork, level: float) -> float:
     """Return the work of a team above the standing `level`."""
     return max(0.0, part.work - level * part.share)
 
 
-def _key(need: Asked) -> AccountKey:
+def _key(need: ShareRequest) -> AccountKey:
     return AccountKey(need.service, need.tier, team_number(need.team))
--- a/src/lotushill/shares/work.py
+++ b/src/lotushill/shares/work.py
@@ -14,7 +14,7 @@
 """Lower bound of the work of a request, so that no request is free."""
 
 
-class Placed(Protocol):
+class SentRequest(Protocol):
     """The properties of a request that was sent to an upstream."""
 
     @property
@@ -30,7 +30,7 @@
         """Urgency; 0 is the most urgent."""
 
     @property
-    def reading(self) -> int:
+    def prefill_tokens(self) -> int:
         """Prompt tokens that the upstream has to read."""
 
     @property
@@ -50,7 +50,7 @@
         """Time since the start in seconds."""
 
 
-def predicted_work(placed: Placed, service: Service) -> float:
+def predicted_work(placed: SentRequest, service: Service) -> float:
     """Return the expected cost of a request: tokens at an engine, seconds at a plain service.
 
     Only requests of one service are compared with each other.
@@ -58,4 +58,4 @@
     if service.engine is None:
         return max(_LEAST_WORK, placed.seconds)
     made = max(0, placed.memory - placed.prompt)
-    return max(_LEAST_WORK, placed.reading + _OUTPUT_WORTH * made)
+    return max(_LEAST_WORK, placed.prefill_tokens + _OUTPUT_WORTH * made)
--- a/src/lotushill/waiting/line.py
+++ b/src/lotushill/waiting/admission_queue.py
@@ -17,14 +17,14 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.precedence import Precedence
-from lotushill.waiting.entry import Held
+from lotushill.waiting.entry import Queued
 from lotushill.waiting.open_engines import OpenEngines
+from lotushill.waiting.ordering_inputs import EqualShares
+from lotushill.waiting.ordering_inputs import NoReturns
 from lotushill.waiting.pressure import Pressure
+from lotushill.waiting.queued_requests import QueuedRequests
 from lotushill.waiting.release_rate import ReleaseRate
-from lotushill.waiting.room import WaitingRoom
-from lotushill.waiting.standing import EqualShares
-from lotushill.waiting.standing import NobodyReturns
-from lotushill.waiting.time_left import TimeLeft
+from lotushill.waiting.wait_limits import WaitLimits
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -33,10 +33,10 @@
     from lotushill.placement.fleet import Fleet
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
-    from lotushill.waiting.entry import Waiting
-    from lotushill.waiting.standing import Returning
-    from lotushill.waiting.standing import Standing
-    from lotushill.waiting.turns import Rivals
+    from lotushill.waiting.entry import QueueEntry
+    from lotushill.waiting.ordering_inputs import PromisedReturns
+    from lotushill.waiting.ordering_inputs import TeamStandings
+    from lotushill.waiting.slot_turns import RemoteQueues
 
     Order = tuple[int, bool, bool, float, float]
 
@@ -56,26 +56,26 @@
 """Interim refusals without a Retry-After time, which only the final answer gives."""
 
 
-class WaitingLine:
+class AdmissionQueue:
     """Admission queue of one gateway that places its own requests and those of other gateways."""
 
     def __init__(
         self,
         fleet: Fleet,
-        rivals: Rivals,
-        shares: Standing | None = None,
-        returns: Returning | None = None,
+        remote_queues: RemoteQueues,
+        shares: TeamStandings | None = None,
+        returns: PromisedReturns | None = None,
     ) -> None:
         self._fleet = fleet
-        self.rivals = rivals
-        self.engines = OpenEngines(fleet, rivals)
-        self.room = WaitingRoom()
-        self._time = TimeLeft(fleet)
+        self.remote_queues = remote_queues
+        self.engines = OpenEngines(fleet, remote_queues)
+        self.requests = QueuedRequests()
+        self._time = WaitLimits(fleet)
         self._pressure = Pressure()
         self._rates: dict[str, ReleaseRate] = {}
         self._next_sweep: dict[str, float] = {}
         self._shares = shares or EqualShares()
-        self._returns = returns or NobodyReturns()
+        self._returns = returns or NoReturns()
         self._standings: dict[tuple[str, int, str], float] = {}
         self._standings_at = float("-inf")
         self.held = 0
@@ -87,18 +87,18 @@
 
     def place(
         self,
-        entry: Waiting,
+        entry: QueueEntry,
         service: Service,
         upstreams: Sequence[Upstream],
         now: float,
-    ) -> Choice | NoChoice | Held:
-        """Return a request's upstream, `Held` if it was queued, or the reason for its refusal."""
+    ) -> Choice | NoChoice | Queued:
+        """Return a request's upstream, `Queued` if it was queued, or the reason for its refusal."""
         if service.engine is None:
             need = entry.need_at(now)
             return self._fleet.choose(need, service, upstreams, entry.excluded, now)
-        if self.room.find(entry.key) is not None:
+        if self.requests.find(entry.key) is not None:
             return self._renew(entry, now)
-        early = self._fleet.shedding.early(entry.need_at(now), now)
+        early = self._fleet.shedding.refuse_early(entry.need_at(now), now)
         if early is not None:
             return early
         found = self._look(entry, service, upstreams, now, new=True)
@@ -111,14 +111,14 @@
             return found
         if not self._time.is_worth_waiting(entry, self._likely_wait(entry, now), now):
             return self._give_up(entry, found, now)
-        if not self.room.add(entry):
+        if not self.requests.add(entry):
             return self._give_up(entry, found, now)
         self.held += 1
         self._fleet.shedding.returns.note_scarce(entry.need.service, entry.need.tier, now)
-        return Held()
+        return Queued()
 
     def _queued(
-        self, entry: Waiting, service: Service, upstreams: Sequence[Upstream], now: float
+        self, entry: QueueEntry, service: Service, upstreams: Sequence[Upstream], now: float
     ) -> Choice | None:
         """Return an engine in whose own queue a short request is on time, None if there is none.
 
@@ -129,23 +129,23 @@
         if self._fleet.shedding.is_long(need) or self._stands_behind(entry, now):
             return None
         found = self._fleet.choose(need, service, upstreams, entry.excluded, now)
-        if isinstance(found, Choice) and found.first <= need.target - need.waited:
+        if isinstance(found, Choice) and found.first_event_seconds <= need.target - need.waited:
             return found
         return None
 
-    def _renew(self, entry: Waiting, now: float) -> Held | NoChoice:
+    def _renew(self, entry: QueueEntry, now: float) -> Queued | NoChoice:
         """Renew a queued request with the new values of its need, or refuse it if overdue."""
-        if not self._time.is_overdue(entry, now) and self.room.add(entry):
-            return Held()
+        if not self._time.is_overdue(entry, now) and self.requests.add(entry):
+            return Queued()
         self.given_up += 1
         return self._give_up(entry, _NO_ROOM, now)
 
-    def _is_pressed(self, entry: Waiting, now: float) -> bool:
-        return self._pressure.bears_on(entry.need.service, entry.need.tier, now)
+    def _is_pressed(self, entry: QueueEntry, now: float) -> bool:
+        return self._pressure.applies_to(entry.need.service, entry.need.tier, now)
 
     def _look(
         self,
-        entry: Waiting,
+        entry: QueueEntry,
         service: Service,
         upstreams: Sequence[Upstream],
         now: float,
@@ -163,16 +163,16 @@
             return _NO_ROOM
         return self._fleet.choose(need, service, upstreams, entry.excluded, now, closed)
 
-    def _give_up(self, entry: Waiting, found: NoChoice, now: float) -> NoChoice:
+    def _give_up(self, entry: QueueEntry, found: NoChoice, now: float) -> NoChoice:
         """Remove a request from the queue, if it is in it, and return its final refusal."""
-        self.room.drop(entry.key)
-        wait = max(found.wait, self._likely_wait(entry, now))
-        refused = self._fleet.shedding.give_up(entry.need_at(now), found.refusal, wait, now)
+        self.requests.drop(entry.key)
+        wait = max(found.wait_seconds, self._likely_wait(entry, now))
+        refused = self._fleet.shedding.refuse_finally(entry.need_at(now), found.refusal, wait, now)
         return replace(refused, standing=found.standing)
 
     def due(
         self, service: Service, upstreams: Sequence[Upstream], now: float
-    ) -> Iterator[tuple[Waiting, Choice | NoChoice]]:
+    ) -> Iterator[tuple[QueueEntry, Choice | NoChoice]]:
         """Yield the entries that are placed or refused now, in order.
 
         The caller must add a placed request to the fleet model before it takes the next item.
@@ -180,7 +180,9 @@
         if not self._any_open(service, upstreams, now):
             yield from self._overdue(service, now)
             return
-        entries = sorted(self.room.of(service.name), key=lambda entry: self._order(entry, now))
+        entries = sorted(
+            self.requests.for_service(service.name), key=lambda entry: self._order(entry, now)
+        )
         passed_over: set[tuple[int, str]] = set()
         looks = 0
         for entry in entries:
@@ -193,8 +195,8 @@
             found = self._look(entry, service, upstreams, now)
             if isinstance(found, Choice) and self._keeps_more(entry, found, service, upstreams):
                 passed_over.add(kind)
-            elif isinstance(found, Choice) and not self._time.comes_too_late(entry, found, now):
-                self.room.drop(entry.key)
+            elif isinstance(found, Choice) and not self._time.is_too_late(entry, found, now):
+                self.requests.drop(entry.key)
                 self.placed += 1
                 self._pressure.note(entry, now)
                 self._note_placed(entry, found, now)
@@ -204,7 +206,7 @@
         yield from self._overdue(service, now)
 
     def _keeps_more(
-        self, entry: Waiting, choice: Choice, service: Service, upstreams: Sequence[Upstream]
+        self, entry: QueueEntry, choice: Choice, service: Service, upstreams: Sequence[Upstream]
     ) -> bool:
         """Return whether the larger slot reserve excludes a long request from the queue.
 
@@ -212,7 +214,7 @@
         requests leave some free by chance. The slots that they take are gone for as long as they
         run.
         """
-        if service.engine is None or choice.seconds < _LONG_RUN_SECONDS:
+        if service.engine is None or choice.answer_seconds < _LONG_RUN_SECONDS:
             return False
         if not self._fleet.shedding.is_long(entry.need):
             return False
@@ -222,27 +224,27 @@
 
     def _any_open(self, service: Service, upstreams: Sequence[Upstream], now: float) -> bool:
         """Return whether an engine has a free slot for the most urgent tier in the queue."""
-        most_urgent = min(self.room.tiers(service.name), default=None)
+        most_urgent = min(self.requests.tiers(service.name), default=None)
         if most_urgent is None:
             return False
         return len(self.engines.closed(service, most_urgent, upstreams, now)) < len(upstreams)
 
-    def _overdue(self, service: Service, now: float) -> Iterator[tuple[Waiting, NoChoice]]:
+    def _overdue(self, service: Service, now: float) -> Iterator[tuple[QueueEntry, NoChoice]]:
         """Yield the entries that can no longer be served in time, each with its refusal."""
         if now < self._next_sweep.get(service.name, 0.0):
             return
         self._next_sweep[service.name] = now + _SWEEP_SECONDS
-        for entry in self.room.of(service.name):
+        for entry in self.requests.for_service(service.name):
             if self._time.is_overdue(entry, now):
                 self.given_up += 1
                 self._pressure.note(entry, now)
                 yield entry, self._give_up(entry, _NO_ROOM, now)
 
-    def _note_placed(self, entry: Waiting, choice: Choice, now: float) -> None:
+    def _note_placed(self, entry: QueueEntry, choice: Choice, now: float) -> None:
         self.engines.note_taken(choice.upstream.id, now)
         self._rates.setdefault(entry.need.service, ReleaseRate()).note(entry.need.tier, now)
 
-    def _order(self, entry: Waiting, now: float) -> Order:
+    def _order(self, entry: QueueEntry, now: float) -> Order:
         """Return the sort key of an entry; within a tier, those that can be on time go first."""
         need = entry.need
         standing = self._standing(entry, now)
@@ -251,12 +253,12 @@
             # Returning requests of a team over its share do not go before new ones of other teams.
             newcomer=standing > 0.0 or not self._returns.is_due(need.caller, now),
             standing=standing,
-            since=entry.since,
+            arrived_at=entry.arrived_at,
         )
-        late = now >= self._time.in_time_until(entry) and not self._is_pressed(entry, now)
-        return (place.tier, late, place.newcomer, place.standing, place.since)
+        late = now >= self._time.on_time_until(entry) and not self._is_pressed(entry, now)
+        return (place.tier, late, place.newcomer, place.standing, place.arrived_at)
 
-    def _standing(self, entry: Waiting, now: float) -> float:
+    def _standing(self, entry: QueueEntry, now: float) -> float:
         """Return the excess standing of a request's team, computed once per value of `now`."""
         if now != self._standings_at:
             self._standings_at = now
@@ -265,18 +267,18 @@
         key = (need.service, need.tier, need.team)
         found = self._standings.get(key)
         if found is None:
-            found = self._standings[key] = self._shares.ahead_by(need, now)
+            found = self._standings[key] = self._shares.excess_standing(need, now)
         return found
 
-    def _stands_behind(self, entry: Waiting, now: float) -> bool:
+    def _stands_behind(self, entry: QueueEntry, now: float) -> bool:
         """Return whether any queued request goes before a new one."""
-        others = self.room.of(entry.need.service)
+        others = self.requests.for_service(entry.need.service)
         if not others:
             return False
         own = self._order(entry, now)
         return any(self._order(other, now) < own for other in others)
 
-    def _likely_wait(self, entry: Waiting, now: float) -> float:
+    def _likely_wait(self, entry: QueueEntry, now: float) -> float:
         """Return the expected time in seconds until the requests before this one are placed.
 
         While the queue is too new to have a known rate, the worst case is assumed for long
@@ -287,6 +289,6 @@
         rate = self._rates.setdefault(need.service, ReleaseRate())
         if not rate.is_known(now) and not self._fleet.shedding.is_long(need):
             return 0.0
-        tiers = self.room.tiers(need.service)
+        tiers = self.requests.tiers(need.service)
         more_urgent = sum(count for tier, count in tiers.items() if tier < need.tier)
-        return rate.wait(need.tier, more_urgent, tiers.get(need.tier, 0), now)
+        return rate.expected_wait(need.tier, more_urgent, tiers.get(need.tier, 0), now)
--- a/src/lotushill/waiting/entry.py
+++ b/src/lotushill/waiting/entry.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from lotushill.placement.need import Need
 
-RENEW_SECONDS = 0.2
+RENEW_INTERVAL_SECONDS = 0.2
 """Interval in which a gateway renews a queued request: a fifth of the shortest time after which a
 client gives up, so that the loss of a scheduler uses up little of that time."""
 EXPIRY_SECONDS = 0.7
@@ -23,18 +23,18 @@
 
 
 @dataclass(frozen=True)
-class Waiting:
+class QueueEntry:
     """A request in the admission queue; times are on the clock of the gateway that queues it."""
 
     key: int
     """Number of the placement query, the same in all renewals."""
     need: Need
-    asker: str
+    gateway: str
     """Name of the gateway that sent the query, empty for requests of the queueing gateway
     itself."""
-    since: float
+    arrived_at: float
     """When the request arrived at its gateway."""
-    renewed: float
+    renewed_at: float
     excluded: frozenset[str] = frozenset()
     """Ids of upstreams that the request must not be sent to."""
     copied: bool = False
@@ -43,23 +43,23 @@
     @cached_property
     def patience_ends(self) -> float:
         """Return when its client gives up if it has received no part of an answer."""
-        patience = replace(self.need, time_left=math.inf).patience
-        return self.since + min(patience, self.need.waited + self.need.time_left)
+        patience = replace(self.need, time_left=math.inf).first_event_timeout
+        return self.arrived_at + min(patience, self.need.waited + self.need.time_left)
 
     @property
     def held_until(self) -> float:
         """Return until when the entry stays queued: its client still waits for the outcome then."""
-        return self.since + _PATIENCE_SHARE * (self.patience_ends - self.since)
+        return self.arrived_at + _PATIENCE_SHARE * (self.patience_ends - self.arrived_at)
 
     def need_at(self, now: float) -> Need:
         """Return the placement need with the time waited and the time left as of `now`."""
-        waited = now - self.since
+        waited = now - self.arrived_at
         left = self.need.time_left - (waited - self.need.waited)
         return replace(self.need, waited=waited, time_left=max(0.0, left))
 
 
 @dataclass(frozen=True)
-class Held:
-    """The answer to a query whose request was queued; it must be renewed after `renew` seconds."""
+class Queued:
+    """The answer to a query whose request was queued; it must be renewed after `renew_seconds`."""
 
-    renew: float = RENEW_SECONDS
+    renew_seconds: float = RENEW_INTERVAL_SECONDS
--- a/src/lotushill/waiting/standing.py
+++ b/src/lotushill/waiting/ordering_inputs.py
@@ -9,17 +9,17 @@
     from lotushill.placement.need import Need
 
 
-class Standing(Protocol):
+class TeamStandings(Protocol):
     """Gives the recent work of teams relative to their shares."""
 
-    def ahead_by(self, need: Need, now: float) -> float:
+    def excess_standing(self, need: Need, now: float) -> float:
         """Return how far the team of a request is over its share, 0 if it is not.
 
         Requests of the team with the lowest value go first.
         """
 
 
-class Returning(Protocol):
+class PromisedReturns(Protocol):
     """Knows which callers return at the time they were promised."""
 
     def is_due(self, caller: int, now: float) -> bool:
@@ -29,13 +29,13 @@
 class EqualShares:
     """Team shares under which all teams are equal."""
 
-    def ahead_by(self, need: Need, now: float) -> float:
+    def excess_standing(self, need: Need, now: float) -> float:
         """Return the same value for all teams."""
         del need, now
         return 0.0
 
 
-class NobodyReturns:
+class NoReturns:
     """Promised returns where every request counts as new."""
 
     def is_due(self, caller: int, now: float) -> bool:
--- a/src/lotushill/waiting/release_rate.py
+++ b/src/lotushill/waiting/release_rate.py
@@ -29,7 +29,7 @@
         self._asked_at = now
         return now - self._asked_since >= _SPAN_SECONDS
 
-    def wait(self, tier: int, more_urgent: int, before: int, now: float) -> float:
+    def expected_wait(self, tier: int, more_urgent: int, before: int, now: float) -> float:
         """Return the expected wait in seconds of a request of `tier`.
 
         The `more_urgent` requests in the queue are placed at the rate of all tiers, the `before`
--- a/src/lotushill/waiting/turns.py
+++ b/src/lotushill/waiting/slot_turns.py
@@ -21,7 +21,7 @@
 TURN_SECONDS = 0.04
 """Time until other schedulers have been notified that a slot was taken: one batch interval, two
 network transits and some margin."""
-NEWS_SECONDS = 0.05
+QUEUE_REPORT_INTERVAL_SECONDS = 0.05
 """Interval between two queue updates of one scheduler."""
 _FRESH_SECONDS = 0.2
 """Age from which a queue update no longer counts: three updates may be lost."""
@@ -36,14 +36,14 @@
     at: float
 
 
-class Rivals:
+class RemoteQueues:
     """Queues of the other schedulers, by their updates."""
 
     def __init__(self, own: str) -> None:
         self._own = own
         self._told: dict[str, dict[str, _Told]] = {}
 
-    def note(self, sender: str, service: str, tiers: dict[int, int], now: float) -> None:
+    def set_counts(self, sender: str, service: str, tiers: dict[int, int], now: float) -> None:
         """Store how many requests of each tier are queued at another scheduler."""
         self._told.setdefault(service, {})[sender] = _Told(tiers, now)
 
@@ -52,11 +52,11 @@
         for told in self._told.values():
             told.pop(sender, None)
 
-    def any(self, service: str, now: float) -> bool:
+    def has_waiting(self, service: str, now: float) -> bool:
         """Return whether other schedulers have queued requests of a service."""
         return any(told.tiers for told in self._fresh(service, now).values())
 
-    def order(self, service: str, tier: int, upstream: str, now: float) -> tuple[int, int]:
+    def rank_for_slot(self, service: str, tier: int, upstream: str, now: float) -> tuple[int, int]:
         """Return this scheduler's rank for a slot of an upstream, and the number of schedulers.
 
         Schedulers with more urgent requests rank before; those with only less urgent requests are
@@ -77,16 +77,16 @@
         return {name: item for name, item in told.items() if now - item.at <= _FRESH_SECONDS}
 
 
-class Turns:
+class SlotTurns:
     """Decides which free slots of each engine this gateway may fill."""
 
-    def __init__(self, rivals: Rivals) -> None:
+    def __init__(self, rivals: RemoteQueues) -> None:
         self._rivals = rivals
         self._free_since: dict[str, float] = {}
         self._looked_at: dict[str, float] = {}
         self._taken: dict[str, list[float]] = {}
 
-    def look(self, upstream: str, free: int, now: float) -> None:
+    def note_free_slots(self, upstream: str, free: int, now: float) -> None:
         """Note how many slots of an engine are free.
 
         If the last note is older than a turn, the engine may have been full or unreachable since,
@@ -107,7 +107,7 @@
         """Return whether this gateway may fill one more of the free slots of an engine."""
         if free <= 0:
             return False
-        place, count = self._rivals.order(service, tier, upstream, now)
+        place, count = self._rivals.rank_for_slot(service, tier, upstream, now)
         if count == 1:
             return True
         taken = self._recent(upstream, now)
--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -30,7 +30,7 @@
 _ENTRIES = "tests.platform.test_upstreams"
 _ASLEEP = "tests.requests.test_suspension"
 _REST = "tests.requests.test_rest"
-_RESTS = "tests.availability.test_rests"
+_RESTS = "tests.availability.test_cooldowns"
 _LEAVING = "tests.requests.test_leaving.TestOneGateway"
 _LEAVING_NEWS = "tests.peering.test_leaving_keeper.TestLeavingKeeper"
 _LIMIT = "tests.requests.test_limit.TestOneGateway"
@@ -213,31 +213,31 @@
             Case(
                 "its holder is killed, frozen or cut off",
                 (
-                    f"{_WAITING}.test_a_holder_that_is_lost_is_passed_over_and_the_place_kept",
-                    f"{_WAITING}.test_what_a_frozen_holder_places_later_is_given_up",
+                    f"{_WAITING}.test_a_lost_scheduler_is_passed_over_and_the_time_waited_is_kept",
+                    f"{_WAITING}.test_a_late_placement_by_a_frozen_scheduler_is_given_up",
                 ),
             ),
             Case(
                 "an ask or an answer is lost, comes twice or late",
                 (
                     f"{_WAITING}.test_one_lost_datagram_costs_no_place",
-                    f"{_WAITING}.test_an_answer_that_was_lost_comes_with_the_next_ask",
-                    f"{_WAITING}.test_an_answer_that_crosses_an_ask_is_used_once",
+                    f"{_WAITING}.test_a_lost_answer_is_repeated_on_the_next_renewal",
+                    f"{_WAITING}.test_an_answer_that_crosses_a_renewal_is_used_once",
                 ),
             ),
             Case(
                 "its client or its gateway leaves",
                 (
-                    f"{_WAITING}.test_where_its_client_leaves_the_place_is_given_up",
+                    f"{_WAITING}.test_the_queue_entry_is_given_up_when_the_client_leaves",
                     "tests.scheduling.test_waiting_desk.TestDesk."
-                    "test_one_whose_gateway_is_gone_is_placed_no_more",
+                    "test_requests_of_a_gateway_that_has_left_are_not_placed",
                 ),
             ),
             Case(
                 "more wait than there is room for",
                 (
                     "tests.scheduling.test_waiting_desk.TestDesk."
-                    "test_where_the_room_is_full_it_is_refused_at_once",
+                    "test_a_request_is_refused_at_once_when_the_queue_is_full",
                 ),
             ),
             Case(
@@ -293,8 +293,8 @@
             Case(
                 "schedulers choose, or none of them answers",
                 (
-                    "tests.scheduling.test_placer.TestRests.test_a_scheduler_is_told_whom_to_leave_out",
-                    "tests.scheduling.test_placer.TestRests.test_nor_is_one_of_them_chosen_where_no_scheduler_answers",
+                    "tests.scheduling.test_placer.TestRests.test_upstreams_in_cooldown_are_excluded_from_the_query",
+                    "tests.scheduling.test_placer.TestRests.test_upstreams_in_cooldown_are_not_chosen_without_a_scheduler",
                 ),
             ),
             Case(
@@ -325,8 +325,8 @@
             Case(
                 "all rest, and callers wait",
                 (
-                    "tests.availability.test_patience.TestReplay.test_waiting_for_the_first_end_serves_more_than_refusing",
-                    "tests.availability.test_patience.TestRestPause.test_the_more_urgent_look_first",
+                    "tests.availability.test_wait_policy.TestReplay.test_waiting_for_the_first_end_serves_more_than_refusing",
+                    "tests.availability.test_wait_policy.TestRestPause.test_the_more_urgent_look_first",
                 ),
             ),
         ),
@@ -373,7 +373,7 @@
                     f"{_LIMIT}.test_what_is_kept_back_has_spent_neither_a_run_nor_a_repeat",
                     f"{_LIMIT}.test_a_run_does_not_go_on_there_without_a_permit",
                     f"{_LIMIT}.test_no_copy_is_kept_at_one_that_has_a_limit",
-                    "tests.scheduling.test_placer.TestRests.test_what_has_no_permit_is_left_out_for_its_rank_and_later_ones",
+                    "tests.scheduling.test_placer.TestRests.test_an_upstream_without_a_permit_is_excluded_for_its_rank_and_later_ones",
                 ),
             ),
             Case(
@@ -389,7 +389,7 @@
                 (
                     f"{_LIMITS}.TestFaults.test_whatever_happens_to_the_gateways_it_holds",
                     f"{_LIMITS}.TestFaults.test_also_where_the_limit_is_high",
-                    "tests.limits.test_counting.TestCountingGateways.test_the_parts_of_both_sides_of_a_cut_are_no_more_than_all",
+                    "tests.limits.test_limit_owners.TestCountingGateways.test_the_parts_of_both_sides_of_a_cut_are_no_more_than_all",
                 ),
             ),
             Case(
@@ -683,7 +683,7 @@
         (
             Case(
                 "datagrams are lost",
-                (f"{_LOAD}.test_after_a_whole_list_both_agree_whatever_was_lost",),
+                (f"{_LOAD}.test_after_a_snapshot_both_gateways_agree_whatever_was_lost",),
             ),
             Case(
                 "one of them is lost",
@@ -694,7 +694,7 @@
             Case(
                 "one becomes a scheduler",
                 (
-                    f"{_LOAD}.test_a_gateway_that_becomes_a_scheduler_is_told_all_that_runs_anywhere",
+                    f"{_LOAD}.test_a_gateway_that_becomes_a_scheduler_receives_all_running_requests",
                     "tests.peering.test_peers.TestSmallFleet."
                     "test_one_that_has_come_asks_one_other_for_all_that_runs",
                 ),
@@ -712,7 +712,9 @@
             ),
             Case(
                 "a gateway starts later",
-                (f"{_LOAD}.test_one_that_comes_later_is_told_of_all_that_runs_within_some_lists",),
+                (
+                    f"{_LOAD}.test_a_late_joiner_receives_all_running_requests_within_some_snapshots",
+                ),
             ),
             Case("a gateway is lost", (f"{_LOAD}.test_requests_of_a_lost_gateway_are_dropped",)),
         ),
@@ -848,20 +850,20 @@
             ),
             Case(
                 "a storm of refusals",
-                ("tests.returns.test_promises.TestPromises.test_a_storm_of_refusals_is_bounded",),
+                ("tests.returns.test_promises.TestPromises.test_number_of_promises_is_bounded",),
             ),
             Case(
                 "a more urgent tier is refused meanwhile",
                 (
                     "tests.returns.test_promises.TestPromises"
-                    ".test_none_goes_first_while_a_more_urgent_tier_is_refused",
+                    ".test_returns_have_no_priority_while_a_more_urgent_tier_is_refused",
                 ),
             ),
             Case(
                 "room that is lost after it was promised",
                 (
                     "tests.returns.test_promises.TestPromises"
-                    ".test_no_more_than_the_reserve_goes_first",
+                    ".test_returns_with_priority_are_limited_to_the_reserve",
                 ),
             ),
         ),
@@ -876,7 +878,7 @@
                     "tests.load.policy.test_replay.TestAllStopped"
                     ".test_the_first_seconds_are_served",
                     "tests.scheduling.test_placer.TestRests"
-                    ".test_one_that_has_just_started_sends_to_all_by_turns",
+                    ".test_a_gateway_that_has_just_started_spreads_its_requests",
                 ),
             ),
             Case(
--- a/tests/quarantine/test_isolation.py
+++ b/tests/quarantine/test_isolation.py
@@ -30,91 +30,91 @@
 
     def end(self, group: Group, *times: float, whole: int = 0) -> None:
         for at in times:
-            self.isolation.note_end(group, f"u{at}", "gw", whole, at)
+            self.isolation.record_upstream_failure(group, f"u{at}", "gw", whole, at)
 
     def test_three_ends_apart_in_time_isolate(self) -> None:
         self.end(PATH, 1.0, 2.1)
-        self.assertFalse(self.isolation.isolates((PATH,), 3.0))
+        self.assertFalse(self.isolation.is_isolated((PATH,), 3.0))
         self.end(PATH, 3.2)
-        self.assertTrue(self.isolation.isolates((CALLER, PATH), 3.2))
-        self.assertEqual(frozenset(("s",)), self.isolation.services(3.2))
+        self.assertTrue(self.isolation.is_isolated((CALLER, PATH), 3.2))
+        self.assertEqual(frozenset(("s",)), self.isolation.isolated_services(3.2))
 
     def test_many_ends_at_once_do_not(self) -> None:
         self.end(PATH, 1.0, 1.1, 1.2, 1.3, 1.4, 1.9)
-        self.assertFalse(self.isolation.isolates((PATH,), 2.0))
+        self.assertFalse(self.isolation.is_isolated((PATH,), 2.0))
 
     def test_ends_long_ago_do_not(self) -> None:
         self.end(PATH, 1.0, 2.1, 13.0)
-        self.assertFalse(self.isolation.isolates((PATH,), 13.0))
+        self.assertFalse(self.isolation.is_isolated((PATH,), 13.0))
 
     def test_the_same_end_told_by_many_counts_once(self) -> None:
         for number in range(9):
-            self.isolation.note_end(PATH, "u1", f"gw{number}", 0, 1.0 + number)
-        self.assertFalse(self.isolation.isolates((PATH,), 10.0))
+            self.isolation.record_upstream_failure(PATH, "u1", f"gw{number}", 0, 1.0 + number)
+        self.assertFalse(self.isolation.is_isolated((PATH,), 10.0))
 
     def test_a_group_that_is_mostly_answered_whole_was_beside_them(self) -> None:
         self.end(CALLER, 1.0, 2.1, 3.2, whole=7)
-        self.assertFalse(self.isolation.isolates((CALLER,), 3.2))
+        self.assertFalse(self.isolation.is_isolated((CALLER,), 3.2))
 
     def test_whole_answers_that_are_told_later_let_it_go(self) -> None:
         self.end(CALLER, 1.0, 2.1, 3.2)
-        self.assertTrue(self.isolation.needs_proof(CALLER, 3.3))
+        self.assertTrue(self.isolation.needs_completion_reports(CALLER, 3.3))
         for number in range(12):
-            self.isolation.take_whole(CALLER, f"gw{number}", 4, 3.3)
-        self.assertFalse(self.isolation.isolates((CALLER,), 3.4))
-        self.assertFalse(self.isolation.needs_proof(CALLER, 3.4))
+            self.isolation.record_peer_completions(CALLER, f"gw{number}", 4, 3.3)
+        self.assertFalse(self.isolation.is_isolated((CALLER,), 3.4))
+        self.assertFalse(self.isolation.needs_completion_reports(CALLER, 3.4))
 
     def test_whole_answers_of_before_do_not_speak_for_a_group_that_turned_deadly(self) -> None:
         """A group was sound for long, and a release of its client ends each upstream."""
         for number in range(12):
-            self.isolation.note_end(CALLER, "u0", f"gw{number}", 10, 1.0)
+            self.isolation.record_upstream_failure(CALLER, "u0", f"gw{number}", 10, 1.0)
         for number in range(1, 16):
             at = 1.0 + 1.5 * number
-            self.isolation.note_end(CALLER, f"u{number}", "gw0", 0, at)
+            self.isolation.record_upstream_failure(CALLER, f"u{number}", "gw0", 0, at)
             if at < 9.0:
-                self.assertFalse(self.isolation.isolates((CALLER,), at))
-        self.assertTrue(self.isolation.isolates((CALLER,), at))
+                self.assertFalse(self.isolation.is_isolated((CALLER,), at))
+        self.assertTrue(self.isolation.is_isolated((CALLER,), at))
 
     def test_a_flood_of_other_groups_does_not_set_one_free(self) -> None:
         self.end(PATH, 1.0, 2.1, 3.2)
         for number in range(600):
             self.end(Group("s", f"other {number}"), 4.0 + number / 1000)
-        self.assertTrue(self.isolation.isolates((PATH,), 5.0))
+        self.assertTrue(self.isolation.is_isolated((PATH,), 5.0))
 
     def test_of_groups_that_hold_each_other_the_smallest_is_isolated(self) -> None:
         for at in (1.0, 2.1, 3.2):
             self.end(PATH, at)
             self.end(CALLER, at)
-        self.assertEqual([PATH], self.isolation.groups(3.2))
+        self.assertEqual([PATH], self.isolation.isolated_groups(3.2))
 
     def test_where_no_smaller_one_was_at_the_ends_the_caller_is(self) -> None:
         for number, at in enumerate((1.0, 2.1, 3.2)):
             self.end(Group("s", f"bakery on r, /p/{number}"), at)
             self.end(CALLER, at)
-        self.assertEqual([CALLER], self.isolation.groups(3.2))
+        self.assertEqual([CALLER], self.isolation.isolated_groups(3.2))
 
     def test_an_end_while_it_is_apart_stops_it_for_a_pause_that_doubles(self) -> None:
         self.end(PATH, 1.0, 2.1, 3.2)
-        self.assertEqual(0.0, self.isolation.wait((PATH,), 3.3))
+        self.assertEqual(0.0, self.isolation.retry_delay((PATH,), 3.3))
         waits = []
         at = 4.0
         for _ in range(7):
             self.end(PATH, at)
-            waits.append(round(self.isolation.wait((PATH,), at), 3))
+            waits.append(round(self.isolation.retry_delay((PATH,), at), 3))
             at += waits[-1] + 0.1
         self.assertEqual([1.0, 2.0, 4.0, 8.0, 16.0, 30.0, 30.0], waits)
-        self.assertTrue(self.isolation.isolates((PATH,), at))
+        self.assertTrue(self.isolation.is_isolated((PATH,), at))
 
     def test_what_was_shown_to_be_the_cause_is_not_let_go_by_whole_answers(self) -> None:
         self.end(PATH, 1.0, 2.1, 3.2, 4.0)
-        self.isolation.take_whole(PATH, "gw1", 100, 4.1)
-        self.assertTrue(self.isolation.isolates((PATH,), 4.2))
+        self.isolation.record_peer_completions(PATH, "gw1", 100, 4.1)
+        self.assertTrue(self.isolation.is_isolated((PATH,), 4.2))
 
     def test_it_ends_and_is_forgotten(self) -> None:
         self.end(PATH, 1.0, 2.1, 3.2)
-        self.assertFalse(self.isolation.isolates((PATH,), 24.0))
+        self.assertFalse(self.isolation.is_isolated((PATH,), 24.0))
         self.isolation.expire(24.0)
-        self.assertTrue(self.isolation.empty)
+        self.assertTrue(self.isolation.is_empty)
 
     def test_evidence_is_bounded(self) -> None:
         for number in range(5000):
