--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -144,7 +144,7 @@
     Variant(
         "lists of load",
         "scheduling/shared_load.py",
-        "if now < self._list_due:",
+        "if now < self._snapshot_due_at:",
         "if True:",
     ),
 )
--- a/src/lotushill/returns/promise.py
+++ b/src/lotushill/returns/promise.py
@@ -40,7 +40,7 @@
     times_sent: int = 0
 
     @property
-    def ends(self) -> float:
+    def expires_at(self) -> float:
         """Return until when the promise is kept."""
         return self.due_at + GRACE_SECONDS
 
--- a/src/lotushill/returns/promises.py
+++ b/src/lotushill/returns/promises.py
@@ -30,23 +30,23 @@
 promise."""
 MAX_STATES_PER_ROUND = 90
 """Maximum number of promises sent to others at one time, so that they fit in three datagrams."""
-_LONGEST_SECONDS = 60.0
+_MAX_DUE_SECONDS = 60.0
 """Upper bound of the time until due of a received promise: no client waits so long."""
-_SETTLED_SECONDS = 0.1
+_SEND_DELAY_SECONDS = 0.1
 """Delay until a promise is sent to others, unless its refusal is final. A request that waits at its
 gateway is refused again and again, and only the last refusal reaches its client."""
-_TELLINGS = 2
+_SENDS_PER_PROMISE = 2
 """Number of times that each promise is sent to others, in case a datagram is lost."""
-_SCARCE_SECONDS = 0.5
+_SHORTAGE_SECONDS = 0.5
 """Time after a refusal or a wait in a tier for which early returns to that tier are refused."""
-_TIER_SECONDS = 5.0
+_URGENT_REFUSAL_SECONDS = 5.0
 """Time after a refusal in a tier for which returns to less urgent tiers have no priority: users
 compare a refusal with the requests that began within five seconds of it."""
-_RESERVE_SECONDS = 1.0
+_RESERVE_WINDOW_SECONDS = 1.0
 """Time window over which the fraction of returns is counted."""
-_MOST_COUNTED = 512
+_MAX_COUNTED_RETURNS = 512
 """Maximum number of returns counted within that window."""
-_FORGET_SECONDS = 0.25
+_SWEEP_INTERVAL_SECONDS = 0.25
 """Interval between two sweeps for expired promises."""
 
 
@@ -56,29 +56,29 @@
     def __init__(self) -> None:
         self.start_rate = StartRate()
         self._promises: dict[int, Promise] = {}
-        self._open: Counter[tuple[str, int]] = Counter()
+        self._open_counts: Counter[tuple[str, int]] = Counter()
         """Number of unused promises with priority, by service and tier."""
-        self._refused: dict[tuple[str, int], float] = {}
+        self._last_refused: dict[tuple[str, int], float] = {}
         """When a request of a service and tier was last refused for lack of capacity."""
-        self._scarce: dict[tuple[str, int], float] = {}
+        self._last_waited: dict[tuple[str, int], float] = {}
         """When a request of a service and tier last had to wait for capacity."""
-        self._served: dict[tuple[str, int], deque[float]] = {}
+        self._placed_returns: dict[tuple[str, int], deque[float]] = {}
         """When returns were placed, by service and tier."""
-        self._to_tell: dict[int, None] = {}
-        self._forget_at = float("-inf")
+        self._to_send: dict[int, None] = {}
+        self._next_sweep = float("-inf")
         self.made = 0
         """Number of promises with priority made here since the start."""
-        self.kept = 0
+        self.fulfilled = 0
         """Number of returns placed here as promised since the start."""
         self.early = 0
         """Number of early returns received here since the start."""
 
     def __len__(self) -> int:
         """Return the number of unused promises with priority."""
-        return self._open.total()
+        return self._open_counts.total()
 
     def retry_after(
-        self, asker: Requester, spread: float, now: float, final: bool = False
+        self, requester: Requester, spread: float, now: float, final: bool = False
     ) -> float:
         """Return after how many seconds a refused request should be sent again.
 
@@ -86,73 +86,80 @@
         is drawn at random for each request. A `final` refusal is sent to other gateways at once:
         its caller may come to any of them before its time.
         """
-        self._forget(now)
-        self._refused[asker.service, asker.tier] = now
-        known = self._promises.get(asker.caller)
-        if known is not None and known.prioritized and not known.used and now <= known.ends:
+        self._sweep(now)
+        self._last_refused[requester.service, requester.tier] = now
+        known = self._promises.get(requester.caller)
+        if known is not None and known.prioritized and not known.used and now <= known.expires_at:
             known.refused_at = now
             if final:
                 known.send_at = min(known.send_at, now)
             return max(MIN_RETRY_AFTER_SECONDS, known.due_at - now)
-        rate = self.start_rate.rate(asker.service, asker.tier, now)
-        found = return_time(self._backlog(asker), rate, asker.time_left, spread)
-        if asker.caller and len(self._promises) < MAX_PROMISES:
-            self.made += found.promised
-            due = now + found.seconds
-            promise = Promise(asker.service, asker.tier, due, now, found.promised, own=True)
-            promise.send_at = now if final else now + _SETTLED_SECONDS
-            self._keep(asker.caller, promise)
-        return found.seconds
-
-    def _backlog(self, asker: Requester) -> int:
+        rate = self.start_rate.rate(requester.service, requester.tier, now)
+        result = return_time(self._backlog(requester), rate, requester.time_left, spread)
+        if requester.caller and len(self._promises) < MAX_PROMISES:
+            self.made += result.promised
+            due = now + result.seconds
+            promise = Promise(
+                requester.service, requester.tier, due, now, result.promised, own=True
+            )
+            promise.send_at = now if final else now + _SEND_DELAY_SECONDS
+            self._store(requester.caller, promise)
+        return result.seconds
+
+    def _backlog(self, requester: Requester) -> int:
         return sum(
             count
-            for (service, tier), count in self._open.items()
-            if service == asker.service and tier <= asker.tier
+            for (service, tier), count in self._open_counts.items()
+            if service == requester.service and tier <= requester.tier
         )
 
-    def note_scarce(self, service: str, tier: int, now: float) -> None:
+    def note_shortage(self, service: str, tier: int, now: float) -> None:
         """Note that a request of a tier has to wait for capacity."""
-        self._scarce[service, tier] = now
+        self._last_waited[service, tier] = now
 
-    def has_place(self, caller: int, now: float) -> bool:
+    def has_promise(self, caller: int, now: float) -> bool:
         """Return whether a caller returns on time to a promise with priority."""
         known = self._promises.get(caller)
         if known is None or known.used or not known.prioritized:
             return False
-        return known.due_at - EARLY_TOLERANCE_SECONDS <= now <= known.ends
+        return known.due_at - EARLY_TOLERANCE_SECONDS <= now <= known.expires_at
 
     def is_due(self, caller: int, now: float) -> bool:
         """Return whether a caller returns as promised while the reserve is not used up."""
-        if not self.has_place(caller, now):
+        if not self.has_promise(caller, now):
             return False
         known = self._promises[caller]
         if self._more_urgent_refused(known, now):
             return False
-        served = self._served.get((known.service, known.tier), ())
-        lately = sum(now - at < _RESERVE_SECONDS for at in served)
+        placed_at = self._placed_returns.get((known.service, known.tier), ())
+        recent_count = sum(now - at < _RESERVE_WINDOW_SECONDS for at in placed_at)
         rate = self.start_rate.rate(known.service, known.tier, now)
-        return lately < max(1.0, RESERVED_FRACTION * rate * _RESERVE_SECONDS)
+        return recent_count < max(1.0, RESERVED_FRACTION * rate * _RESERVE_WINDOW_SECONDS)
 
     def _more_urgent_refused(self, promise: Promise, now: float) -> bool:
         return any(
-            service == promise.service and tier < promise.tier and now - at < _TIER_SECONDS
-            for (service, tier), at in self._refused.items()
+            service == promise.service
+            and tier < promise.tier
+            and now - at < _URGENT_REFUSAL_SECONDS
+            for (service, tier), at in self._last_refused.items()
         )
 
-    def seconds_early(self, asker: Requester, now: float) -> float:
+    def seconds_early(self, requester: Requester, now: float) -> float:
         """Return how many seconds too early a caller's return is, 0 if it is not.
 
         While no other request is refused, a return is accepted at any time.
         """
-        known = self._promises.get(asker.caller)
-        if known is None or known.used or asker.arrived <= known.refused_at:
+        known = self._promises.get(requester.caller)
+        if known is None or known.used or requester.arrived <= known.refused_at:
             return 0.0
-        if asker.arrived >= known.due_at - EARLY_TOLERANCE_SECONDS:
+        if requester.arrived >= known.due_at - EARLY_TOLERANCE_SECONDS:
             return 0.0
-        key = asker.service, asker.tier
+        key = requester.service, requester.tier
         never = float("-inf")
-        if now - max(self._refused.get(key, never), self._scarce.get(key, never)) > _SCARCE_SECONDS:
+        if (
+            now - max(self._last_refused.get(key, never), self._last_waited.get(key, never))
+            > _SHORTAGE_SECONDS
+        ):
             return 0.0
         self.early += 1
         return max(0.0, known.due_at - now)
@@ -162,33 +169,33 @@
         known = self._promises.get(caller)
         if known is None or known.used:
             return False
-        promised = self.has_place(caller, now)
+        promised = self.has_promise(caller, now)
         if promised:
-            self.kept += 1
+            self.fulfilled += 1
             key = known.service, known.tier
-            self._served.setdefault(key, deque(maxlen=_MOST_COUNTED)).append(now)
+            self._placed_returns.setdefault(key, deque(maxlen=_MAX_COUNTED_RETURNS)).append(now)
         if known.prioritized:
-            self._open[known.service, known.tier] -= 1
+            self._open_counts[known.service, known.tier] -= 1
         known.used = True
-        known.times_sent, known.send_at = _TELLINGS - 1, now
-        self._to_tell[caller] = None
+        known.times_sent, known.send_at = _SENDS_PER_PROMISE - 1, now
+        self._to_send[caller] = None
         return promised
 
     def due_states(self, now: float) -> list[PromiseState]:
         """Return the promises to send now to the other gateways that place requests."""
-        self._forget(now)
-        told = []
-        for caller in list(self._to_tell):
+        self._sweep(now)
+        to_send = []
+        for caller in list(self._to_send):
             item = self._promises.get(caller)
-            if item is None or item.times_sent >= _TELLINGS:
-                del self._to_tell[caller]
+            if item is None or item.times_sent >= _SENDS_PER_PROMISE:
+                del self._to_send[caller]
             elif item.send_at <= now:
                 item.times_sent += 1
-                item.send_at = now + max(_SETTLED_SECONDS, (item.due_at - now) / 2)
-                told.append(_state(caller, item, now))
-                if len(told) == MAX_STATES_PER_ROUND:
+                item.send_at = now + max(_SEND_DELAY_SECONDS, (item.due_at - now) / 2)
+                to_send.append(_promise_state(caller, item, now))
+                if len(to_send) == MAX_STATES_PER_ROUND:
                     break
-        return told
+        return to_send
 
     def merge(self, states: Iterable[PromiseState], now: float) -> None:
         """Merge the promises that another gateway has sent."""
@@ -196,7 +203,7 @@
             known = self._promises.get(state.caller)
             if known is None and len(self._promises) >= MAX_PROMISES:
                 continue
-            if not state.due_in < _LONGEST_SECONDS:
+            if not state.due_in < _MAX_DUE_SECONDS:
                 continue
             due, used = now + state.due_in, state.used
             if known is not None:
@@ -205,31 +212,31 @@
             promise = Promise(
                 state.service, state.tier, due, now, state.first, own=False, used=used
             )
-            self._keep(state.caller, promise)
+            self._store(state.caller, promise)
 
-    def _keep(self, caller: int, promise: Promise) -> None:
+    def _store(self, caller: int, promise: Promise) -> None:
         self._drop(caller)
         self._promises[caller] = promise
         if promise.prioritized and not promise.used:
-            self._open[promise.service, promise.tier] += 1
+            self._open_counts[promise.service, promise.tier] += 1
         if promise.own:
-            self._to_tell[caller] = None
+            self._to_send[caller] = None
 
     def _drop(self, caller: int) -> None:
-        former = self._promises.pop(caller, None)
-        if former is not None and former.prioritized and not former.used:
-            self._open[former.service, former.tier] -= 1
+        previous = self._promises.pop(caller, None)
+        if previous is not None and previous.prioritized and not previous.used:
+            self._open_counts[previous.service, previous.tier] -= 1
 
-    def _forget(self, now: float) -> None:
-        if now < self._forget_at:
+    def _sweep(self, now: float) -> None:
+        if now < self._next_sweep:
             return
-        self._forget_at = now + _FORGET_SECONDS
-        old = [caller for caller, item in self._promises.items() if now > item.ends]
-        for caller in old:
+        self._next_sweep = now + _SWEEP_INTERVAL_SECONDS
+        expired = [caller for caller, item in self._promises.items() if now > item.expires_at]
+        for caller in expired:
             self._drop(caller)
 
 
-def _state(caller: int, item: Promise, now: float) -> PromiseState:
+def _promise_state(caller: int, item: Promise, now: float) -> PromiseState:
     return PromiseState(
         caller, item.service, item.tier, item.due_at - now, item.prioritized, item.used
     )
--- a/src/lotushill/returns/start_rate.py
+++ b/src/lotushill/returns/start_rate.py
@@ -32,16 +32,16 @@
             slices[-1].count += 1
             return
         slices.append(_Slice(at, 1))
-        self._forget(slices, at)
+        self._drop_old(slices, at)
 
     def rate(self, service: str, tier: int, now: float) -> float:
         """Return the requests per second of a tier that were started lately."""
         slices = self._slices.get((service, tier))
         if not slices:
             return 0.0
-        self._forget(slices, now)
+        self._drop_old(slices, now)
         return sum(item.count for item in slices) / WINDOW_SECONDS
 
-    def _forget(self, slices: deque[_Slice], now: float) -> None:
+    def _drop_old(self, slices: deque[_Slice], now: float) -> None:
         while slices and now - slices[0].start > WINDOW_SECONDS:
             slices.popleft()
--- a/src/lotushill/scheduling/hall_contact.py
+++ b/src/lotushill/scheduling/hall_contact.py
@@ -18,27 +18,27 @@
 
     def __init__(self, schedulers: Schedulers) -> None:
         self._schedulers = schedulers
-        self._heard: dict[str, float] = {}
-        self._listens_since: float | None = None
+        self._last_batch_at: dict[str, float] = {}
+        self._listening_since: float | None = None
 
     def note_batch(self, scheduler: str, now: float) -> None:
         """Note that a batch of a scheduler was received."""
-        self._heard[scheduler] = now
+        self._last_batch_at[scheduler] = now
 
     def update_listening(self, now: float) -> None:
         """Note whether this gateway receives batches at all."""
-        told = self._schedulers.schedules() and not self._schedulers.small_fleet()
-        if not told:
-            self._listens_since = None
-        elif self._listens_since is None:
-            self._listens_since = now
+        receives_batches = self._schedulers.schedules() and not self._schedulers.small_fleet()
+        if not receives_batches:
+            self._listening_since = None
+        elif self._listening_since is None:
+            self._listening_since = now
 
     def is_silent(self, hall: str, now: float) -> bool:
         """Return whether a hall has schedulers and no batch of any of them was received lately."""
-        since = self._listens_since
+        since = self._listening_since
         if since is None or now - since < SILENCE_TIMEOUT_SECONDS:
             return False
         names = self._schedulers.halls().get(hall, ())
         return bool(names) and all(
-            now - self._heard.get(name, since) >= SILENCE_TIMEOUT_SECONDS for name in names
+            now - self._last_batch_at.get(name, since) >= SILENCE_TIMEOUT_SECONDS for name in names
         )
--- a/src/lotushill/scheduling/load_relay.py
+++ b/src/lotushill/scheduling/load_relay.py
@@ -21,13 +21,13 @@
 
 BATCH_INTERVAL_SECONDS = 0.01
 """Interval between two batches in a small fleet."""
-_LARGE_BATCH_SECONDS = 0.02
+_LARGE_FLEET_BATCH_INTERVAL_SECONDS = 0.02
 """Interval between two batches in a large fleet: about the time between two requests of a
 scheduler, and half the frames."""
-_STILL_SECONDS = 0.25
+_KEEPALIVE_SECONDS = 0.25
 """Time without a batch after which a scheduler of a large fleet sends an empty one, so that halls
 can detect each other's loss."""
-_MOST_BYTES = 1100
+_MAX_BATCH_BYTES = 1100
 """Maximum size of one batch, so that it fits in a datagram."""
 
 
@@ -44,41 +44,40 @@
         self._own = own
         self._schedulers = schedulers
         self._send = send
-        self._held: list[bytes] = []
-        self._held_bytes = 0
+        self._pending: list[bytes] = []
+        self._pending_bytes = 0
         self._next_flush = 0.0
         self._flushed_at = float("-inf")
-        self._something = asyncio.Event()
+        self._has_pending = asyncio.Event()
 
     async def wait_for_pending(self) -> None:
         """Return when there are updates to forward."""
-        await self._something.wait()
+        await self._has_pending.wait()
 
-    def publish(self, records: bytes, turn: int, now: float) -> None:
+    def publish(self, records: bytes, request_number: int, now: float) -> None:
         """Send records to all schedulers, through one of them if this gateway is not a scheduler.
 
-        `turn` is the number of the request: its updates go to the scheduler that was asked to
-        place it.
+        The updates on the request `request_number` go to the scheduler that was asked to place it.
         """
         if self._schedulers.schedules():
             self.collect(records, now)
             return
-        order = self._schedulers.in_order(now, turn)
+        order = self._schedulers.in_order(now, request_number)
         if order:
             self._send(LoadNews(records), order[0].address)
 
     def collect(self, records: bytes, now: float) -> None:
         """Collect records to forward: at once under low load, otherwise in a batch with others."""
-        if self._held and self._held_bytes + len(records) > _MOST_BYTES:
+        if self._pending and self._pending_bytes + len(records) > _MAX_BATCH_BYTES:
             self._flush(now)
-        self._held.append(records)
-        self._held_bytes += len(records)
-        self._something.set()
+        self._pending.append(records)
+        self._pending_bytes += len(records)
+        self._has_pending.set()
         self.flush_due(now)
 
     def flush_due(self, now: float) -> None:
         """Send the collected records if the batch interval has passed."""
-        if self._held and now >= self._next_flush:
+        if self._pending and now >= self._next_flush:
             self._flush(now)
 
     def send_keepalive(self, now: float) -> None:
@@ -86,16 +85,18 @@
         schedulers = self._schedulers
         if schedulers.small_fleet() or not schedulers.schedules():
             return
-        if now - self._flushed_at >= _STILL_SECONDS:
+        if now - self._flushed_at >= _KEEPALIVE_SECONDS:
             self._flush(now)
 
     def _flush(self, now: float) -> None:
-        batch = LoadBatch(self._own, b"".join(self._held))
-        self._held = []
-        self._held_bytes = 0
-        self._something.clear()
-        small = self._schedulers.small_fleet()
-        self._next_flush = now + (BATCH_INTERVAL_SECONDS if small else _LARGE_BATCH_SECONDS)
+        batch = LoadBatch(self._own, b"".join(self._pending))
+        self._pending = []
+        self._pending_bytes = 0
+        self._has_pending.clear()
+        is_small = self._schedulers.small_fleet()
+        self._next_flush = now + (
+            BATCH_INTERVAL_SECONDS if is_small else _LARGE_FLEET_BATCH_INTERVAL_SECONDS
+        )
         self._flushed_at = now
         for scheduler in self._schedulers.others():
             self._send(batch, scheduler.address)
--- a/src/lotushill/scheduling/placement_responder.py
+++ b/src/lotushill/scheduling/placement_responder.py
@@ -28,7 +28,7 @@
     from lotushill.scheduling.queue_runner import QueueRunner
     from lotushill.scheduling.shared_load import SharedLoad
 
-_KEPT_SECONDS = 1.0
+_STORED_ANSWER_SECONDS = 1.0
 """Time for which an answer to a queued request is stored: the datagram may be lost, and the gateway
 then queries again."""
 
@@ -60,9 +60,9 @@
         self._upstreams_of = upstreams_of
         self._is_ready = is_ready
         self._limits = limits
-        self._keeper = queue_runner
+        self._queue_runner = queue_runner
         self._send = send
-        self._kept: dict[int, tuple[PlacementAnswer, float]] = {}
+        self._stored_answers: dict[int, tuple[PlacementAnswer, float]] = {}
         """Answers to queued requests and the times at which they were given, by query number."""
 
     def answer(self, ask: PlacementAsk, now: float) -> PlacementAnswer:
@@ -71,84 +71,89 @@
         if service is None or not self._is_ready():
             return PlacementAnswer(self._name, ask.request, refusal=UNREADY)
         if ask.leaves:
-            if self._keeper is not None:
-                self._keeper.drop(ask.request)
+            if self._queue_runner is not None:
+                self._queue_runner.drop(ask.request)
             return PlacementAnswer(self._name, ask.request, refusal=HELD)
-        kept = self._kept.get(ask.request)
-        if kept is not None:
-            return kept[0]
-        need = _need(ask)
-        waits = (
-            self._keeper is not None and self._keeper.queue.requests.find(ask.request) is not None
+        stored = self._stored_answers.get(ask.request)
+        if stored is not None:
+            return stored[0]
+        need = _need_from_ask(ask)
+        is_queued = (
+            self._queue_runner is not None
+            and self._queue_runner.queue.requests.find(ask.request) is not None
         )
-        if not (ask.again or waits):
+        if not (ask.again or is_queued):
             self._fleet.note_arrival(need, now)
-        found = self._find(ask, need, service, now)
-        if isinstance(found, Queued):
+        decision = self._decide(ask, need, service, now)
+        if isinstance(decision, Queued):
             return PlacementAnswer(
-                self._name, ask.request, refusal=HELD, retry_after=found.renew_seconds
+                self._name, ask.request, refusal=HELD, retry_after=decision.renew_seconds
             )
-        return self._answer(ask, need, service, found, now)
+        return self._final_answer(ask, need, service, decision, now)
 
-    def _find(
+    def _decide(
         self, ask: PlacementAsk, need: Need, service: Service, now: float
     ) -> Choice | NoChoice | Queued:
         upstreams, excluded = self._upstreams_of(service.name), frozenset(ask.excluded)
-        if self._keeper is None or not ask.waits:
+        if self._queue_runner is None or not ask.waits:
             return self._fleet.choose(need, service, upstreams, excluded, now)
         entry = QueueEntry(ask.request, need, ask.sender, now - need.waited, now, excluded)
 
-        def answer_later(entry: QueueEntry, found: Choice | NoChoice, now: float) -> None:
-            answer = self._answer(ask, entry.need_at(now), service, found, now)
-            self._keep(answer, now)
+        def answer_later(entry: QueueEntry, decision: Choice | NoChoice, now: float) -> None:
+            answer = self._final_answer(ask, entry.need_at(now), service, decision, now)
+            self._store(answer, now)
             self._send(answer, ask.sender)
 
-        return self._keeper.place(entry, service, upstreams, answer_later)
+        return self._queue_runner.place(entry, service, upstreams, answer_later)
 
-    def _keep(self, answer: PlacementAnswer, now: float) -> None:
-        for number in [item for item, (_, at) in self._kept.items() if now - at > _KEPT_SECONDS]:
-            del self._kept[number]
-        self._kept[answer.request] = (answer, now)
+    def _store(self, answer: PlacementAnswer, now: float) -> None:
+        for number in [
+            item
+            for item, (_, at) in self._stored_answers.items()
+            if now - at > _STORED_ANSWER_SECONDS
+        ]:
+            del self._stored_answers[number]
+        self._stored_answers[answer.request] = (answer, now)
 
-    def _answer(
+    def _final_answer(
         self,
         ask: PlacementAsk,
         need: Need,
         service: Service,
-        found: Choice | NoChoice,
+        decision: Choice | NoChoice,
         now: float,
     ) -> PlacementAnswer:
         """Return the answer, after adding a placed request to the model."""
-        if isinstance(found, NoChoice):
-            return self._refused(ask, found)
+        if isinstance(decision, NoChoice):
+            return self._refusal_answer(ask, decision)
         self._fleet.note_choice_used(need, now)
         upstreams = self._upstreams_of(service.name)
         if ask.copied:
             targets = [item for item in upstreams if self._limits.rate(item.id) == NO_LIMIT]
-            backup = self._fleet.backup(need, service, found, targets, now)
-            found = replace(found, backup=backup)
-        memory = self._fleet.load(found.upstream.id).reserved_tokens
-        engine = service.engine is not None
+            backup = self._fleet.backup(need, service, decision, targets, now)
+            decision = replace(decision, backup=backup)
+        memory = self._fleet.load(decision.upstream.id).reserved_tokens
+        has_engine = service.engine is not None
         self._shared_load.start_for(
-            ask.sender, placed_message(ask.request, need, found, engine), service
+            ask.sender, placed_message(ask.request, need, decision, has_engine), service
         )
-        return self._chosen(ask, found, memory)
+        return self._placement_answer(ask, decision, memory)
 
-    def _refused(self, ask: PlacementAsk, found: NoChoice) -> PlacementAnswer:
+    def _refusal_answer(self, ask: PlacementAsk, decision: NoChoice) -> PlacementAnswer:
         return PlacementAnswer(
             self._name,
             ask.request,
-            refusal=found.refusal.value,
-            retry_after=found.retry_after,
-            wait=found.wait_seconds,
-            first=found.first_event_seconds,
-            usual_prompt=found.usual_prompt,
-            longest_prompt=found.longest_prompt,
-            standing=found.standing,
-            final=found.final,
+            refusal=decision.refusal.value,
+            retry_after=decision.retry_after,
+            wait=decision.wait_seconds,
+            first=decision.first_event_seconds,
+            usual_prompt=decision.usual_prompt,
+            longest_prompt=decision.longest_prompt,
+            standing=decision.standing,
+            final=decision.final,
         )
 
-    def _chosen(self, ask: PlacementAsk, choice: Choice, memory: int) -> PlacementAnswer:
+    def _placement_answer(self, ask: PlacementAsk, choice: Choice, memory: int) -> PlacementAnswer:
         fetch = choice.fetch
         return PlacementAnswer(
             self._name,
@@ -172,7 +177,7 @@
         )
 
 
-def _need(ask: PlacementAsk) -> Need:
+def _need_from_ask(ask: PlacementAsk) -> Need:
     return Need(
         service=ask.service,
         route=ask.route,
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -43,15 +43,15 @@
     from lotushill.scheduling.shared_load import SharedLoad
     from lotushill.views.upstream_view import UpstreamView
 
-_ALONE_SHARE = 0.25
+_SAMPLE_FRACTION = 0.25
 """Fraction of the upstreams, drawn at random for each request, among which a gateway chooses that
 receives no answer from schedulers: by their own few requests alone, all gateways would choose the
 same upstream."""
-_LEAST_ALONE = 3
-_MOST_UNKNOWN = 2
+_MIN_SAMPLE = 3
+_MAX_UNKNOWN_UPSTREAMS = 2
 """Number of further queries after answers with an upstream that this gateway does not know; after
 them the request is refused with a Retry-After time."""
-_UNKNOWN_RETRY = 0.2
+_UNKNOWN_RETRY_AFTER_SECONDS = 0.2
 """Retry-After time in seconds, within which this gateway is notified of an upstream that a
 scheduler knows already."""
 
@@ -71,7 +71,7 @@
         limits: StatedLimits,
         schedulers: Schedulers | None = None,
         client: PlacementClient | None = None,
-        knows_fleet: Callable[[], bool] = lambda: True,
+        has_fleet_model: Callable[[], bool] = lambda: True,
         queue_runner: QueueRunner | None = None,
     ) -> None:
         """Place requests of the gateway `name`; without schedulers, always by the own model.
@@ -79,7 +79,7 @@
         Requests for which the own model finds no free slot are queued with `queue_runner`.
 
         `barred` holds the upstreams to which this gateway must not send requests now, which no
-        other gateway knows, and `limits` those that accept few requests. `knows_fleet` returns
+        other gateway knows, and `limits` those that accept few requests. `has_fleet_model` returns
         False from the start of this gateway until it has received the running requests of others.
         """
         self._name = name
@@ -92,8 +92,8 @@
         self._limits = limits
         self._schedulers = schedulers
         self._client = client
-        self._knows_fleet = knows_fleet
-        self._keeper = queue_runner
+        self._has_fleet_model = has_fleet_model
+        self._queue_runner = queue_runner
         self._salt = rng.getrandbits(64)
         self._numbers = itertools.count()
 
@@ -114,20 +114,20 @@
         """
         barred = self._barred.names(request.need.route, self._clock())
         if barred:
-            if self._none_is_open(request, excluded | barred):
-                return self._all_barred(request, barred)
+            if self._are_all_barred(request, excluded | barred):
+                return self._refuse_barred(request, barred)
             excluded |= barred
         if self._client is None or self.has_full_model():
             if not again:
-                self._note_size(request.need)
+                self._note_arrival(request.need)
             candidates = self._upstreams.of(request.service.name)
-            if self._schedulers is not None and not self._knows_fleet():
-                return self._drawn(request, excluded)
-            if self._keeper is None or not waits:
+            if self._schedulers is not None and not self._has_fleet_model():
+                return self._place_drawn(request, excluded)
+            if self._queue_runner is None or not waits:
                 return self._by_own_model(request, excluded, candidates)
-            found = await self._in_line(self._keeper, request, excluded, candidates)
-            if found is not None or self._client is None:
-                return found or NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
+            outcome = await self._place_queued(self._queue_runner, request, excluded, candidates)
+            if outcome is not None or self._client is None:
+                return outcome or NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
         return await self._by_scheduler(self._client, request, excluded, again, waits)
 
     async def _by_scheduler(
@@ -139,25 +139,25 @@
         waits: bool,
     ) -> Placement | NoChoice:
         unknown: set[str] = set()
-        for _ in range(_MOST_UNKNOWN + 1):
-            make = functools.partial(self._ask, request, excluded | unknown, again, waits)
-            answer = await client.ask(make)
+        for _ in range(_MAX_UNKNOWN_UPSTREAMS + 1):
+            make_ask = functools.partial(self._make_ask, request, excluded | unknown, again, waits)
+            answer = await client.ask(make_ask)
             if answer is None:
-                return self._alone(request, excluded)
+                return self._place_alone(request, excluded)
             if not answer.upstream:
-                return _refused(answer)
-            found = self._from_answer(request, answer)
-            if found is not None:
-                return found
+                return _refusal_from_answer(answer)
+            placement = self._from_answer(request, answer)
+            if placement is not None:
+                return placement
             # The upstream has left, or this gateway has not been notified of it yet.
             self._shared_load.give_up(answer.request)
             unknown.add(answer.upstream)
-        return NoChoice(Refusal.NO_UPSTREAM, _UNKNOWN_RETRY)
+        return NoChoice(Refusal.NO_UPSTREAM, _UNKNOWN_RETRY_AFTER_SECONDS)
 
-    def _none_is_open(self, request: Request, barred: frozenset[str]) -> bool:
+    def _are_all_barred(self, request: Request, barred: frozenset[str]) -> bool:
         return all(item.id in barred for item in self._upstreams.of(request.service.name))
 
-    def _all_barred(self, request: Request, barred: frozenset[str]) -> NoChoice:
+    def _refuse_barred(self, request: Request, barred: frozenset[str]) -> NoChoice:
         """Refuse until the first upstream may be sent a request, or for lack of any upstream."""
         known = [item.id for item in self._upstreams.of(request.service.name)]
         closed = [name for name in known if name in barred]
@@ -168,7 +168,7 @@
         refusal = Refusal.LIMITED if limited else Refusal.RESTING
         return NoChoice(refusal, self._barred.seconds_to_first_end(closed, route, now))
 
-    def _note_size(self, need: Need) -> None:
+    def _note_arrival(self, need: Need) -> None:
         self._fleet.note_arrival(need, self._clock())
 
     def _by_own_model(
@@ -179,14 +179,14 @@
         need = replace(
             request.need, waited=now - request.arrived, time_left=max(0.0, request.ends - now)
         )
-        found = self._fleet.choose(need, service, candidates, excluded, now)
-        if isinstance(found, NoChoice):
-            return found
-        return self._own_placement(request, found, candidates)
+        decision = self._fleet.choose(need, service, candidates, excluded, now)
+        if isinstance(decision, NoChoice):
+            return decision
+        return self._own_placement(request, decision, candidates)
 
-    async def _in_line(
+    async def _place_queued(
         self,
-        keeper: QueueRunner,
+        queue_runner: QueueRunner,
         request: Request,
         excluded: frozenset[str],
         candidates: list[Upstream],
@@ -198,33 +198,37 @@
         key = self.new_attempt_number()
         try:
             while True:
-                found = await self._ask_line(keeper, request, excluded, candidates, key)
-                if isinstance(found, NoChoice):
-                    return found
-                if isinstance(found, Choice):
-                    return self._own_placement(request, found, candidates)
+                decision = await self._wait_for_answer(
+                    queue_runner, request, excluded, candidates, key
+                )
+                if isinstance(decision, NoChoice):
+                    return decision
+                if isinstance(decision, Choice):
+                    return self._own_placement(request, decision, candidates)
                 if self._client is not None and not self.has_full_model():
                     return None
                 candidates = self._upstreams.of(request.service.name)
                 excluded |= self._barred.names(request.need.route, self._clock())
         finally:
-            keeper.drop(key)
+            queue_runner.drop(key)
 
-    async def _ask_line(
+    async def _wait_for_answer(
         self,
-        keeper: QueueRunner,
+        queue_runner: QueueRunner,
         request: Request,
         excluded: frozenset[str],
         candidates: list[Upstream],
         key: int,
     ) -> Choice | NoChoice | Queued:
         """Return the answer given before the entry must be renewed, `Queued` if there is none."""
-        later: asyncio.Future[Choice | NoChoice] = asyncio.get_running_loop().create_future()
+        answer_future: asyncio.Future[Choice | NoChoice] = (
+            asyncio.get_running_loop().create_future()
+        )
 
-        def answer(entry: QueueEntry, found: Choice | NoChoice, now: float) -> None:
+        def answer(entry: QueueEntry, decision: Choice | NoChoice, now: float) -> None:
             del entry, now
-            if not later.done():
-                later.set_result(found)
+            if not answer_future.done():
+                answer_future.set_result(decision)
 
         now = self._clock()
         need = replace(
@@ -233,25 +237,27 @@
             waited=now - request.arrived,
         )
         entry = QueueEntry(key, need, "", request.arrived, now, excluded)
-        found = keeper.place(entry, request.service, candidates, answer)
-        if not isinstance(found, Queued):
-            return found
-        done, _ = await asyncio.wait((later,), timeout=found.renew_seconds)
-        return later.result() if done else found
+        decision = queue_runner.place(entry, request.service, candidates, answer)
+        if not isinstance(decision, Queued):
+            return decision
+        done, _ = await asyncio.wait((answer_future,), timeout=decision.renew_seconds)
+        return answer_future.result() if done else decision
 
     def _own_placement(
-        self, request: Request, found: Choice, candidates: list[Upstream]
+        self, request: Request, chosen: Choice, candidates: list[Upstream]
     ) -> Placement:
         now, service = self._clock(), request.service
         self._fleet.note_choice_used(request.need, now)
         if _may_be_copied(request):
             targets = [item for item in candidates if self._limits.rate(item.id) == NO_LIMIT]
-            backup = self._fleet.backup(request.need, service, found, targets, now)
-            found = replace(found, backup=backup)
-        memory = self._fleet.load(found.upstream.id).reserved_tokens
-        return Placement(found, self._placed(self.new_attempt_number(), request, found), memory)
+            backup = self._fleet.backup(request.need, service, chosen, targets, now)
+            chosen = replace(chosen, backup=backup)
+        memory = self._fleet.load(chosen.upstream.id).reserved_tokens
+        return Placement(
+            chosen, self._placed_message(self.new_attempt_number(), request, chosen), memory
+        )
 
-    def _drawn(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
+    def _place_drawn(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
         """Place a request while the running requests of other gateways are unknown."""
         now = self._clock()
         loads = {
@@ -262,31 +268,33 @@
         reachable = {
             item: load for item, load in loads.items() if not load.is_unreachable(now)
         } or loads
-        seen = [
+        credits = [
             UpstreamCredit(item, load.unanswered, load.answered) for item, load in reachable.items()
         ]
-        found = self._by_own_model(request, excluded, draw_upstream(seen, self._rng))
-        return replace(found, drawn=True) if isinstance(found, Placement) else found
+        outcome = self._by_own_model(request, excluded, draw_upstream(credits, self._rng))
+        return replace(outcome, drawn=True) if isinstance(outcome, Placement) else outcome
 
-    def _alone(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
-        if not self._knows_fleet():
-            return self._drawn(request, excluded)
-        found = self._by_own_model(request, excluded, self._sample(request, excluded))
-        return replace(found, alone=True) if isinstance(found, Placement) else found
+    def _place_alone(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
+        if not self._has_fleet_model():
+            return self._place_drawn(request, excluded)
+        outcome = self._by_own_model(request, excluded, self._sample(request, excluded))
+        return replace(outcome, alone=True) if isinstance(outcome, Placement) else outcome
 
     def _sample(self, request: Request, excluded: frozenset[str]) -> list[Upstream]:
-        fit = [item for item in self._upstreams.of(request.service.name) if item.id not in excluded]
-        count = max(_LEAST_ALONE, round(_ALONE_SHARE * len(fit)))
-        return self._rng.sample(fit, min(count, len(fit)))
+        eligible = [
+            item for item in self._upstreams.of(request.service.name) if item.id not in excluded
+        ]
+        count = max(_MIN_SAMPLE, round(_SAMPLE_FRACTION * len(eligible)))
+        return self._rng.sample(eligible, min(count, len(eligible)))
 
-    def _placed(self, number: int, request: Request, choice: Choice) -> Placed:
+    def _placed_message(self, number: int, request: Request, choice: Choice) -> Placed:
         return placed_message(number, request.need, choice, request.service.engine is not None)
 
     def continuation_placement(self, request: Request, choice: Choice) -> Placement:
         """Return the placement of a run that continues at an upstream chosen before."""
-        return Placement(choice, self._placed(self.new_attempt_number(), request, choice))
+        return Placement(choice, self._placed_message(self.new_attempt_number(), request, choice))
 
-    def _ask(
+    def _make_ask(
         self, request: Request, excluded: frozenset[str], again: bool, waits: bool
     ) -> PlacementAsk:
         need = request.need
@@ -306,7 +314,7 @@
             part_ids=tuple(part.id for part in need.parts),
             part_tokens=tuple(part.tokens for part in need.parts),
             tier=need.tier,
-            excluded=(*excluded, *self._out_of_reach(request, excluded)),
+            excluded=(*excluded, *self._unreachable(request, excluded)),
             team=need.team,
             share=need.share,
             waited=self._clock() - request.arrived,
@@ -314,7 +322,7 @@
             waits=waits,
         )
 
-    def _out_of_reach(self, request: Request, excluded: frozenset[str]) -> list[str]:
+    def _unreachable(self, request: Request, excluded: frozenset[str]) -> list[str]:
         """Return the ids of upstreams that this gateway cannot reach now, even if others can."""
         now = self._clock()
         return [
@@ -342,8 +350,8 @@
             fetch=self._fetch(answer),
             backup=self._candidate(request, answer.backup),
         )
-        told = self._placed(answer.request, request, choice)
-        return Placement(choice, told, answer.memory, answer.sender)
+        message = self._placed_message(answer.request, request, choice)
+        return Placement(choice, message, answer.memory, answer.sender)
 
     def _candidate(self, request: Request, upstream_id: str) -> Upstream | None:
         known = self._upstreams.of(request.service.name)
@@ -361,7 +369,7 @@
     return request.route.kind is RouteKind.STREAM and not request.route.repeatable
 
 
-def _refused(answer: PlacementAnswer) -> NoChoice:
+def _refusal_from_answer(answer: PlacementAnswer) -> NoChoice:
     try:
         refusal = Refusal(answer.refusal)
     except ValueError:
--- a/src/lotushill/scheduling/queue_runner.py
+++ b/src/lotushill/scheduling/queue_runner.py
@@ -10,7 +10,7 @@
 from lotushill.links.messages import WaitingNews
 from lotushill.placement.choice import Choice
 from lotushill.waiting.entry import Queued
-from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS
+from lotushill.waiting.slot_turns import QUEUE_UPDATE_INTERVAL_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -23,17 +23,17 @@
     from lotushill.waiting.admission_queue import AdmissionQueue
     from lotushill.waiting.entry import QueueEntry
 
-    Answer = Callable[[QueueEntry, Choice | NoChoice, float], None]
+    AnswerCallback = Callable[[QueueEntry, Choice | NoChoice, float], None]
 
 POLL_INTERVAL_SECONDS = 0.01
 """Interval between two polls while requests are queued. An engine of 16 slots frees a slot in ten
 times as long."""
-_SOON_SECONDS = 0.001
+_AFTER_OWN_PLACEMENT_SECONDS = 0.001
 """Pause after a request of this gateway itself was placed: it is added to the model only when it is
 sent."""
-_LOG_SECONDS = 1.0
+_LOG_INTERVAL_SECONDS = 1.0
 """Minimum interval between two log lines on one service."""
-_LAST_TIER = 255
+_MAX_TIER = 255
 """Highest tier that an update can hold: less urgent tiers are sent as this one."""
 
 
@@ -50,40 +50,44 @@
         clock: Callable[[], float],
         log: EventLog | None = None,
     ) -> None:
-        """Run the queue of the gateway `name`; `broadcast` sends updates to the other schedulers."""
+        """Run the queue of the gateway `name`; `broadcast` sends updates to other schedulers."""
         self._name = name
         self.queue = queue
         self._service_named = service_named
         self._upstreams_of = upstreams_of
-        self._tell = broadcast
+        self._broadcast = broadcast
         self._clock = clock
         self._log = log
-        self._answers: dict[int, Answer] = {}
-        self._something = asyncio.Event()
-        self._told: dict[str, float] = {}
+        self._callbacks: dict[int, AnswerCallback] = {}
+        self._has_entries = asyncio.Event()
+        self._last_updates: dict[str, float] = {}
         """Times of the last updates by service, for services whose last update was not empty."""
-        self._logged: dict[str, float] = {}
+        self._last_logged: dict[str, float] = {}
 
     def place(
-        self, entry: QueueEntry, service: Service, upstreams: Sequence[Upstream], answer: Answer
+        self,
+        entry: QueueEntry,
+        service: Service,
+        upstreams: Sequence[Upstream],
+        answer: AnswerCallback,
     ) -> Choice | NoChoice | Queued:
         """Return a request's upstream, `Queued` if it was queued, or the reason for its refusal.
 
         A queued request is answered later through `answer`, which adds it to the model if it was
         placed.
         """
-        found = self.queue.place(entry, service, upstreams, self._clock())
-        if isinstance(found, Queued):
-            self._answers[entry.key] = answer
-            self._something.set()
+        decision = self.queue.place(entry, service, upstreams, self._clock())
+        if isinstance(decision, Queued):
+            self._callbacks[entry.key] = answer
+            self._has_entries.set()
         else:
-            self._answers.pop(entry.key, None)
-        return found
+            self._callbacks.pop(entry.key, None)
+        return decision
 
     def drop(self, key: int) -> None:
         """Drop a request that is no longer to be queued."""
         self.queue.requests.drop(key)
-        self._answers.pop(key, None)
+        self._callbacks.pop(key, None)
 
     def drop_gateway(self, name: str) -> None:
         """Drop the queued requests and the queue update of a gateway that has left."""
@@ -94,62 +98,65 @@
     async def run(self) -> None:
         """Poll for free slots while requests are queued; never returns."""
         while True:
-            await self._something.wait()
+            await self._has_entries.wait()
             pause = self.process_due()
             if not len(self.queue.requests):
-                self._something.clear()
+                self._has_entries.clear()
             await anyio.sleep(pause)
 
     def process_due(self) -> float:
         """Place and refuse the requests that are due; return the seconds until the next poll."""
         now = self._clock()
         for key in self.queue.requests.expire(now):
-            self._answers.pop(key, None)
+            self._callbacks.pop(key, None)
         pause = POLL_INTERVAL_SECONDS
         for name in self.queue.requests.services():
             service = self._service_named(name)
             if service is not None:
-                pause = min(pause, self._look_at(service, now))
-        self._tell_due(now)
+                pause = min(pause, self._process_service(service, now))
+        self._send_due_updates(now)
         return pause
 
-    def _look_at(self, service: Service, now: float) -> float:
-        for entry, found in self.queue.due(service, self._upstreams_of(service.name), now):
-            answer = self._answers.pop(entry.key, None)
+    def _process_service(self, service: Service, now: float) -> float:
+        for entry, decision in self.queue.due(service, self._upstreams_of(service.name), now):
+            answer = self._callbacks.pop(entry.key, None)
             if answer is None:
                 continue
-            answer(entry, found, now)
-            if not entry.gateway and isinstance(found, Choice):
-                return _SOON_SECONDS
+            answer(entry, decision, now)
+            if not entry.gateway and isinstance(decision, Choice):
+                return _AFTER_OWN_PLACEMENT_SECONDS
         return POLL_INTERVAL_SECONDS
 
-    def _tell_due(self, now: float) -> None:
+    def _send_due_updates(self, now: float) -> None:
         """Send the queue lengths to other schedulers, and an empty queue once."""
         waiting = self.queue.requests.services()
-        for name in {*waiting, *self._told}:
+        for name in {*waiting, *self._last_updates}:
             if (
-                now - self._told.get(name, float("-inf")) < QUEUE_REPORT_INTERVAL_SECONDS
+                now - self._last_updates.get(name, float("-inf")) < QUEUE_UPDATE_INTERVAL_SECONDS
                 and name in waiting
             ):
                 continue
             tiers = self.queue.requests.tiers(name)
-            told = tuple(min(_LAST_TIER, tier) for tier in tiers)
-            self._tell(WaitingNews(self._name, name, told, tuple(tiers.values())))
-            self._note(name, now)
+            capped_tiers = tuple(min(_MAX_TIER, tier) for tier in tiers)
+            self._broadcast(WaitingNews(self._name, name, capped_tiers, tuple(tiers.values())))
+            self._log_queue(name, now)
             if tiers:
-                self._told[name] = now
+                self._last_updates[name] = now
             else:
-                self._told.pop(name, None)
+                self._last_updates.pop(name, None)
 
-    def receive(self, news: WaitingNews) -> None:
+    def receive(self, update: WaitingNews) -> None:
         """Store the queue update of another scheduler."""
-        tiers = {tier: count for tier, count in zip(news.tiers, news.counts) if count}
-        self.queue.remote_queues.set_counts(news.sender, news.service, tiers, self._clock())
-
-    def _note(self, service: str, now: float) -> None:
-        if self._log is None or now - self._logged.get(service, float("-inf")) < _LOG_SECONDS:
+        tiers = {tier: count for tier, count in zip(update.tiers, update.counts) if count}
+        self.queue.remote_queues.set_counts(update.sender, update.service, tiers, self._clock())
+
+    def _log_queue(self, service: str, now: float) -> None:
+        if (
+            self._log is None
+            or now - self._last_logged.get(service, float("-inf")) < _LOG_INTERVAL_SECONDS
+        ):
             return
-        self._logged[service] = now
+        self._last_logged[service] = now
         self._log.note(
             "waiting.line",
             service=service,
--- a/src/lotushill/scheduling/shared_load.py
+++ b/src/lotushill/scheduling/shared_load.py
@@ -20,26 +20,26 @@
     from lotushill.placement.messages import Placed
     from lotushill.routing.service import Service
 
-_SILENT_SECONDS = 1.0
+_EXPIRY_MARGIN_SECONDS = 1.0
 """Margin after twice the expected run time until a request expires whose gateway has been
 silent."""
-_LIST_SECONDS = 0.5
+_SNAPSHOT_INTERVAL_SECONDS = 0.5
 """Interval between two snapshots of one gateway in a small fleet."""
-_LISTS_A_SECOND = 40.0
+_MAX_SNAPSHOTS_PER_SECOND = 40.0
 """Maximum rate of the snapshots of all gateways together, so that receiving them costs the same in
 a large fleet."""
-_LISTS_OF_EVERYTHING = 6
+_SNAPSHOTS_PER_FULL_ONE = 6
 """Number of snapshots after which one repeats all starts, for gateways that joined later."""
-_EMPTY_LISTS = 3
+_MAX_EMPTY_SNAPSHOTS = 3
 """Number of empty snapshots that a gateway without requests sends before it stops."""
-_MOST_PLACED = 16
+_MAX_PLACED_PER_DATAGRAM = 16
 """Maximum number of started requests in one datagram."""
-_MOST_NUMBERS = 110
+_MAX_NUMBERS_PER_DATAGRAM = 110
 """Maximum number of request numbers in one datagram; each is sent twice if all have begun."""
-_LEAST_AGE = 0.001
+_MIN_REPEATED_AGE_SECONDS = 0.001
 """Minimum age in seconds of a repeated start. An age above 0 marks the repetition, so that
 receivers do not learn from its prompt reading twice."""
-_YOUNG_SECONDS = 0.3
+_SNAPSHOT_TRANSIT_SECONDS = 0.3
 """Age up to which a request may be missing from a snapshot that was already in transit."""
 
 
@@ -63,17 +63,17 @@
         self._fleet = fleet
         self._clock = clock
         self._service_of = service_of
-        self._tell = publish
-        self._is_near = is_same_hall
+        self._publish = publish
+        self._is_same_hall = is_same_hall
         self._own: dict[int, tuple[Placed, float]] = {}
         self._others: dict[str, dict[int, float]] = {}
-        self._lists = 0
-        self._list_due = float("-inf")
-        self._list_last = float("-inf")
-        self._list_before = float("-inf")
+        self._snapshot_count = 0
+        self._snapshot_due_at = float("-inf")
+        self._last_snapshot_at = float("-inf")
+        self._previous_snapshot_at = float("-inf")
         """When the last snapshot but one was sent: requests started since are repeated."""
-        self._empty_lists = 0
-        self._ends_by: dict[int, float] = {}
+        self._empty_snapshots = 0
+        self._expires_at: dict[int, float] = {}
 
     def start(self, placed: Placed, service: Service, announced: bool = False) -> None:
         """Add a request of this gateway; publish it unless the scheduler that placed it has."""
@@ -84,12 +84,12 @@
         self._fleet.start(placed, service, now)
         self._fleet.pace(service.name).note_prefill(placed.prefill_tokens)
         if not announced:
-            self._tell(Load(self._name, False, placed=(placed,)))
+            self._publish(Load(self._name, False, placed=(placed,)))
 
     def start_for(self, sender: str, placed: Placed, service: Service) -> None:
         """Add a request that this scheduler placed for another gateway, and publish it."""
-        self._count_in(placed, self._others.setdefault(sender, {}), self._clock(), service)
-        self._tell(Load(sender, False, placed=(placed,)))
+        self._add(placed, self._others.setdefault(sender, {}), self._clock(), service)
+        self._publish(Load(sender, False, placed=(placed,)))
 
     def begin(self, request: int, seconds: float) -> None:
         """Note the first event of a request of this gateway, `seconds` after it was sent."""
@@ -98,43 +98,47 @@
             began = Began(request, seconds)
             self._own[request] = (replace(known[0], began=True), known[1])
             self._fleet.begin(began, self._clock())
-            self._tell(Load(self._name, False, began=(began,)))
+            self._publish(Load(self._name, False, began=(began,)))
 
     def note_paced(self, request: int, pause: float) -> None:
         """Publish a typical pause of a stream of this gateway, which sees all of its pauses."""
         if request in self._own:
-            self._tell(Load(self._name, False, paced=(Paced(request, pause),)))
+            self._publish(Load(self._name, False, paced=(Paced(request, pause),)))
 
     def end(self, request: int, outcome: Outcome = Outcome.UNKNOWN, seconds: float = 0.0) -> None:
         """Remove a request of this gateway that ran for `seconds`, and publish its end."""
         if self._own.pop(request, None) is not None:
             ended = Ended(request, outcome, seconds)
             self._fleet.end(ended, self._clock())
-            self._tell(Load(self._name, False, ended=(ended,)))
+            self._publish(Load(self._name, False, ended=(ended,)))
 
     def give_up(self, request: int) -> None:
         """Publish that a request that was placed for this gateway is not sent."""
-        self._tell(Load(self._name, False, ended=(Ended(request),)))
+        self._publish(Load(self._name, False, ended=(Ended(request),)))
 
     def due_snapshots(self, gateways: int) -> list[Load]:
         """Return the snapshot due now in a fleet of `gateways`, empty if none is due."""
         now = self._clock()
-        if now < self._list_due:
+        if now < self._snapshot_due_at:
             return []
-        self._list_due = now + max(_LIST_SECONDS, gateways / _LISTS_A_SECOND)
+        self._snapshot_due_at = now + max(
+            _SNAPSHOT_INTERVAL_SECONDS, gateways / _MAX_SNAPSHOTS_PER_SECOND
+        )
         return self.snapshot()
 
     def all_running(self) -> list[Load]:
         """Return all requests known to run, for a gateway that becomes a scheduler."""
         now = self._clock()
-        loads = [_started(self._name, [(item, since) for item, since in self._own.values()], now)]
-        for sender, held in self._others.items():
+        loads = [
+            _load_update(self._name, [(item, since) for item, since in self._own.values()], now)
+        ]
+        for sender, started_at in self._others.items():
             running = [
                 (placed, since)
-                for request, since in held.items()
+                for request, since in started_at.items()
                 if (placed := self._fleet.running_request(request)) is not None
             ]
-            loads.append(_started(sender, running, now))
+            loads.append(_load_update(sender, running, now))
         return [load for load in loads if load.placed]
 
     def paces(self) -> list[LongTermPace]:
@@ -143,10 +147,10 @@
 
     def merge_paces(self, paces: Sequence[LongTermPace]) -> None:
         """Merge paces from another scheduler, for upstreams whose pace is unknown here."""
-        for told in paces:
-            service = self._service_of(told.upstream)
+        for reported in paces:
+            service = self._service_of(reported.upstream)
             if service is not None:
-                self._fleet.adopt_reported_pace(told, service.name)
+                self._fleet.adopt_reported_pace(reported, service.name)
 
     def snapshot(self) -> list[Load]:
         """Return a snapshot of this gateway's requests, which repairs what others have missed.
@@ -155,26 +159,26 @@
         recently are sent again, in case the update on their start was lost.
         """
         now = self._clock()
-        self._lists += 1
-        everything = self._lists % _LISTS_OF_EVERYTHING == 0
+        self._snapshot_count += 1
+        is_full = self._snapshot_count % _SNAPSHOTS_PER_FULL_ONE == 0
         recent = [
             replace(item, age=now - since, part_ids=(), part_tokens=())
             for item, since in self._own.values()
-            if everything or since >= self._list_before
+            if is_full or since >= self._previous_snapshot_at
         ]
-        self._list_before, self._list_last = self._list_last, now
+        self._previous_snapshot_at, self._last_snapshot_at = self._last_snapshot_at, now
         began = tuple(Began(number) for number, (item, _) in self._own.items() if item.began)
         loads = [
-            Load(self._name, False, placed=tuple(recent[start : start + _MOST_PLACED]))
-            for start in range(0, len(recent), _MOST_PLACED)
+            Load(self._name, False, placed=tuple(recent[start : start + _MAX_PLACED_PER_DATAGRAM]))
+            for start in range(0, len(recent), _MAX_PLACED_PER_DATAGRAM)
         ]
         if self._own:
-            self._empty_lists = 0
-        elif self._empty_lists >= _EMPTY_LISTS:
+            self._empty_snapshots = 0
+        elif self._empty_snapshots >= _MAX_EMPTY_SNAPSHOTS:
             return []
         else:
-            self._empty_lists += 1
-        if len(self._own) <= _MOST_NUMBERS:
+            self._empty_snapshots += 1
+        if len(self._own) <= _MAX_NUMBERS_PER_DATAGRAM:
             # Only one datagram can carry the complete list: a part must not be taken for all.
             loads.append(Load(self._name, True, began=began, running=tuple(self._own)))
         return loads
@@ -184,57 +188,63 @@
         if load.sender == self._name:
             return
         now = self._clock()
-        held = self._others.setdefault(load.sender, {})
+        started_at = self._others.setdefault(load.sender, {})
         for placed in load.placed:
-            self._count_in(placed, held, now)
+            self._add(placed, started_at, now)
         for began in load.began:
             self._fleet.begin(began, now)
         for paced in load.paced:
             self._fleet.note_paced(paced, now)
         for ended in load.ended:
-            self._count_out(ended, held, self._is_near(load.sender))
+            self._remove(ended, started_at, self._is_same_hall(load.sender))
         if load.whole:
-            told = set(load.running)
-            for request, since in list(held.items()):
-                if request not in told and now - since > _YOUNG_SECONDS:
-                    self._count_out(Ended(request), held)
+            reported = set(load.running)
+            for request, since in list(started_at.items()):
+                if request not in reported and now - since > _SNAPSHOT_TRANSIT_SECONDS:
+                    self._remove(Ended(request), started_at)
 
     def expire(self) -> None:
         """Drop requests whose end was never received, long after they should have ended."""
         now = self._clock()
-        for held in self._others.values():
-            for request in [item for item in held if self._ends_by[item] < now]:
-                self._count_out(Ended(request), held)
+        for started_at in self._others.values():
+            for request in [item for item in started_at if self._expires_at[item] < now]:
+                self._remove(Ended(request), started_at)
 
     def drop_sender(self, name: str) -> None:
         """Drop all requests of a gateway that has left."""
-        held = self._others.pop(name, {})
-        for request in list(held):
-            self._count_out(Ended(request), held)
+        started_at = self._others.pop(name, {})
+        for request in list(started_at):
+            self._remove(Ended(request), started_at)
 
-    def _count_in(
-        self, placed: Placed, held: dict[int, float], now: float, known: Service | None = None
+    def _add(
+        self,
+        placed: Placed,
+        started_at: dict[int, float],
+        now: float,
+        known_service: Service | None = None,
     ) -> None:
-        if placed.request in held:
+        if placed.request in started_at:
             if placed.began:
                 self._fleet.begin(Began(placed.request), now)
             return
-        service = known or self._service_of(placed.upstream)
+        service = known_service or self._service_of(placed.upstream)
         if service is None:
             return
-        held[placed.request] = now
-        self._ends_by[placed.request] = now + 2 * placed.seconds + _SILENT_SECONDS
+        started_at[placed.request] = now
+        self._expires_at[placed.request] = now + 2 * placed.seconds + _EXPIRY_MARGIN_SECONDS
         self._fleet.start(placed, service, now)
         if not placed.age:
             self._fleet.pace(service.name).note_prefill(placed.prefill_tokens)
 
-    def _count_out(self, ended: Ended, held: dict[int, float], near: bool = True) -> None:
-        held.pop(ended.request, None)
-        self._ends_by.pop(ended.request, None)
-        self._fleet.end(ended, self._clock(), near)
+    def _remove(self, ended: Ended, started_at: dict[int, float], same_hall: bool = True) -> None:
+        started_at.pop(ended.request, None)
+        self._expires_at.pop(ended.request, None)
+        self._fleet.end(ended, self._clock(), same_hall)
 
 
-def _started(sender: str, running: list[tuple[Placed, float]], now: float) -> Load:
+def _load_update(sender: str, running: list[tuple[Placed, float]], now: float) -> Load:
     """Return a load update on running requests, given with the times of their starts."""
-    placed = tuple(replace(item, age=max(_LEAST_AGE, now - since)) for item, since in running)
+    placed = tuple(
+        replace(item, age=max(_MIN_REPEATED_AGE_SECONDS, now - since)) for item, since in running
+    )
     return Load(sender, False, placed=placed)
--- a/src/lotushill/shares/served_counts.py
+++ b/src/lotushill/shares/served_counts.py
@@ -8,10 +8,10 @@
 
 import math
 
-_SECONDS = 30.0
+_DECAY_SECONDS = 30.0
 """Time constant of the decay, after which a third of the requests counts: with many schedulers,
 each sees few requests of each team."""
-_LEAST_ASKED = 3.0
+_MIN_REQUESTS = 3.0
 """Minimum decayed number of requests from which a fraction is given."""
 
 
@@ -19,27 +19,27 @@
     """Decaying counts of requests received and placed."""
 
     def __init__(self) -> None:
-        self._asked = 0.0
+        self._requested = 0.0
         self._placed = 0.0
-        self._at = 0.0
+        self._decayed_at = 0.0
 
     def note_request(self, now: float) -> None:
         """Count a request that arrived, once even if an upstream is searched for repeatedly."""
-        self._fade(now)
-        self._asked += 1.0
+        self._decay(now)
+        self._requested += 1.0
 
     def note_placed(self, now: float) -> None:
         """Count a request that was placed on an upstream."""
-        self._fade(now)
+        self._decay(now)
         self._placed += 1.0
 
     def placed_fraction(self, now: float) -> float | None:
         """Return the fraction of requests that were placed, None if too few arrived."""
-        self._fade(now)
-        return self._placed / self._asked if self._asked >= _LEAST_ASKED else None
-
-    def _fade(self, now: float) -> None:
-        kept = math.exp(min(0.0, self._at - now) / _SECONDS)
-        self._asked *= kept
-        self._placed *= kept
-        self._at = max(self._at, now)
+        self._decay(now)
+        return self._placed / self._requested if self._requested >= _MIN_REQUESTS else None
+
+    def _decay(self, now: float) -> None:
+        factor = math.exp(min(0.0, self._decayed_at - now) / _DECAY_SECONDS)
+        self._requested *= factor
+        self._placed *= factor
+        self._decayed_at = max(self._decayed_at, now)
--- a/src/lotushill/shares/shares.py
+++ b/src/lotushill/shares/shares.py
@@ -27,23 +27,23 @@
     from lotushill.routing.service import Service
     from lotushill.shares.work import SentRequest
 
-_NEAR = 0.9
+_NEAR_SHARE_FRACTION = 0.9
 """Fraction of its share from which a team counts as over it, since the sums fluctuate with each
 request."""
-_MORE = 1.5
+_CLEARLY_MORE_FACTOR = 1.5
 """Multiple of the mean standing of the other active teams from which a team has clearly had more.
 Nearly even teams need no protection from each other and are served in the order of arrival: with
 some ten requests of each in a sum, even teams differ by a third."""
-_AHEAD = 1.15
+_QUEUE_ORDER_FACTOR = 1.15
 """Multiple of the mean standing of the others up to which a team's queued requests go in the order
 of arrival."""
-_LEAST_SERVED = 0.35
+_MIN_SERVED_FRACTION = 0.35
 """Guaranteed served fraction of a team, as a fraction of that of all teams, however many requests
 it sends: users consider a team starved that is served less than a quarter as often as all."""
-_LEAST_SHARE = 1e-3
-_MOST_TIMES = 1000.0
+_MIN_SHARE = 1e-3
+_MAX_RELATIVE_STANDING = 1000.0
 """Relative standing given for a team while the others have had no work."""
-_NOTHING = TeamWork(0.0, 0.0)
+_NO_WORK = TeamWork(0.0, 0.0)
 
 
 class ShareRequest(Protocol):
@@ -88,7 +88,7 @@
         """Note that a team is active, and its weight."""
         account = self._ledger.account(_key(need))
         account.last_request_at = now
-        account.share = max(_LEAST_SHARE, need.share)
+        account.share = max(_MIN_SHARE, need.share)
 
     def note_arrival(self, need: ShareRequest, now: float) -> None:
         """Count a request that arrived, once even if an upstream is searched for repeatedly."""
@@ -117,7 +117,7 @@
         work = sum(
             item.work(now) for item in self._ledger.accounts_of_team(service, team_number(team))
         )
-        return work / max(_LEAST_SHARE, share)
+        return work / max(_MIN_SHARE, share)
 
     def is_over_share(self, need: ShareRequest, now: float) -> bool:
         """Return whether requests of other active teams have to go before this one.
@@ -126,11 +126,11 @@
         teams, as long as its requests are not served far less often than those of all teams.
         """
         key = _key(need)
-        return self._is_ahead(key, now) and not self._is_starved(key, now)
+        return self._is_clearly_ahead(key, now) and not self._is_starved(key, now)
 
     def relative_standing(self, need: ShareRequest, now: float) -> float:
         """Return a team's standing divided by the mean of the other active teams, 0 without any."""
-        return self._times(_key(need), now)
+        return self._relative_standing(_key(need), now)
 
     def excess_standing(self, need: ShareRequest, now: float) -> float:
         """Return a team's relative standing if it is ahead of the others, otherwise 0.
@@ -138,55 +138,59 @@
         Used to order queued requests: going first there does not exclude others altogether.
         """
         times = self.relative_standing(need, now)
-        if times < _AHEAD or self._is_starved(_key(need), now):
+        if times < _QUEUE_ORDER_FACTOR or self._is_starved(_key(need), now):
             return 0.0
         return times
 
     def teams_over_share(self, now: float) -> list[TeamOverShare]:
         """Return the team of each service and tier that others precede while capacity is short."""
         return [
-            TeamOverShare(key.service, key.tier, key.team, self._times(key, now))
+            TeamOverShare(key.service, key.tier, key.team, self._relative_standing(key, now))
             for key in self._ledger.highest_standings(now)
-            if self._is_ahead(key, now)
+            if self._is_clearly_ahead(key, now)
         ]
 
     def forget(self, now: float) -> None:
         """Drop the accounts of idle teams."""
         self._ledger.forget(now)
 
-    def _is_ahead(self, key: AccountKey, now: float) -> bool:
+    def _is_clearly_ahead(self, key: AccountKey, now: float) -> bool:
         own = self._ledger.account(key)
         standing = own.standing(now)
-        if standing <= 0.0 or standing < _MORE * self._mean_of_others(key, now):
+        if standing <= 0.0 or standing < _CLEARLY_MORE_FACTOR * self._mean_of_others(key, now):
             return False
-        level = standing / _NEAR
+        level = standing / _NEAR_SHARE_FRACTION
         # At this standing for all teams, others would free less work than this team lacks up to it.
         teams = self._ledger.active_teams(key, now).teams
-        above = sum(_over(part, level) for team, part in teams.items() if team != key.team)
-        return above <= level * own.share - own.work(now)
+        work_above = sum(
+            _work_above(team_work, level) for team, team_work in teams.items() if team != key.team
+        )
+        return work_above <= level * own.share - own.work(now)
 
     def _mean_of_others(self, key: AccountKey, now: float) -> float:
         """Return the weighted mean standing of the other active teams, infinity without any."""
-        asking = self._ledger.active_teams(key, now)
-        own = asking.teams.get(key.team, _NOTHING)
-        share = asking.share - own.share
-        return max(0.0, asking.work - own.work) / share if share > _LEAST_SHARE / 2 else math.inf
+        active = self._ledger.active_teams(key, now)
+        own = active.teams.get(key.team, _NO_WORK)
+        share = active.share - own.share
+        return max(0.0, active.work - own.work) / share if share > _MIN_SHARE / 2 else math.inf
 
     def _is_starved(self, key: AccountKey, now: float) -> bool:
         own = self._ledger.account(key).served.placed_fraction(now)
         all_teams = self._ledger.served(key).placed_fraction(now)
         if own is None or all_teams is None:
             return False
-        return own < _LEAST_SERVED * all_teams
+        return own < _MIN_SERVED_FRACTION * all_teams
 
-    def _times(self, key: AccountKey, now: float) -> float:
+    def _relative_standing(self, key: AccountKey, now: float) -> float:
         mean = self._mean_of_others(key, now)
-        return self._ledger.account(key).standing(now) / mean if mean > 0.0 else _MOST_TIMES
+        return (
+            self._ledger.account(key).standing(now) / mean if mean > 0.0 else _MAX_RELATIVE_STANDING
+        )
 
 
-def _over(part: TeamWork, level: float) -> float:
+def _work_above(team_work: TeamWork, level: float) -> float:
     """Return the work of a team above the standing `level`."""
-    return max(0.0, part.work - level * part.share)
+    return max(0.0, team_work.work - level * team_work.share)
 
 
 def _key(need: ShareRequest) -> AccountKey:
--- a/src/lotushill/shares/work.py
+++ b/src/lotushill/shares/work.py
@@ -8,9 +8,9 @@
 if TYPE_CHECKING:
     from lotushill.routing.service import Service
 
-_OUTPUT_WORTH = 10.0
+_OUTPUT_TOKEN_COST = 10.0
 """Cost of a generated token to an engine, in prompt tokens read."""
-_LEAST_WORK = 1e-3
+_MIN_WORK = 1e-3
 """Lower bound of the work of a request, so that no request is free."""
 
 
@@ -56,6 +56,6 @@
     Only requests of one service are compared with each other.
     """
     if service.engine is None:
-        return max(_LEAST_WORK, placed.seconds)
-    made = max(0, placed.memory - placed.prompt)
-    return max(_LEAST_WORK, placed.prefill_tokens + _OUTPUT_WORTH * made)
+        return max(_MIN_WORK, placed.seconds)
+    output_tokens = max(0, placed.memory - placed.prompt)
+    return max(_MIN_WORK, placed.prefill_tokens + _OUTPUT_TOKEN_COST * output_tokens)
--- a/src/lotushill/waiting/entry.py
+++ b/src/lotushill/waiting/entry.py
@@ -14,10 +14,10 @@
 RENEW_INTERVAL_SECONDS = 0.2
 """Interval in which a gateway renews a queued request: a fifth of the shortest time after which a
 client gives up, so that the loss of a scheduler uses up little of that time."""
-EXPIRY_SECONDS = 0.7
+ENTRY_EXPIRY_SECONDS = 0.7
 """Time without a renewal after which an entry expires: two renewals may be lost."""
-_PATIENCE_SHARE = 0.9
-"""Fraction of its client's patience for which a request stays queued: in the rest it can still
+_CLIENT_TIMEOUT_FRACTION = 0.9
+"""Fraction of its client's timeout for which a request stays queued: in the rest it can still
 begin together with others that are admitted at the same time, or be refused so that its client
 returns."""
 
@@ -41,15 +41,17 @@
     """Whether a backup copy of its run may be kept."""
 
     @cached_property
-    def patience_ends(self) -> float:
+    def client_timeout_at(self) -> float:
         """Return when its client gives up if it has received no part of an answer."""
-        patience = replace(self.need, time_left=math.inf).first_event_timeout
-        return self.arrived_at + min(patience, self.need.waited + self.need.time_left)
+        timeout = replace(self.need, time_left=math.inf).first_event_timeout
+        return self.arrived_at + min(timeout, self.need.waited + self.need.time_left)
 
     @property
-    def held_until(self) -> float:
+    def queued_until(self) -> float:
         """Return until when the entry stays queued: its client still waits for the outcome then."""
-        return self.arrived_at + _PATIENCE_SHARE * (self.patience_ends - self.arrived_at)
+        return self.arrived_at + _CLIENT_TIMEOUT_FRACTION * (
+            self.client_timeout_at - self.arrived_at
+        )
 
     def need_at(self, now: float) -> Need:
         """Return the placement need with the time waited and the time left as of `now`."""
--- a/src/lotushill/waiting/open_engines.py
+++ b/src/lotushill/waiting/open_engines.py
@@ -16,19 +16,19 @@
     from lotushill.routing.upstream import Upstream
     from lotushill.waiting.slot_turns import RemoteQueues
 
-_SOON_SECONDS = 0.1
-"""Lead time: a slot that becomes free within it counts as free. Otherwise it would stay empty until
-all schedulers have been notified and the next request has reached the engine. An eighth of the
-shortest target of a long request."""
+_LEAD_TIME_SECONDS = 0.1
+"""Time within which a slot that will become free already counts as free. Otherwise it would stay
+empty until all schedulers have been notified and the next request has reached the engine. An eighth
+of the shortest target of a long request."""
 
 
 class OpenEngines:
     """Finds engines with free slots for this gateway, by the model of all running requests."""
 
-    def __init__(self, fleet: Fleet, rivals: RemoteQueues) -> None:
+    def __init__(self, fleet: Fleet, remote_queues: RemoteQueues) -> None:
         self._fleet = fleet
-        self._rivals = rivals
-        self._turns = SlotTurns(rivals)
+        self._remote_queues = remote_queues
+        self._turns = SlotTurns(remote_queues)
 
     def closed(
         self, service: Service, tier: int, upstreams: Sequence[Upstream], now: float
@@ -36,10 +36,10 @@
         """Return the ids of engines that this gateway must not send requests of a tier now."""
         if service.engine is None:
             return frozenset()
-        contested = self._rivals.has_waiting(service.name, now)
+        contested = self._remote_queues.has_waiting(service.name, now)
         closed = []
         for item in upstreams:
-            free = _free(self._fleet.load(item.id), tier, service.engine.slots)
+            free = _free_slots(self._fleet.load(item.id), tier, service.engine.slots)
             self._turns.note_free_slots(item.id, free, now)
             if free > 0 and contested:
                 free *= self._turns.may_take(service.name, tier, item.id, free, now)
@@ -56,8 +56,8 @@
         self._turns.forget(known)
 
 
-def _free(load: UpstreamLoad, tier: int, slots: int) -> int:
+def _free_slots(load: UpstreamLoad, tier: int, slots: int) -> int:
     """Return how many slots of an engine are free for a tier, now or within the lead time."""
-    usual = load.mean_expected_seconds
-    soon = math.floor(slots * _SOON_SECONDS / usual) if usual > 0.0 else 0
-    return slots + soon - load.count_before(tier)
+    mean_seconds = load.mean_expected_seconds
+    free_soon = math.floor(slots * _LEAD_TIME_SECONDS / mean_seconds) if mean_seconds > 0.0 else 0
+    return slots + free_soon - load.count_before(tier)
--- a/src/lotushill/waiting/queued_requests.py
+++ b/src/lotushill/waiting/queued_requests.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from lotushill.waiting.entry import EXPIRY_SECONDS
+from lotushill.waiting.entry import ENTRY_EXPIRY_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -19,8 +19,8 @@
 _ENTRY_BYTES = 600
 _PART_BYTES = 80
 _EXCLUDED_BYTES = 100
-"""Estimated memory in bytes of a queued request, each part of its prompt and each excluded upstream
-(these three constants)."""
+"""Estimated memory per excluded upstream; the two sizes above are per request and per prompt
+part."""
 
 
 class QueuedRequests:
@@ -29,8 +29,8 @@
     def __init__(
         self, max_requests: int = MAX_QUEUED_REQUESTS, max_bytes: int = MAX_QUEUED_BYTES
     ) -> None:
-        self._most = max_requests
-        self._most_bytes = max_bytes
+        self._max_requests = max_requests
+        self._max_bytes = max_bytes
         self._entries: dict[int, QueueEntry] = {}
         self._services: dict[str, dict[int, QueueEntry]] = {}
         self._tiers: dict[str, Counter[int]] = {}
@@ -48,7 +48,7 @@
 
     def services(self) -> list[str]:
         """Return the names of services that have queued requests."""
-        return [name for name, held in self._services.items() if held]
+        return [name for name, entries in self._services.items() if entries]
 
     def for_service(self, service: str) -> list[QueueEntry]:
         """Return all queued requests of a service, in no particular order."""
@@ -65,18 +65,18 @@
 
     def add(self, entry: QueueEntry) -> bool:
         """Add a request or its renewal; return False if a bound does not allow it."""
-        former = self._entries.get(entry.key)
-        taken = _bytes(entry) - (_bytes(former) if former else 0)
-        if former is None and len(self._entries) >= self._most:
+        previous = self._entries.get(entry.key)
+        added_bytes = _estimated_bytes(entry) - (_estimated_bytes(previous) if previous else 0)
+        if previous is None and len(self._entries) >= self._max_requests:
             self.overflows += 1
             return False
-        if self.bytes + taken > self._most_bytes:
+        if self.bytes + added_bytes > self._max_bytes:
             self.overflows += 1
             return False
-        self.bytes += taken
+        self.bytes += added_bytes
         self._entries[entry.key] = entry
         self._services.setdefault(entry.need.service, {})[entry.key] = entry
-        if former is None:
+        if previous is None:
             self._tiers.setdefault(entry.need.service, Counter())[entry.need.tier] += 1
         return True
 
@@ -86,22 +86,24 @@
         if entry is not None:
             del self._services[entry.need.service][key]
             self._tiers[entry.need.service][entry.need.tier] -= 1
-            self.bytes -= _bytes(entry)
+            self.bytes -= _estimated_bytes(entry)
         return entry
 
     def expire(self, now: float) -> list[int]:
         """Remove the requests that their gateways no longer renew, and return their keys."""
-        gone = [
-            entry.key for entry in self._entries.values() if now - entry.renewed_at > EXPIRY_SECONDS
+        expired_keys = [
+            entry.key
+            for entry in self._entries.values()
+            if now - entry.renewed_at > ENTRY_EXPIRY_SECONDS
         ]
-        for key in gone:
+        for key in expired_keys:
             self.drop(key)
-        return gone
+        return expired_keys
 
     def __iter__(self) -> Iterator[QueueEntry]:
         return iter(self._entries.values())
 
 
-def _bytes(entry: QueueEntry) -> int:
+def _estimated_bytes(entry: QueueEntry) -> int:
     parts = _PART_BYTES * len(entry.need.parts)
     return _ENTRY_BYTES + parts + _EXCLUDED_BYTES * len(entry.excluded)
--- a/src/lotushill/waiting/slot_turns.py
+++ b/src/lotushill/waiting/slot_turns.py
@@ -21,19 +21,19 @@
 TURN_SECONDS = 0.04
 """Time until other schedulers have been notified that a slot was taken: one batch interval, two
 network transits and some margin."""
-QUEUE_REPORT_INTERVAL_SECONDS = 0.05
+QUEUE_UPDATE_INTERVAL_SECONDS = 0.05
 """Interval between two queue updates of one scheduler."""
-_FRESH_SECONDS = 0.2
+_MAX_UPDATE_AGE_SECONDS = 0.2
 """Age from which a queue update no longer counts: three updates may be lost."""
-_RANKS_KEPT = 4096
+_MAX_CACHED_RANKINGS = 4096
 
 
 @dataclass
-class _Told:
+class _QueueUpdate:
     """Last update of one scheduler on its queue of a service."""
 
     tiers: dict[int, int]
-    at: float
+    received_at: float
 
 
 class RemoteQueues:
@@ -41,20 +41,20 @@
 
     def __init__(self, own: str) -> None:
         self._own = own
-        self._told: dict[str, dict[str, _Told]] = {}
+        self._updates: dict[str, dict[str, _QueueUpdate]] = {}
 
     def set_counts(self, sender: str, service: str, tiers: dict[int, int], now: float) -> None:
         """Store how many requests of each tier are queued at another scheduler."""
-        self._told.setdefault(service, {})[sender] = _Told(tiers, now)
+        self._updates.setdefault(service, {})[sender] = _QueueUpdate(tiers, now)
 
     def drop(self, sender: str) -> None:
         """Drop the updates of a gateway that has left."""
-        for told in self._told.values():
-            told.pop(sender, None)
+        for updates in self._updates.values():
+            updates.pop(sender, None)
 
     def has_waiting(self, service: str, now: float) -> bool:
         """Return whether other schedulers have queued requests of a service."""
-        return any(told.tiers for told in self._fresh(service, now).values())
+        return any(update.tiers for update in self._recent_updates(service, now).values())
 
     def rank_for_slot(self, service: str, tier: int, upstream: str, now: float) -> tuple[int, int]:
         """Return this scheduler's rank for a slot of an upstream, and the number of schedulers.
@@ -62,28 +62,32 @@
         Schedulers with more urgent requests rank before; those with only less urgent requests are
         left out.
         """
-        before: list[str] = []
-        equal = [self._own]
-        for sender, told in self._fresh(service, now).items():
-            most_urgent = min(told.tiers, default=None)
+        more_urgent: list[str] = []
+        same_tier = [self._own]
+        for sender, update in self._recent_updates(service, now).items():
+            most_urgent = min(update.tiers, default=None)
             if most_urgent is None or most_urgent > tier:
                 continue
-            (before if most_urgent < tier else equal).append(sender)
-        place = _ranks(upstream, tuple(sorted(equal))).index(self._own)
-        return len(before) + place, len(before) + len(equal)
+            (more_urgent if most_urgent < tier else same_tier).append(sender)
+        rank = _ranking(upstream, tuple(sorted(same_tier))).index(self._own)
+        return len(more_urgent) + rank, len(more_urgent) + len(same_tier)
 
-    def _fresh(self, service: str, now: float) -> dict[str, _Told]:
-        told = self._told.get(service, {})
-        return {name: item for name, item in told.items() if now - item.at <= _FRESH_SECONDS}
+    def _recent_updates(self, service: str, now: float) -> dict[str, _QueueUpdate]:
+        updates = self._updates.get(service, {})
+        return {
+            name: item
+            for name, item in updates.items()
+            if now - item.received_at <= _MAX_UPDATE_AGE_SECONDS
+        }
 
 
 class SlotTurns:
     """Decides which free slots of each engine this gateway may fill."""
 
-    def __init__(self, rivals: RemoteQueues) -> None:
-        self._rivals = rivals
+    def __init__(self, remote_queues: RemoteQueues) -> None:
+        self._remote_queues = remote_queues
         self._free_since: dict[str, float] = {}
-        self._looked_at: dict[str, float] = {}
+        self._noted_at: dict[str, float] = {}
         self._taken: dict[str, list[float]] = {}
 
     def note_free_slots(self, upstream: str, free: int, now: float) -> None:
@@ -92,11 +96,11 @@
         If the last note is older than a turn, the engine may have been full or unreachable since,
         and its slots count as just freed.
         """
-        looked_at = self._looked_at.get(upstream, -math.inf)
-        self._looked_at[upstream] = now
+        noted_at = self._noted_at.get(upstream, -math.inf)
+        self._noted_at[upstream] = now
         if free <= 0:
             self._free_since.pop(upstream, None)
-        elif now - looked_at > TURN_SECONDS or upstream not in self._free_since:
+        elif now - noted_at > TURN_SECONDS or upstream not in self._free_since:
             self._free_since[upstream] = now
 
     def note_taken(self, upstream: str, now: float) -> None:
@@ -107,19 +111,19 @@
         """Return whether this gateway may fill one more of the free slots of an engine."""
         if free <= 0:
             return False
-        place, count = self._rivals.rank_for_slot(service, tier, upstream, now)
+        rank, count = self._remote_queues.rank_for_slot(service, tier, upstream, now)
         if count == 1:
             return True
-        taken = self._recent(upstream, now)
+        taken = self._recently_taken(upstream, now)
         free_for = now - self._free_since.get(upstream, now)
-        passed = math.floor(free_for / TURN_SECONDS)
-        turns = [(place - slot) % count for slot in range(free + taken)]
-        own = turns.count(0)
+        passed_turns = math.floor(free_for / TURN_SECONDS)
+        turns = [(rank - slot) % count for slot in range(free + taken)]
+        own_turns = turns.count(0)
         # Only one passed-on slot at a time: otherwise all schedulers would fill it at once.
-        passed_on = any(0 < turn <= passed for turn in turns)
-        return own + passed_on > taken
+        has_passed_on = any(0 < turn <= passed_turns for turn in turns)
+        return own_turns + has_passed_on > taken
 
-    def _recent(self, upstream: str, now: float) -> int:
+    def _recently_taken(self, upstream: str, now: float) -> int:
         times = self._taken.get(upstream)
         if not times:
             return 0
@@ -132,11 +136,11 @@
 
     def forget(self, known: set[str]) -> None:
         """Drop the state of engines that are not in `known`."""
-        for held in (self._free_since, self._looked_at, self._taken):
-            for upstream in [item for item in held if item not in known]:
-                del held[upstream]
+        for states in (self._free_since, self._noted_at, self._taken):
+            for upstream in [item for item in states if item not in known]:
+                del states[upstream]
 
 
-@lru_cache(maxsize=_RANKS_KEPT)
-def _ranks(upstream: str, schedulers: tuple[str, ...]) -> tuple[str, ...]:
+@lru_cache(maxsize=_MAX_CACHED_RANKINGS)
+def _ranking(upstream: str, schedulers: tuple[str, ...]) -> tuple[str, ...]:
     return ranked(upstream, schedulers, len(schedulers))
--- a/src/lotushill/waiting/wait_limits.py
+++ b/src/lotushill/waiting/wait_limits.py
@@ -15,7 +15,7 @@
     from lotushill.placement.fleet import Fleet
     from lotushill.waiting.entry import QueueEntry
 
-_LONG_SHARE = 0.7
+_LONG_REQUEST_FRACTION = 0.7
 """Fraction of its target for which a long request stays queued at most. Requests placed later are
 mostly late, as the engine reads more urgent prompts that arrive meanwhile before theirs, and their
 callers wait for nothing."""
@@ -30,38 +30,38 @@
     def on_time_until(self, entry: QueueEntry) -> float:
         """Return until when a request can be placed so that its first event is on time."""
         need, pace = entry.need, self._fleet.pace(entry.need.service)
-        reading = self._fleet.shedding.usual.reading(need.service, need.route)
-        tokens = min(float(need.prompt_tokens), reading or need.prompt_tokens)
+        typical_tokens = self._fleet.shedding.usual.reading(need.service, need.route)
+        tokens = min(float(need.prompt_tokens), typical_tokens or need.prompt_tokens)
         return entry.arrived_at + need.target - tokens / pace.read_rate
 
     def is_overdue(self, entry: QueueEntry, now: float) -> bool:
         """Return whether a request must leave the queue without an upstream."""
-        if now >= entry.held_until:
+        if now >= entry.queued_until:
             return True
-        return now >= self._long_until(entry) and self._goes_when_late(entry, now)
+        return now >= self._long_queued_until(entry) and self._is_dropped_when_late(entry, now)
 
-    def is_worth_waiting(self, entry: QueueEntry, likely: float, now: float) -> bool:
-        """Return whether a wait of `likely` seconds ends while the request may still be queued."""
+    def is_worth_waiting(self, entry: QueueEntry, expected_wait: float, now: float) -> bool:
+        """Return whether `expected_wait` ends while the request may still be queued."""
         if self.is_overdue(entry, now):
             return False
-        until = entry.held_until
+        until = entry.queued_until
         if self._fleet.shedding.is_long(entry.need):
-            until = min(until, self._long_until(entry))
-        return now + likely <= until or self._fleet.shedding.must_serve(entry.need, now)
+            until = min(until, self._long_queued_until(entry))
+        return now + expected_wait <= until or self._fleet.shedding.must_serve(entry.need, now)
 
     def is_too_late(self, entry: QueueEntry, choice: Choice, now: float) -> bool:
         """Return whether a free slot is better left to a request that arrived later."""
-        first = now + choice.first_event_seconds
-        if first > entry.patience_ends:
+        first_event_at = now + choice.first_event_seconds
+        if first_event_at > entry.client_timeout_at:
             return True
-        late = first > entry.arrived_at + entry.need.target
-        return late and self._goes_when_late(entry, now)
+        late = first_event_at > entry.arrived_at + entry.need.target
+        return late and self._is_dropped_when_late(entry, now)
 
-    def _long_until(self, entry: QueueEntry) -> float:
+    def _long_queued_until(self, entry: QueueEntry) -> float:
         """Return until when a long request stays queued."""
-        longest = entry.arrived_at + _LONG_SHARE * entry.need.target
+        longest = entry.arrived_at + _LONG_REQUEST_FRACTION * entry.need.target
         return min(longest, self.on_time_until(entry))
 
-    def _goes_when_late(self, entry: QueueEntry, now: float) -> bool:
+    def _is_dropped_when_late(self, entry: QueueEntry, now: float) -> bool:
         shedding = self._fleet.shedding
         return shedding.is_long(entry.need) and not shedding.must_serve(entry.need, now)
--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -12,7 +12,7 @@
 _MEMBER = "tests.membership.test_membership.TestMembership"
 _FLEET = "tests.placement.test_fleet.TestEngines"
 _TIERS = "tests.requests.test_tiers"
-_WAITING = "tests.scheduling.test_waiting_client.TestWaiting"
+_WAITING = "tests.scheduling.test_queueing_client.TestWaiting"
 _CLIENT = "tests.scheduling.test_placement_client.TestPlacementClient"
 _LOAD = "tests.scheduling.test_shared_load.TestSharedLoad"
 _EDITOR = "tests.contracts.test_editor.TestEditor"
@@ -229,14 +229,14 @@
                 "its client or its gateway leaves",
                 (
                     f"{_WAITING}.test_the_queue_entry_is_given_up_when_the_client_leaves",
-                    "tests.scheduling.test_waiting_desk.TestDesk."
+                    "tests.scheduling.test_placement_responder.TestPlacementResponder."
                     "test_requests_of_a_gateway_that_has_left_are_not_placed",
                 ),
             ),
             Case(
                 "more wait than there is room for",
                 (
-                    "tests.scheduling.test_waiting_desk.TestDesk."
+                    "tests.scheduling.test_placement_responder.TestPlacementResponder."
                     "test_a_request_is_refused_at_once_when_the_queue_is_full",
                 ),
             ),
@@ -293,8 +293,8 @@
             Case(
                 "schedulers choose, or none of them answers",
                 (
-                    "tests.scheduling.test_placer.TestRests.test_upstreams_in_cooldown_are_excluded_from_the_query",
-                    "tests.scheduling.test_placer.TestRests.test_upstreams_in_cooldown_are_not_chosen_without_a_scheduler",
+                    "tests.scheduling.test_placer.TestBarredUpstreams.test_upstreams_in_cooldown_are_excluded_from_the_query",
+                    "tests.scheduling.test_placer.TestBarredUpstreams.test_upstreams_in_cooldown_are_not_chosen_without_a_scheduler",
                 ),
             ),
             Case(
@@ -373,7 +373,7 @@
                     f"{_LIMIT}.test_what_is_kept_back_has_spent_neither_a_run_nor_a_repeat",
                     f"{_LIMIT}.test_a_run_does_not_go_on_there_without_a_permit",
                     f"{_LIMIT}.test_no_copy_is_kept_at_one_that_has_a_limit",
-                    "tests.scheduling.test_placer.TestRests.test_an_upstream_without_a_permit_is_excluded_for_its_rank_and_later_ones",
+                    "tests.scheduling.test_placer.TestBarredUpstreams.test_an_upstream_without_a_permit_is_excluded_for_its_rank_and_later_ones",
                 ),
             ),
             Case(
@@ -877,7 +877,7 @@
                 (
                     "tests.load.policy.test_replay.TestAllStopped"
                     ".test_the_first_seconds_are_served",
-                    "tests.scheduling.test_placer.TestRests"
+                    "tests.scheduling.test_placer.TestBarredUpstreams"
                     ".test_a_gateway_that_has_just_started_spreads_its_requests",
                 ),
             ),
--- a/tests/returns/test_schedule.py
+++ b/tests/returns/test_schedule.py
@@ -35,10 +35,10 @@
     def test_the_time_never_exceeds_what_the_client_honours(
         self, backlog: int, rate: float, left: float, spread: float
     ) -> None:
-        found = return_time(backlog, rate, left, spread)
-        self.assertLessEqual(found.seconds, latest_return(left))
-        if found.promised:
-            self.assertGreaterEqual(found.seconds, MIN_RETRY_AFTER_SECONDS)
+        result = return_time(backlog, rate, left, spread)
+        self.assertLessEqual(result.seconds, latest_return(left))
+        if result.promised:
+            self.assertGreaterEqual(result.seconds, MIN_RETRY_AFTER_SECONDS)
 
 
 class TestRoomRate(unittest.TestCase):
--- a/tests/scheduling/test_fleet_learning.py
+++ b/tests/scheduling/test_fleet_learning.py
@@ -14,12 +14,14 @@
 
 CALM_SECONDS = 4.0
 LEARNING_SECONDS = 4.0
-MOST_SENT = 20
+MAX_SENT = 20
 """Maximum number of requests to a bad engine until the fleet avoids it, for any number of
 gateways."""
 
 
-def struck(gateways: int, fails: float = 0.0, slow: float = 1.0, silent: bool = False) -> int:
+def sent_to_bad_engine(
+    gateways: int, fails: float = 0.0, slow: float = 1.0, silent: bool = False
+) -> int:
     """Return how many requests are sent to the busiest engine after it has become bad."""
     fleet = VirtualFleet(gateways, seed=2)
     fleet.run(CALM_SECONDS)
@@ -34,17 +36,17 @@
     def test_a_failing_engine_is_avoided_as_soon_by_many_gateways_as_by_few(self) -> None:
         for gateways in (9, 87, 195, 360):
             with self.subTest(gateways=gateways):
-                self.assertLessEqual(struck(gateways, fails=0.6), MOST_SENT)
+                self.assertLessEqual(sent_to_bad_engine(gateways, fails=0.6), MAX_SENT)
 
     def test_a_slow_engine_is_avoided(self) -> None:
         for gateways in (9, 195):
             with self.subTest(gateways=gateways):
-                self.assertLessEqual(struck(gateways, slow=8.0), MOST_SENT)
+                self.assertLessEqual(sent_to_bad_engine(gateways, slow=8.0), MAX_SENT)
 
     def test_a_silent_engine_is_avoided(self) -> None:
         for gateways in (9, 195):
             with self.subTest(gateways=gateways):
-                self.assertLessEqual(struck(gateways, silent=True), MOST_SENT)
+                self.assertLessEqual(sent_to_bad_engine(gateways, silent=True), MAX_SENT)
 
     def test_a_recovered_engine_gets_requests_again(self) -> None:
         fleet = VirtualFleet(87, engines=12, seed=2)
--- a/tests/scheduling/test_told_paces.py
+++ b/tests/scheduling/test_pace_exchange.py
@@ -22,7 +22,7 @@
 SLOW = ("e0", "e4", "e8")
 
 
-def uneven(gateways: int) -> VirtualFleet:
+def uneven_fleet(gateways: int) -> VirtualFleet:
     """Return a fleet that has run for some seconds, with a quarter of the engines slow."""
     fleet = VirtualFleet(gateways, engines=12, seed=3)
     for name in SLOW:
@@ -31,33 +31,35 @@
     return fleet
 
 
-class TestNewcomer(unittest.TestCase):
+class TestNewScheduler(unittest.TestCase):
     def test_a_new_scheduler_knows_the_paces_found_by_another(self) -> None:
         for gateways in (16, 81):
             with self.subTest(gateways=gateways):
-                self.check_newcomer(uneven(gateways))
+                self.check_new_scheduler(uneven_fleet(gateways))
 
-    def check_newcomer(self, fleet: VirtualFleet) -> None:
-        newcomer = Fleet("h0")
-        news = SharedLoad("new", newcomer, lambda: fleet.now, lambda _: SERVICE, lambda _: None)
+    def check_new_scheduler(self, fleet: VirtualFleet) -> None:
+        new_fleet = Fleet("h0")
+        shared_load = SharedLoad(
+            "new", new_fleet, lambda: fleet.now, lambda _: SERVICE, lambda _: None
+        )
         names = {upstream_number(name): name for name in fleet.engines}
         page = pack_paces(fleet.schedulers[0].load.paces())
-        news.merge_paces(unpack_paces(page, names.get))
+        shared_load.merge_paces(unpack_paces(page, names.get))
         slow = set()
         for name in fleet.engines:
             known = fleet.schedulers[0].fleet.load(name).pace
-            told = newcomer.load(name).pace
-            self.assertEqual(known.is_known, told.is_known)
+            received = new_fleet.load(name).pace
+            self.assertEqual(known.is_known, received.is_known)
             self.assertAlmostEqual(
-                known.long_term_step_slowness, told.long_term_step_slowness, places=4
+                known.long_term_step_slowness, received.long_term_step_slowness, places=4
             )
-            if told.step_slowness(fleet.now) > 1.5:
+            if received.step_slowness(fleet.now) > 1.5:
                 slow.add(name)
         self.assertTrue(slow)
         self.assertLessEqual(slow, set(SLOW))
 
     def test_all_schedulers_of_a_fleet_find_the_same_paces(self) -> None:
-        fleet = uneven(81)
+        fleet = uneven_fleet(81)
         for scheduler in fleet.schedulers:
             paces = scheduler.fleet.engine_paces.for_service(SERVICE.name).deviating_paces()
             self.assertEqual(set(SLOW), {item.upstream for item in paces})
@@ -68,18 +70,18 @@
         return {upstream_number("e1"): "e1"}.get(number)
 
     def test_unknown_upstreams_and_impossible_paces_are_left_out(self) -> None:
-        told = [
+        records = [
             LongTermPace("e1", 2.0, 1.0),
             LongTermPace("e2", 2.0, 1.0),
             LongTermPace("e1", float("nan"), 1.0),
             LongTermPace("e1", 0.0, 1.0),
             LongTermPace("e1", 1.0, float("inf")),
         ]
-        self.assertEqual(told[:1], unpack_paces(pack_paces(told), self.names))
+        self.assertEqual(records[:1], unpack_paces(pack_paces(records), self.names))
 
     def test_a_page_is_bounded(self) -> None:
-        told = [LongTermPace("e1", 2.0, 1.0)] * (MOST_PACES + 5)
-        page = pack_paces(told)
+        records = [LongTermPace("e1", 2.0, 1.0)] * (MOST_PACES + 5)
+        page = pack_paces(records)
         self.assertEqual(MOST_PACES, len(unpack_paces(page, self.names)))
         for wrong in (page + page[:16], page[:-1]):
             with self.assertRaises(MalformedFrameError):
--- a/tests/scheduling/test_placement_client.py
+++ b/tests/scheduling/test_placement_client.py
@@ -51,7 +51,7 @@
         )
         self.numbers = itertools.count(1)
 
-    def make(self) -> PlacementAsk:
+    def make_ask(self) -> PlacementAsk:
         return replace(ASK, request=next(self.numbers))
 
     def send(self, ask: PlacementAsk, address: str) -> None:
@@ -62,7 +62,7 @@
             asyncio.get_running_loop().call_soon(self.client.receive, answer)
 
     async def test_the_first_scheduler_of_the_own_hall_is_asked(self) -> None:
-        answer = await self.client.ask(self.make)
+        answer = await self.client.ask(self.make_ask)
         assert answer is not None
         first = self.schedulers.in_order(0.0, 1)[0]
         self.assertEqual(self.membership.own.hall, first.hall)
@@ -71,7 +71,7 @@
 
     async def test_requests_are_spread_over_the_schedulers_of_the_hall(self) -> None:
         for _ in range(10):
-            await self.client.ask(self.make)
+            await self.client.ask(self.make_ask)
         counts = Counter(name for name, _ in self.asked)
         self.assertEqual([5, 5], sorted(counts.values()))
         for name, number in self.asked:
@@ -83,7 +83,7 @@
             None if name == first.name else PlacementAnswer(name, ask.request, "b1")
         )
         for _ in range(3):
-            answer = await self.client.ask(self.make)
+            answer = await self.client.ask(self.make_ask)
             assert answer is not None
             self.assertEqual(second.name, answer.sender)
         self.assertEqual([first.name, *[second.name] * 3], [name for name, _ in self.asked])
@@ -93,14 +93,14 @@
         self.answering = lambda name, ask: PlacementAnswer(
             name, ask.request, *(("", UNREADY) if name == first.name else ("b1",))
         )
-        answer = await self.client.ask(self.make)
+        answer = await self.client.ask(self.make_ask)
         assert answer is not None
         self.assertEqual(second.name, answer.sender)
         self.assertEqual(0, self.client.unanswered)
 
     async def test_without_any_answer_the_gateway_decides_alone(self) -> None:
         self.answering = lambda name, ask: None
-        self.assertIsNone(await self.client.ask(self.make))
+        self.assertIsNone(await self.client.ask(self.make_ask))
         asked = [name for name, _ in self.asked]
         self.assertEqual(3, len(set(asked)))
         halls = {state.hall for name in asked if (state := self.membership.find(name))}
@@ -113,14 +113,14 @@
             answers.append(PlacementAnswer(name, ask.request, "b0"))
 
         self.answering = keep
-        self.assertIsNone(await self.client.ask(self.make))
+        self.assertIsNone(await self.client.ask(self.make_ask))
         for answer in answers:
             self.client.receive(answer)
         self.assertEqual([1, 2, 3], self.late)
 
     async def test_an_answer_to_a_client_that_has_left_is_given_up(self) -> None:
         self.answering = lambda name, ask: None
-        task = asyncio.ensure_future(self.client.ask(self.make))
+        task = asyncio.ensure_future(self.client.ask(self.make_ask))
         await asyncio.sleep(0)
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
--- a/tests/scheduling/test_waiting_desk.py
+++ b/tests/scheduling/test_placement_responder.py
@@ -30,7 +30,7 @@
 from lotushill.scheduling.shared_load import SharedLoad
 from lotushill.views.upstream_view import UpstreamView
 from lotushill.waiting.admission_queue import AdmissionQueue
-from lotushill.waiting.entry import EXPIRY_SECONDS
+from lotushill.waiting.entry import ENTRY_EXPIRY_SECONDS
 from lotushill.waiting.queued_requests import QueuedRequests
 from lotushill.waiting.slot_turns import RemoteQueues
 from tests.waiting.entries import SERVICE
@@ -63,17 +63,22 @@
     def __init__(self) -> None:
         self.now = START
         self.sent: list[tuple[PlacementAnswer, str]] = []
-        self.told: list[WaitingNews] = []
+        self.updates: list[WaitingNews] = []
         self.ready = True
         self.fleet = filled_fleet(START)
         self.load = SharedLoad("s0", self.fleet, self.clock, lambda _: SERVICE, lambda _: None)
-        self.line = AdmissionQueue(self.fleet, RemoteQueues("s0"))
-        self.keeper = QueueRunner(
-            "s0", self.line, lambda _: SERVICE, lambda _: UPSTREAMS, self.told.append, self.clock
+        self.queue = AdmissionQueue(self.fleet, RemoteQueues("s0"))
+        self.runner = QueueRunner(
+            "s0",
+            self.queue,
+            lambda _: SERVICE,
+            lambda _: UPSTREAMS,
+            self.updates.append,
+            self.clock,
         )
-        self.desk = PlacementResponder(
+        self.responder = PlacementResponder(
             "s0", self.fleet, self.load, lambda _: SERVICE, lambda _: UPSTREAMS,
-            lambda: self.ready, StatedLimits(), self.keeper,
+            lambda: self.ready, StatedLimits(), self.runner,
             lambda answer, name: self.sent.append((answer, name)),
         )  # fmt: skip
 
@@ -85,15 +90,15 @@
         self.fleet.end(Ended(number), self.now)
 
     def answer(self, item: PlacementAsk) -> PlacementAnswer:
-        return self.desk.answer(item, self.now)
+        return self.responder.answer(item, self.now)
 
-    def look(self, seconds: float = 0.01) -> None:
+    def process(self, seconds: float = 0.01) -> None:
         """Advance the clock and process the queue."""
         self.now += seconds
-        self.keeper.process_due()
+        self.runner.process_due()
 
 
-class TestDesk(unittest.TestCase):
+class TestPlacementResponder(unittest.TestCase):
     def setUp(self) -> None:
         self.scheduler = Scheduler()
 
@@ -101,10 +106,10 @@
         held = self.scheduler.answer(ask(1))
         self.assertEqual((HELD, ""), (held.refusal, held.upstream))
         self.assertGreater(held.retry_after, 0.1)
-        self.scheduler.look()
+        self.scheduler.process()
         self.assertEqual([], self.scheduler.sent)
         self.scheduler.end(1_003)
-        self.scheduler.look()
+        self.scheduler.process()
         answer, name = self.scheduler.sent[0]
         self.assertEqual((1, "e0", "gw"), (answer.request, answer.upstream, name))
         self.assertTrue(self.scheduler.fleet.is_running(1), "the model contains the request")
@@ -112,16 +117,16 @@
     def test_a_query_without_waits_is_answered_at_once(self) -> None:
         answer = self.scheduler.answer(replace(ask(1), waits=False))
         self.assertNotEqual(HELD, answer.refusal)
-        self.assertEqual(0, len(self.scheduler.line.requests))
+        self.assertEqual(0, len(self.scheduler.queue.requests))
 
     def test_an_answer_that_may_be_lost_is_repeated_and_counted_once(self) -> None:
         self.scheduler.answer(ask(1))
         self.scheduler.end(1_003)
         self.scheduler.end(1_004)
-        self.scheduler.look()
+        self.scheduler.process()
         again = self.scheduler.answer(ask(1, 0.2))
         self.assertEqual(self.scheduler.sent[0][0], again)
-        self.scheduler.look()
+        self.scheduler.process()
         self.assertEqual(1, len(self.scheduler.sent))
         self.assertEqual(3, len(self.scheduler.fleet.load("e0").running))
 
@@ -129,27 +134,27 @@
         self.scheduler.answer(ask(1))
         self.scheduler.answer(replace(ask(1), leaves=True))
         self.scheduler.end(1_003)
-        self.scheduler.look()
+        self.scheduler.process()
         self.assertEqual([], self.scheduler.sent)
 
     def test_requests_of_a_gateway_that_has_left_are_not_placed(self) -> None:
         self.scheduler.answer(ask(1))
         self.scheduler.answer(ask(2))
-        self.scheduler.keeper.drop_gateway("gw")
+        self.scheduler.runner.drop_gateway("gw")
         self.scheduler.end(1_003)
-        self.scheduler.look()
-        self.assertEqual(([], 0), (self.scheduler.sent, len(self.scheduler.line.requests)))
+        self.scheduler.process()
+        self.assertEqual(([], 0), (self.scheduler.sent, len(self.scheduler.queue.requests)))
 
     def test_a_request_without_renewal_expires(self) -> None:
         """If its gateway was killed or cut off, a slot would be reserved for no one."""
         self.scheduler.answer(ask(1))
-        self.scheduler.now += EXPIRY_SECONDS + 0.1
+        self.scheduler.now += ENTRY_EXPIRY_SECONDS + 0.1
         self.scheduler.end(1_003)
-        self.scheduler.look()
+        self.scheduler.process()
         self.assertEqual([], self.scheduler.sent)
 
     def test_a_request_is_refused_at_once_when_the_queue_is_full(self) -> None:
-        self.scheduler.line.requests = QueuedRequests(max_requests=1)
+        self.scheduler.queue.requests = QueuedRequests(max_requests=1)
         self.assertEqual(HELD, self.scheduler.answer(ask(1)).refusal)
         self.assertNotIn(self.scheduler.answer(ask(2)).refusal, ("", HELD))
 
@@ -159,14 +164,14 @@
 
     def test_updates_are_sent_while_requests_wait_and_once_when_none_does(self) -> None:
         self.scheduler.answer(ask(1))
-        self.scheduler.look()
-        self.scheduler.look()
-        self.assertEqual([WaitingNews("s0", "llm", (0,), (1,))], self.scheduler.told)
+        self.scheduler.process()
+        self.scheduler.process()
+        self.assertEqual([WaitingNews("s0", "llm", (0,), (1,))], self.scheduler.updates)
         self.scheduler.end(1_003)
-        self.scheduler.look()
-        self.scheduler.look(0.1)
-        self.assertEqual(WaitingNews("s0", "llm", (), ()), self.scheduler.told[-1])
-        self.assertEqual(2, len(self.scheduler.told))
+        self.scheduler.process()
+        self.scheduler.process(0.1)
+        self.assertEqual(WaitingNews("s0", "llm", (), ()), self.scheduler.updates[-1])
+        self.assertEqual(2, len(self.scheduler.updates))
 
 
 class FakeRequest:
@@ -189,7 +194,7 @@
         self.placer = Placer(
             "s0", self.scheduler.fleet, self.scheduler.load, view, random.Random(1),
             self.scheduler.clock, BarredUpstreams(Cooldowns(), Denials()), StatedLimits(),
-            queue_runner=self.scheduler.keeper,
+            queue_runner=self.scheduler.runner,
         )  # fmt: skip
 
     async def start(self) -> asyncio.Task[Placement | NoChoice]:
@@ -197,16 +202,16 @@
         request = cast("Request", FakeRequest())
         task = asyncio.create_task(self.placer.place(request, frozenset(), False))
         await asyncio.sleep(0)
-        self.assertEqual(1, len(self.scheduler.line.requests))
+        self.assertEqual(1, len(self.scheduler.queue.requests))
         return task
 
     async def test_an_own_request_is_queued_and_placed(self) -> None:
         task = await self.start()
         self.scheduler.end(1_003)
-        self.scheduler.look()
-        found = await task
-        assert isinstance(found, Placement)
-        self.assertEqual("e0", found.choice.upstream.id)
+        self.scheduler.process()
+        result = await task
+        assert isinstance(result, Placement)
+        self.assertEqual("e0", result.choice.upstream.id)
 
     async def test_two_queued_requests_do_not_get_the_same_slot(self) -> None:
         first, second = await self.start(), None
@@ -214,11 +219,11 @@
         second = asyncio.create_task(self.placer.place(request, frozenset(), False))
         await asyncio.sleep(0)
         self.scheduler.end(1_003)
-        self.scheduler.look()
-        found = await first
-        assert isinstance(found, Placement)
-        self.scheduler.load.start(found.placed, SERVICE)
-        self.scheduler.look()
+        self.scheduler.process()
+        result = await first
+        assert isinstance(result, Placement)
+        self.scheduler.load.start(result.placed, SERVICE)
+        self.scheduler.process()
         self.assertFalse(second.done())
         second.cancel()
 
@@ -226,11 +231,11 @@
         task = await self.start()
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        self.assertEqual(0, len(self.scheduler.line.requests))
+        self.assertEqual(0, len(self.scheduler.queue.requests))
 
     async def test_an_own_request_is_refused_when_its_client_would_give_up(self) -> None:
         task = await self.start()
-        self.scheduler.look(chat().first_event_timeout + 0.1)
-        found = await task
-        assert isinstance(found, NoChoice)
-        self.assertTrue(found.final)
+        self.scheduler.process(chat().first_event_timeout + 0.1)
+        result = await task
+        assert isinstance(result, NoChoice)
+        self.assertTrue(result.final)
--- a/tests/scheduling/test_placer.py
+++ b/tests/scheduling/test_placer.py
@@ -47,14 +47,14 @@
 )  # fmt: skip
 
 
-class AskingOnly:
+class FakeSchedulers:
     """Fake schedulers; this gateway is not one of them."""
 
     def schedules(self) -> bool:
         return False
 
 
-class Client:
+class FakeClient:
     """Fake client whose schedulers answer with the first upstream not excluded, or not at all."""
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
     ends = 105.0
 
 
-class TestRests(unittest.IsolatedAsyncioTestCase):
+class TestBarredUpstreams(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.now = 100.0
         self.knows_fleet = True
@@ -89,7 +89,7 @@
         fleet = Fleet("h0")
         self.rests = Cooldowns()
         self.denials = Denials()
-        self.client = Client()
+        self.client = FakeClient()
         load = SharedLoad("gw", fleet, lambda: self.now, lambda _: SERVICE, lambda _: None)
         self.placer = Placer(
             "gw",
@@ -100,12 +100,12 @@
             lambda: self.now,
             BarredUpstreams(self.rests, self.denials),
             StatedLimits(),
-            cast("Schedulers", AskingOnly()),
+            cast("Schedulers", FakeSchedulers()),
             cast("PlacementClient", self.client),
             lambda: self.knows_fleet,
         )
 
-    def ask_for_rest(self, *names: str, seconds: float = 3.0) -> None:
+    def start_cooldowns(self, *names: str, seconds: float = 3.0) -> None:
         for name in names:
             self.rests.note_requested(name, seconds, self.now)
 
@@ -114,21 +114,21 @@
         return await self.placer.place(request, frozenset(), False)
 
     async def test_upstreams_in_cooldown_are_excluded_from_the_query(self) -> None:
-        self.ask_for_rest("e0", "e1", "e2")
-        found = await self.place()
-        assert isinstance(found, Placement)
-        self.assertEqual("e3", found.choice.upstream.id)
+        self.start_cooldowns("e0", "e1", "e2")
+        result = await self.place()
+        assert isinstance(result, Placement)
+        self.assertEqual("e3", result.choice.upstream.id)
         self.assertEqual({"e0", "e1", "e2"}, set(self.client.asks[0].excluded))
 
     async def test_upstreams_in_cooldown_are_not_chosen_without_a_scheduler(self) -> None:
         self.client.silent = True
         names = [item.id for item in UPSTREAMS[:9]]
-        self.ask_for_rest(*names)
+        self.start_cooldowns(*names)
         for _ in range(50):
-            found = await self.place()
-            assert isinstance(found, Placement)
-            self.assertTrue(found.alone)
-            self.assertNotIn(found.choice.upstream.id, names)
+            result = await self.place()
+            assert isinstance(result, Placement)
+            self.assertTrue(result.alone)
+            self.assertNotIn(result.choice.upstream.id, names)
 
     async def test_a_gateway_that_has_just_started_spreads_its_requests(self) -> None:
         """Its model is empty: by this model, every gateway would choose the same upstream."""
@@ -136,41 +136,41 @@
         self.knows_fleet = False
         taken = set()
         for _ in range(len(UPSTREAMS)):
-            found = await self.place()
-            assert isinstance(found, Placement)
-            self.assertTrue(found.drawn)
-            taken.add(found.choice.upstream.id)
+            result = await self.place()
+            assert isinstance(result, Placement)
+            self.assertTrue(result.drawn)
+            taken.add(result.choice.upstream.id)
         self.assertGreater(len(taken), len(UPSTREAMS) // 2)
 
     async def test_with_all_in_cooldown_the_first_end_is_given_without_a_query(self) -> None:
-        self.ask_for_rest(*(item.id for item in UPSTREAMS[1:]), seconds=9.0)
-        self.ask_for_rest("e0", seconds=2.0)
+        self.start_cooldowns(*(item.id for item in UPSTREAMS[1:]), seconds=9.0)
+        self.start_cooldowns("e0", seconds=2.0)
         self.now += 0.5
-        found = await self.place()
-        assert isinstance(found, NoChoice)
-        self.assertEqual((Refusal.RESTING, 1.5), (found.refusal, found.retry_after))
+        result = await self.place()
+        assert isinstance(result, NoChoice)
+        self.assertEqual((Refusal.RESTING, 1.5), (result.refusal, result.retry_after))
         self.assertEqual([], self.client.asks)
 
     async def test_an_upstream_is_chosen_again_after_its_cooldown(self) -> None:
-        self.ask_for_rest("e0", seconds=2.0)
+        self.start_cooldowns("e0", seconds=2.0)
         self.now += 2.0
-        found = await self.place()
-        assert isinstance(found, Placement)
-        self.assertEqual("e0", found.choice.upstream.id)
+        result = await self.place()
+        assert isinstance(result, Placement)
+        self.assertEqual("e0", result.choice.upstream.id)
 
     async def test_an_upstream_without_a_permit_is_excluded_for_its_rank_and_later_ones(
         self,
     ) -> None:
         self.denials.note_denied("e1", "r", 1, self.now + 2.0)
         self.denials.note_denied("e0", "r", 0, self.now + 2.0)
-        found = await self.place()
-        assert isinstance(found, Placement)
-        self.assertEqual("e1", found.choice.upstream.id)
+        result = await self.place()
+        assert isinstance(result, Placement)
+        self.assertEqual("e1", result.choice.upstream.id)
         self.assertEqual({"e0"}, set(self.client.asks[0].excluded))
 
     async def test_with_some_limited_and_others_in_cooldown_the_first_end_is_given(self) -> None:
-        self.ask_for_rest(*(item.id for item in UPSTREAMS[1:]), seconds=9.0)
+        self.start_cooldowns(*(item.id for item in UPSTREAMS[1:]), seconds=9.0)
         self.denials.note_denied("e0", "r", 0, self.now + 2.0)
-        found = await self.place()
-        assert isinstance(found, NoChoice)
-        self.assertEqual((Refusal.LIMITED, 2.0), (found.refusal, found.retry_after))
+        result = await self.place()
+        assert isinstance(result, NoChoice)
+        self.assertEqual((Refusal.LIMITED, 2.0), (result.refusal, result.retry_after))
--- a/tests/scheduling/test_waiting_client.py
+++ b/tests/scheduling/test_queueing_client.py
@@ -22,34 +22,36 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-RENEW = 0.02
+RENEW_SECONDS = 0.02
 
 
-class Holder:
+class FakeScheduler:
     """Fake scheduler that queues each request until `place` is called."""
 
     def __init__(self, name: str, answer: Callable[[PlacementAnswer], None]) -> None:
         self.name = name
         self.asks: list[PlacementAsk] = []
-        self.left: list[int] = []
+        self.left_requests: list[int] = []
         self.silent = False
         self.places_after = 10**6
         """Number of queries answered as queued before a request is placed."""
         self.grants: dict[int, PlacementAnswer] = {}
         self._answer = answer
 
-    def take(self, ask: PlacementAsk) -> None:
+    def handle(self, ask: PlacementAsk) -> None:
         """Handle a query; one for a placed request is answered with the same placement again."""
         if self.silent:
             return
         if ask.leaves:
-            self.left.append(ask.request)
+            self.left_requests.append(ask.request)
             return
         self.asks.append(ask)
         if ask.request in self.grants or len(self.asks) > self.places_after:
             self.place(ask.request)
         else:
-            self._answer(PlacementAnswer(self.name, ask.request, refusal=HELD, retry_after=RENEW))
+            self._answer(
+                PlacementAnswer(self.name, ask.request, refusal=HELD, retry_after=RENEW_SECONDS)
+            )
 
     def place(self, request: int, lost: bool = False) -> None:
         """Place a request; drop the answer if `lost` is true."""
@@ -69,46 +71,49 @@
         )
         self.numbers = itertools.count(1)
         self.arrived = asyncio.get_event_loop().time()
-        self.holders = {
-            item.address: Holder(item.name, self.answer) for item in self.membership.live()
+        self.schedulers_by_address = {
+            item.address: FakeScheduler(item.name, self.answer) for item in self.membership.live()
         }
         first, second, *_ = self.schedulers.in_order(0.0, 1)
-        self.first, self.second = self.holders[first.address], self.holders[second.address]
+        self.first, self.second = (
+            self.schedulers_by_address[first.address],
+            self.schedulers_by_address[second.address],
+        )
 
     def send(self, ask: PlacementAsk, address: str) -> None:
-        self.holders[address].take(ask)
+        self.schedulers_by_address[address].handle(ask)
 
     def answer(self, answer: PlacementAnswer) -> None:
         asyncio.get_running_loop().call_soon(self.client.receive, answer)
 
-    def make(self) -> PlacementAsk:
+    def make_ask(self) -> PlacementAsk:
         waited = asyncio.get_running_loop().time() - self.arrived
         return replace(ASK, request=next(self.numbers), waits=True, waited=waited)
 
     async def start(self) -> asyncio.Task[PlacementAnswer | None]:
         """Start a request and return once it is queued at the first scheduler."""
-        task = asyncio.create_task(self.client.ask(self.make))
+        task = asyncio.create_task(self.client.ask(self.make_ask))
         while not self.first.asks:
             await asyncio.sleep(0)
         return task
 
     async def test_a_queued_request_is_placed_as_soon_as_a_slot_is_free(self) -> None:
         task = await self.start()
-        await asyncio.sleep(RENEW / 2)
+        await asyncio.sleep(RENEW_SECONDS / 2)
         self.first.place(1)
         answer = await task
         assert answer is not None
         self.assertEqual(("b0", [1]), (answer.upstream, [ask.request for ask in self.first.asks]))
-        self.assertEqual([], self.late + self.first.left)
+        self.assertEqual([], self.late + self.first.left_requests)
 
     async def test_renewals_carry_the_number_and_the_time_waited(self) -> None:
         self.first.places_after = 3
-        answer = await self.client.ask(self.make)
+        answer = await self.client.ask(self.make_ask)
         assert answer is not None
         self.assertEqual([1, 1, 1, 1], [ask.request for ask in self.first.asks])
         waited = [ask.waited for ask in self.first.asks]
         self.assertEqual(sorted(waited), waited)
-        self.assertGreater(waited[-1], 2 * RENEW)
+        self.assertGreater(waited[-1], 2 * RENEW_SECONDS)
 
     async def test_a_lost_scheduler_is_passed_over_and_the_time_waited_is_kept(self) -> None:
         """Killed, frozen or cut off: in each case the scheduler no longer answers."""
@@ -118,7 +123,7 @@
         answer = await asyncio.wait_for(task, 1.0)
         assert answer is not None
         self.assertEqual(self.second.name, answer.sender)
-        self.assertGreater(self.second.asks[0].waited, RENEW)
+        self.assertGreater(self.second.asks[0].waited, RENEW_SECONDS)
         self.assertNotEqual(1, answer.request, "a later placement by the first must differ")
 
     async def test_a_late_placement_by_a_frozen_scheduler_is_given_up(self) -> None:
@@ -128,13 +133,13 @@
         await task
         self.late.clear()
         self.first.place(1)
-        await asyncio.sleep(RENEW)
+        await asyncio.sleep(RENEW_SECONDS)
         self.assertEqual([1], self.late)
 
     async def test_one_lost_datagram_costs_no_place(self) -> None:
         task = await self.start()
         self.first.silent = True
-        await asyncio.sleep(RENEW * 1.5)
+        await asyncio.sleep(RENEW_SECONDS * 1.5)
         self.first.silent = False
         self.first.places_after = 0
         answer = await task
@@ -157,13 +162,13 @@
         answer = await task
         assert answer is not None
         self.client.receive(self.first.grants[1])
-        await asyncio.sleep(RENEW)
+        await asyncio.sleep(RENEW_SECONDS)
         self.assertEqual([], self.late, "the request runs and must not be ended")
 
     async def test_a_placement_right_after_the_queued_answer_is_not_missed(self) -> None:
-        task = asyncio.create_task(self.client.ask(self.make))
+        task = asyncio.create_task(self.client.ask(self.make_ask))
         await asyncio.sleep(0)
-        self.client.receive(PlacementAnswer("any", 1, refusal=HELD, retry_after=RENEW))
+        self.client.receive(PlacementAnswer("any", 1, refusal=HELD, retry_after=RENEW_SECONDS))
         self.client.receive(PlacementAnswer("any", 1, "b0"))
         answer = await task
         assert answer is not None
@@ -171,10 +176,10 @@
 
     async def test_the_queue_entry_is_given_up_when_the_client_leaves(self) -> None:
         task = await self.start()
-        await asyncio.sleep(RENEW / 2)
+        await asyncio.sleep(RENEW_SECONDS / 2)
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
             await task
-        self.assertEqual([1], self.first.left)
+        self.assertEqual([1], self.first.left_requests)
         self.assertEqual([1], self.late)
         self.assertEqual(0, self.client.waiting)
--- a/tests/scheduling/test_lives.py
+++ b/tests/scheduling/test_upstream_incarnations.py
@@ -31,7 +31,7 @@
 SERVICE = Service("llm", 50, EngineProfile(8, 100_000, 1))
 
 
-def life(born: int, address: str = "10.0.0.1:80", state: str = "ready") -> list:  # type: ignore[type-arg]
+def incarnation(born: int, address: str = "10.0.0.1:80", state: str = "ready") -> list:  # type: ignore[type-arg]
     return [parse_upstream("i-1", entry("llm", address, born=born, state=state))]
 
 
@@ -39,7 +39,7 @@
     return Placed(number, upstream, 500, 900, 0.2, 2.0, 0.0, (7,), (500,))
 
 
-class TestNews(unittest.TestCase):
+class TestUpdates(unittest.TestCase):
     """One gateway receives the updates of another while the upstream ends and starts again."""
 
     def setUp(self) -> None:
@@ -50,18 +50,18 @@
             "gw-1", self.fleet, lambda: self.now, lambda _: SERVICE, lambda _: None
         )
 
-    def hear(self, load: Load) -> None:
+    def receive_packed(self, load: Load) -> None:
         for item in unpack(pack(load), self.view.id_of):
             self.shared.receive(item)
 
     def test_late_updates_on_a_former_incarnation_do_not_affect_the_new_one(self) -> None:
-        self.view.replace(life(1), 1)
-        self.hear(Load("gw-2", False, placed=(placed(1, "i-1@1"),)))
+        self.view.replace(incarnation(1), 1)
+        self.receive_packed(Load("gw-2", False, placed=(placed(1, "i-1@1"),)))
         self.assertEqual(1, len(self.fleet.load("i-1@1").running))
-        self.view.replace(life(2), 2)
+        self.view.replace(incarnation(2), 2)
         late = Load("gw-2", False, placed=(placed(2, "i-1@1"),), began=(Began(1, 0.1),))
-        self.hear(late)
-        self.hear(Load("gw-2", False, ended=(Ended(1, Outcome.CUT, 1.0),)))
+        self.receive_packed(late)
+        self.receive_packed(Load("gw-2", False, ended=(Ended(1, Outcome.CUT, 1.0),)))
         new = self.fleet.load("i-1@2")
         self.assertEqual(({}, 0), (new.running, new.reserved_tokens))
         self.assertEqual(Fleet("z").load("x").failures.rate(10.0), new.failures.rate(10.0))
@@ -72,7 +72,7 @@
     ) -> None:
         self.setUp()
         rng = random.Random(seed)
-        self.view.replace(life(2), 2)
+        self.view.replace(incarnation(2), 2)
         loads = []
         for number in range(count):
             upstream = rng.choice(("i-1@1", "i-1@2"))
@@ -82,13 +82,15 @@
         lost = rng.randrange(len(loads))
         for index, load in enumerate(loads):
             if index != lost:
-                self.hear(load)
+                self.receive_packed(load)
         held = len(self.fleet.load("i-1@2").running)
         self.assertIn(held, (sent, sent - 1))
         self.assertEqual(0, len(self.fleet.load("i-1@1").running))
 
     def test_an_upstream_that_drained_ended_and_restarted_is_eligible_at_once(self) -> None:
-        for revision, upstreams in enumerate((life(1), life(1, state="draining"), [], life(2))):
+        for revision, upstreams in enumerate(
+            (incarnation(1), incarnation(1, state="draining"), [], incarnation(2))
+        ):
             self.view.replace(upstreams, revision)
         self.assertEqual(["i-1@2"], [item.id for item in self.view.of("llm")])
 
@@ -101,7 +103,7 @@
         server = ScriptedUpstream([whole])
         await server.start()
         pool = UpstreamPool(request_head.answered_id)
-        (first,), (second,) = life(1, server.address), life(2, server.address)
+        (first,), (second,) = incarnation(1, server.address), incarnation(2, server.address)
         connection = await pool.acquire(first)
         connection.send("r", b"POST", b"POST / HTTP/1.1\r\nattempt-id: r\r\n\r\n")
         await connection.read_head()
--- a/tests/scheduling/virtual_fleet.py
+++ b/tests/scheduling/virtual_fleet.py
@@ -28,7 +28,7 @@
 
 SERVICE = Service("llm", 1300, EngineProfile(24, 478_000, 7))
 HALLS = 6
-NEWS_SECONDS = 0.025
+UPDATE_DELAY_SECONDS = 0.025
 """Delay until other schedulers receive an update: a batch interval and the network transit."""
 EVENT_SECONDS = 0.03
 EVENTS = 40
@@ -57,7 +57,7 @@
     hall: str
     fleet: Fleet
     load: SharedLoad
-    desk: PlacementResponder
+    responder: PlacementResponder
 
 
 class VirtualFleet:
@@ -101,15 +101,15 @@
     def _add_scheduler(self, name: str, hall: str) -> None:
         fleet = Fleet(hall)
 
-        def tell(load: Load) -> None:
+        def publish(load: Load) -> None:
             for other in self.schedulers:
                 if other.name != name:
-                    self._later(NEWS_SECONDS, lambda other=other: other.load.receive(load))  # type: ignore[misc]
+                    self._later(UPDATE_DELAY_SECONDS, lambda other=other: other.load.receive(load))  # type: ignore[misc]
 
-        def is_near(sender: str) -> bool:
+        def is_same_hall(sender: str) -> bool:
             return sender.endswith(f"@{hall}")
 
-        load = SharedLoad(name, fleet, lambda: self.now, lambda _: SERVICE, tell, is_near)
+        load = SharedLoad(name, fleet, lambda: self.now, lambda _: SERVICE, publish, is_same_hall)
         desk = PlacementResponder(
             name,
             fleet,
@@ -133,34 +133,39 @@
             sender, number, "llm", "chat", 0.26, 0.15, 10.0, True, False, False,
             826, 200, (shared, own), (198, 628), 1, (),
         )  # fmt: skip
-        answer = scheduler.desk.answer(ask, self.now)
+        answer = scheduler.responder.answer(ask, self.now)
         if answer.upstream:
             self._run(scheduler, sender, number, self.engines[answer.upstream])
 
     def _run(self, scheduler: Scheduler, sender: str, number: int, engine: Engine) -> None:
         """Run a request, and send its updates as its gateway would send them."""
         engine.sent.append(self.now)
-        news = SharedLoad(sender, Fleet(scheduler.hall), lambda: self.now, lambda _: SERVICE,
-                          lambda load: self._tell(scheduler, load))  # fmt: skip
+        gateway_load = SharedLoad(
+            sender,
+            Fleet(scheduler.hall),
+            lambda: self.now,
+            lambda _: SERVICE,
+            lambda load: self._send_update(scheduler, load),
+        )
         placed = scheduler.fleet.running_request(number)
         assert placed is not None
-        news.start(placed, SERVICE, announced=True)
+        gateway_load.start(placed, SERVICE, announced=True)
         if engine.silent:
-            self._later(0.8, lambda: news.end(number, Outcome.FAILED, 0.8))
+            self._later(0.8, lambda: gateway_load.end(number, Outcome.FAILED, 0.8))
             return
         if self.rng.random() < engine.fails:
-            self._later(0.05, lambda: news.end(number, Outcome.FAILED, 0.05))
+            self._later(0.05, lambda: gateway_load.end(number, Outcome.FAILED, 0.05))
             return
         first = FIRST_SECONDS * engine.slow
         pause = EVENT_SECONDS * engine.slow
-        whole = first + EVENTS * pause
-        self._later(first, lambda: news.begin(number, first))
-        self._later(first + 8 * pause, lambda: news.note_paced(number, pause))
-        self._later(whole, lambda: news.end(number, Outcome.WHOLE, whole))
+        total = first + EVENTS * pause
+        self._later(first, lambda: gateway_load.begin(number, first))
+        self._later(first + 8 * pause, lambda: gateway_load.note_paced(number, pause))
+        self._later(total, lambda: gateway_load.end(number, Outcome.WHOLE, total))
 
-    def _tell(self, scheduler: Scheduler, load: Load) -> None:
+    def _send_update(self, scheduler: Scheduler, load: Load) -> None:
         """Send an update to the scheduler of a gateway, which forwards it to the others."""
         self._later(0.001, lambda: scheduler.load.receive(load))
         for other in self.schedulers:
             if other is not scheduler:
-                self._later(NEWS_SECONDS, lambda other=other: other.load.receive(load))  # type: ignore[misc]
+                self._later(UPDATE_DELAY_SECONDS, lambda other=other: other.load.receive(load))  # type: ignore[misc]
--- a/tests/waiting/entries.py
+++ b/tests/waiting/entries.py
@@ -38,9 +38,9 @@
     return Need("llm", "letter", 1.5, 0.5, 10.0, True, tokens, 50, parts, 2)
 
 
-def waiting(key: int, need: Need, since: float = 100.0, asker: str = "gw") -> QueueEntry:
+def queue_entry(key: int, need: Need, arrived_at: float = 100.0, gateway: str = "gw") -> QueueEntry:
     """Return a queue entry that arrived at `since` and has not been renewed."""
-    return QueueEntry(key, need, asker, since, since)
+    return QueueEntry(key, need, gateway, arrived_at, arrived_at)
 
 
 def placed(number: int, upstream: str, need: Need, seconds: float = 2.0) -> Placed:
--- a/tests/waiting/test_line.py
+++ b/tests/waiting/test_admission_queue.py
@@ -25,8 +25,8 @@
 from tests.waiting.entries import filled_fleet
 from tests.waiting.entries import letter
 from tests.waiting.entries import placed
+from tests.waiting.entries import queue_entry
 from tests.waiting.entries import triage
-from tests.waiting.entries import waiting
 
 if TYPE_CHECKING:
     from lotushill.placement.need import Need
@@ -34,7 +34,7 @@
 START = 100.0
 
 
-class LeastFirst:
+class FakeTeamStandings:
     """Fake team shares, by the name of the team."""
 
     def excess_standing(self, need: Need, now: float) -> float:
@@ -42,7 +42,7 @@
         return {"had much": 3.0, "had some": 1.5}.get(need.team, 0.0)
 
 
-class Told:
+class FakePromisedReturns:
     """Fake promised returns: only caller 7 has one."""
 
     def is_due(self, caller: int, now: float) -> bool:
@@ -50,56 +50,58 @@
         return caller == 7
 
 
-class TestLine(unittest.TestCase):
+class TestAdmissionQueue(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = filled_fleet(START)
-        self.line = AdmissionQueue(self.fleet, RemoteQueues("s0"))
+        self.queue = AdmissionQueue(self.fleet, RemoteQueues("s0"))
 
     def place(self, entry: QueueEntry, now: float = START) -> Choice | NoChoice | Queued:
-        return self.line.place(entry, SERVICE, UPSTREAMS, now)
+        return self.queue.place(entry, SERVICE, UPSTREAMS, now)
 
     def due(self, now: float) -> list[tuple[int, bool]]:
         """Return the due keys and whether each was placed; add placed ones to the model."""
-        found = []
-        for entry, answer in self.line.due(SERVICE, UPSTREAMS, now):
+        due_entries = []
+        for entry, answer in self.queue.due(SERVICE, UPSTREAMS, now):
             if isinstance(answer, Choice):
-                told = placed(entry.key, answer.upstream.id, entry.need)
-                self.fleet.start(told, SERVICE, now)
-            found.append((entry.key, isinstance(answer, Choice)))
-        return found
+                message = placed(entry.key, answer.upstream.id, entry.need)
+                self.fleet.start(message, SERVICE, now)
+            due_entries.append((entry.key, isinstance(answer, Choice)))
+        return due_entries
 
     def end(self, number: int, now: float) -> None:
         self.fleet.end(Ended(number), now)
 
     def test_no_request_is_queued_while_engines_have_free_slots(self) -> None:
-        line = AdmissionQueue(Fleet("z"), RemoteQueues("s0"))
-        found = line.place(waiting(1, letter()), SERVICE, UPSTREAMS, START)
-        self.assertIsInstance(found, Choice)
-        self.assertEqual(0, len(line.requests))
+        queue = AdmissionQueue(Fleet("z"), RemoteQueues("s0"))
+        decision = queue.place(queue_entry(1, letter()), SERVICE, UPSTREAMS, START)
+        self.assertIsInstance(decision, Choice)
+        self.assertEqual(0, len(queue.requests))
 
     def test_a_plain_service_has_no_queue(self) -> None:
         plain = Service("app", 100, None)
-        self.assertIsInstance(self.line.place(waiting(1, chat()), plain, UPSTREAMS, START), Choice)
+        self.assertIsInstance(
+            self.queue.place(queue_entry(1, chat()), plain, UPSTREAMS, START), Choice
+        )
 
     def test_a_request_without_a_slot_is_queued_and_placed_when_one_is_free(self) -> None:
-        self.assertIsInstance(self.place(waiting(1, chat())), Queued)
+        self.assertIsInstance(self.place(queue_entry(1, chat())), Queued)
         self.assertEqual([], self.due(START + 0.01))
         self.end(1_003, START + 0.02)
         self.assertEqual([(1, True)], self.due(START + 0.02))
-        self.assertEqual(0, len(self.line.requests))
+        self.assertEqual(0, len(self.queue.requests))
 
     def test_each_slot_is_filled_once(self) -> None:
         for key in range(1, 6):
-            self.place(waiting(key, chat()))
+            self.place(queue_entry(key, chat()))
         self.end(1_003, START + 0.02)
         self.end(1_004, START + 0.02)
         self.assertEqual([(1, True), (2, True)], self.due(START + 0.02))
         self.assertEqual([], self.due(START + 0.03))
 
     def test_requests_are_ordered_by_tier_and_then_by_arrival(self) -> None:
-        self.place(waiting(1, triage(), START))
-        self.place(waiting(2, chat(), START + 0.02), START + 0.02)
-        self.place(waiting(3, chat(), START + 0.01), START + 0.02)
+        self.place(queue_entry(1, triage(), START))
+        self.place(queue_entry(2, chat(), START + 0.02), START + 0.02)
+        self.place(queue_entry(3, chat(), START + 0.01), START + 0.02)
         for number in (1_002, 1_003, 1_004):
             self.end(number, START + 0.03)
         self.assertEqual([3, 2, 1], [key for key, _ in self.due(START + 0.03)])
@@ -107,22 +109,24 @@
     def test_a_short_request_is_sent_to_an_engine_queue_if_on_time_there(self) -> None:
         """In the queue it would get a free slot later than in the engine that frees it."""
         slow = replace(chat(), target=60.0)
-        self.assertIsInstance(self.place(waiting(1, slow)), Choice)
-        self.assertIsInstance(self.place(waiting(2, chat())), Queued)
+        self.assertIsInstance(self.place(queue_entry(1, slow)), Choice)
+        self.assertIsInstance(self.place(queue_entry(2, chat())), Queued)
         later = START + 0.01
-        found = self.place(waiting(3, slow, later), later)
-        self.assertIsInstance(found, Queued, "it must not overtake the queued request")
+        decision = self.place(queue_entry(3, slow, later), later)
+        self.assertIsInstance(decision, Queued, "it must not overtake the queued request")
 
     def test_a_new_request_does_not_overtake_queued_ones(self) -> None:
-        self.place(waiting(1, chat()))
+        self.place(queue_entry(1, chat()))
         self.end(1_003, START + 0.02)
-        self.assertIsInstance(self.place(waiting(2, chat(), START + 0.02), START + 0.02), Queued)
+        self.assertIsInstance(
+            self.place(queue_entry(2, chat(), START + 0.02), START + 0.02), Queued
+        )
         self.assertEqual([(1, True)], self.due(START + 0.03))
 
     def test_requests_that_can_be_on_time_precede_late_ones(self) -> None:
-        self.place(waiting(1, chat(), START))
+        self.place(queue_entry(1, chat(), START))
         late = START + 0.7
-        self.place(waiting(2, chat(), late), late)
+        self.place(queue_entry(2, chat(), late), late)
         self.end(1_003, late)
         self.assertEqual([(2, True)], self.due(late))
 
@@ -134,85 +138,85 @@
         ):
             with self.subTest(first=first):
                 self.fleet = filled_fleet(START)
-                line = self.line = AdmissionQueue(
-                    self.fleet, RemoteQueues("s0"), LeastFirst(), Told()
+                queue = self.queue = AdmissionQueue(
+                    self.fleet, RemoteQueues("s0"), FakeTeamStandings(), FakePromisedReturns()
                 )
                 for key, need in enumerate(needs):
-                    line.place(waiting(key, need), SERVICE, UPSTREAMS, START)
+                    queue.place(queue_entry(key, need), SERVICE, UPSTREAMS, START)
                 for number in (1_002, 1_003, 1_004):
                     self.end(number, START + 0.01)
                 order = [key for key, _ in self.due(START + 0.01)]
                 self.assertEqual([first, 3 - first, 0], order)
 
     def test_a_long_request_is_refused_as_soon_as_it_cannot_be_on_time(self) -> None:
-        entry = waiting(1, letter())
+        entry = queue_entry(1, letter())
         self.assertIsInstance(self.place(entry), Queued)
         target = START + entry.need.target
         self.assertEqual([], self.due(target - 0.5))
         self.assertEqual([(1, False)], self.due(target))
-        self.assertEqual(0, len(self.line.requests))
+        self.assertEqual(0, len(self.queue.requests))
 
     def test_a_short_request_is_queued_as_long_as_its_client_waits(self) -> None:
-        entry = waiting(1, chat())
+        entry = queue_entry(1, chat())
         self.place(entry)
         self.assertEqual([], self.due(START + 1.0))
         self.assertEqual([(1, False)], self.due(START + entry.need.first_event_timeout))
 
     def test_a_refusal_after_a_wait_is_final(self) -> None:
-        self.place(waiting(1, letter()))
-        for _, found in self.line.due(SERVICE, UPSTREAMS, START + 2.0):
-            assert isinstance(found, NoChoice)
-            self.assertTrue(found.final)
-            self.assertGreaterEqual(found.retry_after, 1.0)
+        self.place(queue_entry(1, letter()))
+        for _, decision in self.queue.due(SERVICE, UPSTREAMS, START + 2.0):
+            assert isinstance(decision, NoChoice)
+            self.assertTrue(decision.final)
+            self.assertGreaterEqual(decision.retry_after, 1.0)
 
     def test_a_long_request_behind_a_long_queue_is_refused_at_once(self) -> None:
         for key in range(5):
-            self.place(waiting(key, letter()))
-        found = self.place(waiting(9, letter()))
-        assert isinstance(found, NoChoice)
-        self.assertTrue(found.final)
+            self.place(queue_entry(key, letter()))
+        decision = self.place(queue_entry(9, letter()))
+        assert isinstance(decision, NoChoice)
+        self.assertTrue(decision.final)
 
     def test_an_urgent_request_is_not_refused_while_larger_ones_begin(self) -> None:
         now = START + 1.0
         for key in range(60):
             came = START + key / 60
-            self.place(waiting(key, chat(), came), came)
-        self.assertIsInstance(self.place(waiting(90, chat(), now), now), NoChoice)
+            self.place(queue_entry(key, chat(), came), came)
+        self.assertIsInstance(self.place(queue_entry(90, chat(), now), now), NoChoice)
         self.end(1_002, now)
         self.fleet.start(placed(2_000, "e0", letter()), SERVICE, now)
-        self.assertIsInstance(self.place(waiting(91, chat(), now), now), Queued)
+        self.assertIsInstance(self.place(queue_entry(91, chat(), now), now), Queued)
 
     def test_a_request_that_waited_in_an_engine_counts_from_its_first_event(self) -> None:
         """Counted from when it was sent, six seconds ago, it would no longer count as just begun.
 
         Urgent requests would then be refused although the larger one has begun.
         """
-        told = replace(placed(2_000, "e0", letter()), began=False)
-        self.fleet.start(told, SERVICE, START - 6.0)
+        message = replace(placed(2_000, "e0", letter()), began=False)
+        self.fleet.start(message, SERVICE, START - 6.0)
         self.assertFalse(self.fleet.shedding.must_serve(chat(), START))
         self.fleet.begin(_began(2_000), START)
         self.assertTrue(self.fleet.shedding.must_serve(chat(), START))
 
     def test_a_renewal_keeps_its_place_and_adds_no_entry(self) -> None:
-        self.place(waiting(1, chat(), START))
-        self.place(waiting(2, chat(), START + 0.01), START + 0.01)
+        self.place(queue_entry(1, chat(), START))
+        self.place(queue_entry(2, chat(), START + 0.01), START + 0.01)
         for moment in (0.2, 0.4):
-            renewed = replace(waiting(1, chat(), START), renewed_at=START + moment)
+            renewed = replace(queue_entry(1, chat(), START), renewed_at=START + moment)
             self.assertIsInstance(self.place(renewed, START + moment), Queued)
-        self.assertEqual(2, len(self.line.requests))
+        self.assertEqual(2, len(self.queue.requests))
         self.end(1_003, START + 0.41)
         self.assertEqual([(1, True)], self.due(START + 0.41))
 
     def test_a_request_from_another_scheduler_keeps_its_place(self) -> None:
-        self.place(waiting(1, chat(), START + 0.1), START + 0.1)
-        moved = waiting(2, replace(chat(), waited=0.2), START)
+        self.place(queue_entry(1, chat(), START + 0.1), START + 0.1)
+        moved = queue_entry(2, replace(chat(), waited=0.2), START)
         self.place(replace(moved, renewed_at=START + 0.2), START + 0.2)
         self.end(1_003, START + 0.21)
         self.assertEqual([(2, True)], self.due(START + 0.21))
 
     def test_a_long_request_does_not_begin_after_urgent_ones_had_to_wait(self) -> None:
-        self.place(waiting(1, letter(), START + 0.3), START + 0.3)
-        self.place(waiting(2, chat(), START), START + 0.3)
+        self.place(queue_entry(1, letter(), START + 0.3), START + 0.3)
+        self.place(queue_entry(2, chat(), START), START + 0.3)
         for number in range(1_002, 1_010):
             self.end(number, START + 0.3)
         self.assertEqual([(2, True)], self.due(START + 0.3))
