--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -166,7 +166,7 @@
     returns = gateway.fleet.shedding.returns
     gauge("places_kept", "Callers that were promised a place and are awaited", lambda: len(returns))
     gauge("places_promised", "Places promised here so far", lambda: returns.made)
-    gauge("returns_placed", "Returns placed here as promised so far", lambda: returns.fulfilled)
+    gauge("returns_placed", "Returns placed here as promised so far", lambda: returns.kept)
     gauge("returns_early", "Asks of returns before their time so far", lambda: returns.early)
     gauge("moves_under_way", "Handovers of runs now", lambda: gateway.mover.handovers_in_progress)
     gauge(
--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -52,7 +52,7 @@
 from lotushill.waiting.admission_queue import AdmissionQueue
 from lotushill.waiting.entry import Queued
 from lotushill.waiting.entry import QueueEntry
-from lotushill.waiting.slot_turns import QUEUE_UPDATE_INTERVAL_SECONDS as WAITING_NEWS_SECONDS
+from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS as WAITING_NEWS_SECONDS
 from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -249,7 +249,7 @@
         best = min(open_ones or choices, key=lambda choice: choice.cost)
         if best.first_event_seconds > need.first_event_timeout:
             best = min(choices, key=lambda choice: choice.first_event_seconds)
-        returned = self.shedding.returns.has_promise(need.caller, now)
+        returned = self.shedding.returns.has_place(need.caller, now)
         return replace(best, returned=True) if returned else best
 
     def note_choice_used(self, need: Need, now: float) -> None:
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -118,7 +118,7 @@
         early = self.returns.seconds_early(_asker(need, now), now)
         if early:
             return self._refused(need, Refusal.EARLY, early, wait, first)
-        if self.returns.has_promise(need.caller, now):
+        if self.returns.has_place(need.caller, now):
             refusal = Refusal.RETURNED
         return self._refused(need, refusal, self._retry_after(need, now, final), wait, first)
 
--- a/src/lotushill/returns/promises.py
+++ b/src/lotushill/returns/promises.py
@@ -68,7 +68,7 @@
         self._next_sweep = float("-inf")
         self.made = 0
         """Number of promises with priority made here since the start."""
-        self.fulfilled = 0
+        self.kept = 0
         """Number of returns placed here as promised since the start."""
         self.early = 0
         """Number of early returns received here since the start."""
@@ -113,11 +113,11 @@
             if service == requester.service and tier <= requester.tier
         )
 
-    def note_shortage(self, service: str, tier: int, now: float) -> None:
+    def note_scarce(self, service: str, tier: int, now: float) -> None:
         """Note that a request of a tier has to wait for capacity."""
         self._last_waited[service, tier] = now
 
-    def has_promise(self, caller: int, now: float) -> bool:
+    def has_place(self, caller: int, now: float) -> bool:
         """Return whether a caller returns on time to a promise with priority."""
         known = self._promises.get(caller)
         if known is None or known.used or not known.prioritized:
@@ -126,7 +126,7 @@
 
     def is_due(self, caller: int, now: float) -> bool:
         """Return whether a caller returns as promised while the reserve is not used up."""
-        if not self.has_promise(caller, now):
+        if not self.has_place(caller, now):
             return False
         known = self._promises[caller]
         if self._more_urgent_refused(known, now):
@@ -169,9 +169,9 @@
         known = self._promises.get(caller)
         if known is None or known.used:
             return False
-        promised = self.has_promise(caller, now)
+        promised = self.has_place(caller, now)
         if promised:
-            self.fulfilled += 1
+            self.kept += 1
             key = known.service, known.tier
             self._placed_returns.setdefault(key, deque(maxlen=_MAX_COUNTED_RETURNS)).append(now)
         if known.prioritized:
--- a/src/lotushill/waiting/admission_queue.py
+++ b/src/lotushill/waiting/admission_queue.py
@@ -114,7 +114,7 @@
         if not self.requests.add(entry):
             return self._refuse(entry, decision, now)
         self.held += 1
-        self._fleet.shedding.returns.note_shortage(entry.need.service, entry.need.tier, now)
+        self._fleet.shedding.returns.note_scarce(entry.need.service, entry.need.tier, now)
         return Queued()
 
     def _choose_engine_queue(
--- a/tests/peering/test_return_keeper.py
+++ b/tests/peering/test_return_keeper.py
@@ -117,7 +117,7 @@
             if at > self.now:
                 self.pass_time(at - self.now)
             to = self.rng.choice(there)
-            if self.returns[to].has_promise(caller, self.now):
+            if self.returns[to].has_place(caller, self.now):
                 found += self.returns[to].note_placed(caller, self.now)
         return found
 
--- a/tests/scheduling/test_placer.py
+++ b/tests/scheduling/test_placer.py
@@ -83,7 +83,7 @@
 class TestBarredUpstreams(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.now = 100.0
-        self.knows_fleet = True
+        self.has_fleet_model = True
         view = UpstreamView()
         view.replace(UPSTREAMS, 1)
         fleet = Fleet("h0")
@@ -102,7 +102,7 @@
             StatedLimits(),
             cast("Schedulers", FakeSchedulers()),
             cast("PlacementClient", self.client),
-            lambda: self.knows_fleet,
+            lambda: self.has_fleet_model,
         )
 
     def start_cooldowns(self, *names: str, seconds: float = 3.0) -> None:
@@ -133,7 +133,7 @@
     async def test_a_gateway_that_has_just_started_spreads_its_requests(self) -> None:
         """Its model is empty: by this model, every gateway would choose the same upstream."""
         self.client.silent = True
-        self.knows_fleet = False
+        self.has_fleet_model = False
         taken = set()
         for _ in range(len(UPSTREAMS)):
             result = await self.place()
--- a/tests/waiting/test_queued_requests.py
+++ b/tests/waiting/test_queued_requests.py
@@ -15,42 +15,44 @@
 
 class TestQueuedRequests(unittest.TestCase):
     def test_number_of_requests_is_bounded(self) -> None:
-        room = QueuedRequests(max_requests=3)
-        taken = [room.add(queue_entry(key, chat())) for key in range(5)]
+        requests = QueuedRequests(max_requests=3)
+        taken = [requests.add(queue_entry(key, chat())) for key in range(5)]
         self.assertEqual([True, True, True, False, False], taken)
-        self.assertEqual((3, 2), (len(room), room.overflows))
+        self.assertEqual((3, 2), (len(requests), requests.overflows))
 
     def test_memory_is_bounded(self) -> None:
-        room = QueuedRequests(max_bytes=10_000)
+        requests = QueuedRequests(max_bytes=10_000)
         large = replace(queue_entry(1, chat()), excluded=frozenset(f"e{n}" for n in range(80)))
-        self.assertTrue(room.add(large))
-        self.assertFalse(room.add(replace(large, key=2)))
-        room.drop(1)
-        self.assertEqual(0, room.bytes)
-        self.assertTrue(room.add(replace(large, key=2)))
+        self.assertTrue(requests.add(large))
+        self.assertFalse(requests.add(replace(large, key=2)))
+        requests.drop(1)
+        self.assertEqual(0, requests.bytes)
+        self.assertTrue(requests.add(replace(large, key=2)))
 
     def test_an_entry_without_renewal_expires(self) -> None:
-        room = QueuedRequests()
-        room.add(queue_entry(1, chat(), 100.0))
-        room.add(queue_entry(2, chat(), 100.0))
-        room.add(replace(queue_entry(2, chat(), 100.0), renewed_at=100.0 + RENEW_INTERVAL_SECONDS))
+        requests = QueuedRequests()
+        requests.add(queue_entry(1, chat(), 100.0))
+        requests.add(queue_entry(2, chat(), 100.0))
+        requests.add(
+            replace(queue_entry(2, chat(), 100.0), renewed_at=100.0 + RENEW_INTERVAL_SECONDS)
+        )
         ends = 100.0 + ENTRY_EXPIRY_SECONDS
-        self.assertEqual([], room.expire(ends - 0.1))
-        self.assertEqual([1], room.expire(ends + 0.1))
-        self.assertIsNone(room.find(1))
-        self.assertIsNotNone(room.find(2))
+        self.assertEqual([], requests.expire(ends - 0.1))
+        self.assertEqual([1], requests.expire(ends + 0.1))
+        self.assertIsNone(requests.find(1))
+        self.assertIsNotNone(requests.find(2))
 
     def test_a_renewal_adds_no_entry(self) -> None:
-        room = QueuedRequests(max_requests=1)
+        requests = QueuedRequests(max_requests=1)
         for _ in range(3):
-            self.assertTrue(room.add(queue_entry(1, chat())))
-        self.assertEqual(({0: 1}, 1), (room.tiers("llm"), len(room)))
+            self.assertTrue(requests.add(queue_entry(1, chat())))
+        self.assertEqual(({0: 1}, 1), (requests.tiers("llm"), len(requests)))
 
     def test_tiers_are_counted(self) -> None:
-        room = QueuedRequests()
+        requests = QueuedRequests()
         for key, need in enumerate((chat(), letter(), letter())):
-            room.add(queue_entry(key, need))
-        self.assertEqual({0: 1, 2: 2}, room.tiers("llm"))
-        room.drop(0)
-        self.assertEqual({2: 2}, room.tiers("llm"))
-        self.assertEqual({}, room.tiers("other"))
+            requests.add(queue_entry(key, need))
+        self.assertEqual({0: 1, 2: 2}, requests.tiers("llm"))
+        requests.drop(0)
+        self.assertEqual({2: 2}, requests.tiers("llm"))
+        self.assertEqual({}, requests.tiers("other"))
