--- a/src/lotushill/returns/__init__.py
+++ b/src/lotushill/returns/__init__.py
@@ -1,3 +1,3 @@
-"""Who was refused and told when to come back, and what they get when they do."""
+"""Promised returns: the Retry-After times of refused callers, and their priority on return."""
 
 from __future__ import annotations
--- a/src/lotushill/waiting/open_engines.py
+++ b/src/lotushill/waiting/open_engines.py
@@ -1,4 +1,4 @@
-"""Which engines have room for one more request from here, now or within moments. Pure."""
+"""Finds the engines that this gateway may send one more request now or shortly. Pure."""
 
 from __future__ import annotations
 
@@ -16,29 +16,30 @@
     from lotushill.routing.upstream import Upstream
     from lotushill.waiting.slot_turns import RemoteQueues
 
-_SOON_SECONDS = 0.1
-"""A slot that comes free within this is filled now, so that it is not empty until all have heard of
-it and the next request has come there. An eighth of the shortest target of a long request."""
+_LEAD_TIME_SECONDS = 0.1
+"""Time within which a slot that will become free already counts as free. Otherwise it would stay
+empty until all schedulers have been notified and the next request has reached the engine. An eighth
+of the shortest target of a long request."""
 
 
 class OpenEngines:
-    """Finds engines with free slots, as the model of all that run tells, that are to be filled."""
+    """Finds engines with free slots for this gateway, by the model of all running requests."""
 
-    def __init__(self, fleet: Fleet, rivals: RemoteQueues) -> None:
+    def __init__(self, fleet: Fleet, remote_queues: RemoteQueues) -> None:
         self._fleet = fleet
-        self._rivals = rivals
-        self._turns = SlotTurns(rivals)
+        self._remote_queues = remote_queues
+        self._turns = SlotTurns(remote_queues)
 
     def closed(
         self, service: Service, tier: int, upstreams: Sequence[Upstream], now: float
     ) -> frozenset[str]:
-        """Return the engines that are to be sent nothing of a tier from here now."""
+        """Return the ids of engines that this gateway must not send requests of a tier now."""
         if service.engine is None:
             return frozenset()
-        contested = self._rivals.has_waiting(service.name, now)
+        contested = self._remote_queues.has_waiting(service.name, now)
         closed = []
         for item in upstreams:
-            free = _free(self._fleet.load(item.id), tier, service.engine.slots)
+            free = _free_slots(self._fleet.load(item.id), tier, service.engine.slots)
             self._turns.note_free_slots(item.id, free, now)
             if free > 0 and contested:
                 free *= self._turns.may_take(service.name, tier, item.id, free, now)
@@ -47,16 +48,16 @@
         return frozenset(closed)
 
     def note_taken(self, upstream_id: str, now: float) -> None:
-        """Note that a request was placed from here."""
+        """Note that this gateway placed a request on an engine."""
         self._turns.note_taken(upstream_id, now)
 
     def forget(self, known: set[str]) -> None:
-        """Drop engines that are no longer there."""
+        """Drop the state of engines that are not in `known`."""
         self._turns.forget(known)
 
 
-def _free(load: UpstreamLoad, tier: int, slots: int) -> int:
-    """Return how many slots of an engine are free for a tier, or will be within moments."""
-    usual = load.mean_expected_seconds
-    soon = math.floor(slots * _SOON_SECONDS / usual) if usual > 0.0 else 0
-    return slots + soon - load.count_before(tier)
+def _free_slots(load: UpstreamLoad, tier: int, slots: int) -> int:
+    """Return how many slots of an engine are free for a tier, now or within the lead time."""
+    mean_seconds = load.mean_expected_seconds
+    free_soon = math.floor(slots * _LEAD_TIME_SECONDS / mean_seconds) if mean_seconds > 0.0 else 0
+    return slots + free_soon - load.count_before(tier)
--- a/tests/scheduling/test_placement_client.py
+++ b/tests/scheduling/test_placement_client.py
@@ -1,4 +1,4 @@
-"""The exchange between a gateway that has a request and the schedulers it asks."""
+"""Tests of the placement queries that a gateway sends to schedulers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def large_fleet() -> Membership:
-    """Return the membership of a gateway that is no scheduler."""
+    """Return the membership of a gateway that is not a scheduler."""
     network = Network(0)
     for index in range(FLEET):
         network.add(index, seeds=[network.address(item) for item in range(FLEET)])
@@ -51,7 +51,7 @@
         )
         self.numbers = itertools.count(1)
 
-    def make(self) -> PlacementAsk:
+    def make_ask(self) -> PlacementAsk:
         return replace(ASK, request=next(self.numbers))
 
     def send(self, ask: PlacementAsk, address: str) -> None:
@@ -62,7 +62,7 @@
             asyncio.get_running_loop().call_soon(self.client.receive, answer)
 
     async def test_the_first_scheduler_of_the_own_hall_is_asked(self) -> None:
-        answer = await self.client.ask(self.make)
+        answer = await self.client.ask(self.make_ask)
         assert answer is not None
         first = self.schedulers.in_order(0.0, 1)[0]
         self.assertEqual(self.membership.own.hall, first.hall)
@@ -71,7 +71,7 @@
 
     async def test_requests_are_spread_over_the_schedulers_of_the_hall(self) -> None:
         for _ in range(10):
-            await self.client.ask(self.make)
+            await self.client.ask(self.make_ask)
         counts = Counter(name for name, _ in self.asked)
         self.assertEqual([5, 5], sorted(counts.values()))
         for name, number in self.asked:
@@ -83,28 +83,28 @@
             None if name == first.name else PlacementAnswer(name, ask.request, "b1")
         )
         for _ in range(3):
-            answer = await self.client.ask(self.make)
+            answer = await self.client.ask(self.make_ask)
             assert answer is not None
             self.assertEqual(second.name, answer.sender)
         self.assertEqual([first.name, *[second.name] * 3], [name for name, _ in self.asked])
 
-    async def test_one_that_cannot_tell_yet_is_passed_over_at_once(self) -> None:
+    async def test_a_scheduler_that_is_not_ready_is_passed_over_at_once(self) -> None:
         first, second, *_ = self.schedulers.in_order(0.0, 1)
         self.answering = lambda name, ask: PlacementAnswer(
             name, ask.request, *(("", UNREADY) if name == first.name else ("b1",))
         )
-        answer = await self.client.ask(self.make)
+        answer = await self.client.ask(self.make_ask)
         assert answer is not None
         self.assertEqual(second.name, answer.sender)
         self.assertEqual(0, self.client.unanswered)
 
     async def test_without_any_answer_the_gateway_decides_alone(self) -> None:
         self.answering = lambda name, ask: None
-        self.assertIsNone(await self.client.ask(self.make))
+        self.assertIsNone(await self.client.ask(self.make_ask))
         asked = [name for name, _ in self.asked]
         self.assertEqual(3, len(set(asked)))
         halls = {state.hall for name in asked if (state := self.membership.find(name))}
-        self.assertEqual(2, len(halls), "one of another hall is asked too")
+        self.assertEqual(2, len(halls), "a scheduler of another hall is asked too")
 
     async def test_a_late_answer_is_given_up(self) -> None:
         answers: list[PlacementAnswer] = []
@@ -113,14 +113,14 @@
             answers.append(PlacementAnswer(name, ask.request, "b0"))
 
         self.answering = keep
-        self.assertIsNone(await self.client.ask(self.make))
+        self.assertIsNone(await self.client.ask(self.make_ask))
         for answer in answers:
             self.client.receive(answer)
         self.assertEqual([1, 2, 3], self.late)
 
     async def test_an_answer_to_a_client_that_has_left_is_given_up(self) -> None:
         self.answering = lambda name, ask: None
-        task = asyncio.ensure_future(self.client.ask(self.make))
+        task = asyncio.ensure_future(self.client.ask(self.make_ask))
         await asyncio.sleep(0)
         task.cancel()
         with self.assertRaises(asyncio.CancelledError):
@@ -130,7 +130,7 @@
 
 
 class TestSchedulers(unittest.TestCase):
-    def test_a_lone_gateway_schedules(self) -> None:
+    def test_a_single_gateway_schedules(self) -> None:
         own = MemberState("gw", "10.0.0.1:1", "h", "r", 1, MemberPhase.ALIVE)
         membership = Membership(own, (), MembershipOptions(), Network(0).rng)
         schedulers = Schedulers(membership)
