--- a/src/lotushill/quarantine/__init__.py
+++ b/src/lotushill/quarantine/__init__.py
@@ -1,3 +1,3 @@
-"""Requests under which upstreams end: who is suspected, and what is kept from upstreams."""
+"""Detection of requests during which upstreams fail, and the decision which to withhold."""
 
 from __future__ import annotations
--- a/src/lotushill/quarantine/end_watch.py
+++ b/src/lotushill/quarantine/end_watch.py
@@ -1,4 +1,4 @@
-"""Requests that were cut, while it is not known whether their upstream ended."""
+"""Interrupted requests for which it is not yet known whether their upstream failed."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
     from lotushill.quarantine.group import Group
 
 _SECONDS = 12.0
-"""An upstream that ended without a word is listed for three of its heartbeats, which are some
-1.2 s, and then three more where the store was away."""
+"""Seconds for which an interrupted request is watched.
+
+An upstream that failed unannounced stays listed for three of its heartbeats, which are about 1.2 s
+each, and for three more if the store was unavailable.
+"""
 _MOST = 1024
 
 
 class Listing(Enum):
-    """What the list of upstreams says of one."""
+    """Status of an upstream in the list of upstreams."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -27,29 +30,35 @@
 
 @dataclass(frozen=True)
 class Cut:
-    """One request that lost its upstream."""
+    """One request that lost the connection to its upstream."""
 
     identity: bytes
     team: str
     path: str
     upstream: str
     groups: tuple[Group, ...] = ()
-    """Its groups where no event of it had come, so that it may be what its upstream ended by."""
+    """The groups of the request if no event of its response had arrived, otherwise empty.
+
+    Only a request without any event can be the cause of the upstream failure.
+    """
 
 
 class EndWatch:
-    """Keeps cuts until their upstream is seen to be gone, for a bounded time."""
+    """Stores interrupted requests for a bounded time, until their upstream is no longer listed."""
 
     def __init__(self) -> None:
         self._cuts: list[tuple[Cut, float]] = []
 
     def note(self, cut: Cut, now: float) -> None:
-        """Note a cut by an upstream that may have ended."""
+        """Store a request that was interrupted by an upstream that may have failed."""
         self._cuts.append((cut, now + _SECONDS))
         del self._cuts[:-_MOST]
 
     def take_ended(self, state_of: Callable[[str], Listing], now: float) -> list[Cut]:
-        """Return the cuts whose upstream is gone without a word, and forget planned ends."""
+        """Remove and return the requests whose upstream failed unannounced.
+
+        Requests interrupted by a planned shutdown are dropped.
+        """
         if not self._cuts:
             return []
         states = {cut.upstream: state_of(cut.upstream) for cut, _ in self._cuts}
--- a/src/lotushill/quarantine/group.py
+++ b/src/lotushill/quarantine/group.py
@@ -1,4 +1,4 @@
-"""Groups of requests that have more in common than their bytes."""
+"""Groups of requests that share properties such as team, route, path or prompt."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 @dataclass(frozen=True)
 class Group:
-    """Requests of one team on one route, or those of them that share more."""
+    """Requests of one team on one route, or a subset of these that shares a path or prompt."""
 
     service: str
     label: str
-    """Team, route and what is shared, for operators."""
+    """Team, route and shared property, in a form that operators can read."""
 
     def is_within(self, other: Group) -> bool:
-        """Return whether all requests of this group are of another one as well."""
+        """Return whether all requests of this group belong to the other group as well."""
         return self.service == other.service and self.label.startswith(f"{other.label}, ")
 
 
 def groups_of(
     service: str, team: str, route: str, target: bytes, parts: tuple[PromptPart, ...]
 ) -> tuple[Group, ...]:
-    """Return the groups of a request: by team and route alone, by path and by prompt as well.
+    """Return the groups of a request: team and route, these with the path, these with the prompt.
 
-    A caller that puts a time or an id into each body keeps its team and mostly its path; where it
-    has sound requests on the same route, path or prompt tell the others from them. The last part of
-    a prompt is the request's own.
+    A caller that puts a time or an id into each body keeps its team and usually its path. If it
+    also sends harmless requests on the same route, the path or prompt distinguishes the two. The
+    last part of a prompt is specific to the request, so the part before it identifies the prompt.
     """
     caller = f"{team} on {route}"
     path = target.partition(b"?")[0].decode("latin-1")[:_MOST_PATH]
--- a/src/lotushill/quarantine/hold_store.py
+++ b/src/lotushill/quarantine/hold_store.py
@@ -1,4 +1,4 @@
-"""Writes what is held to the platform's store, and takes away what was cleared."""
+"""Writes held requests to the platform's store, and removes those that were cleared."""
 
 from __future__ import annotations
 
@@ -22,32 +22,45 @@
     from lotushill.quarantine.quarantine import Quarantine
 
 _SETTLED_SECONDS = 0.5
-"""A hold is written when it has stood for so long: until then others may speak for the request."""
+"""Seconds for which a hold must persist before it is written.
+
+Within this time other gateways may report that the request is known good.
+"""
 _TAKEN_OVER_SECONDS = (4.0, 30.0)
-"""After a moment between these a gateway writes what others saw, if they did not: hundreds that
-write at once would take all writes that the store allows."""
+"""Range of the random delay after which a gateway writes a hold that only others observed.
+
+It does so only if they have not written it. Hundreds of gateways that write at the same moment
+would use up the write rate of the store.
+"""
 _AWAY_SECONDS = (1.0, 3.0)
-"""Between two tries while the store is away."""
+"""Range of the random delay between two attempts while the store is unavailable."""
 _MOST_STORED = 512
-"""Objects of the kind; beyond it the oldest one of the same team goes, else the oldest one."""
+"""Limit of the objects of this kind in the store.
+
+At the limit the oldest object of the same team is deleted, or the oldest of all if the team has
+none.
+"""
 _MOST_CALLS = 4
-"""At one look, so that many suspects at once take little of the store's rates."""
+"""Limit of the writes, and of the deletions, per reconciliation.
+
+Many simultaneous suspects thus use only a small part of the request rate of the store.
+"""
 
 
 class Store(Protocol):
-    """The calls that are made."""
+    """The store operations that this module uses."""
 
     async def create(self, kind: str, name: str, spec: Any) -> object:
-        """Make an object; raise RevisionConflictError if it is there."""
+        """Create an object; raise RevisionConflictError if it exists."""
         ...
 
     async def delete(self, kind: str, name: str) -> None:
-        """Remove an object."""
+        """Delete an object."""
         ...
 
 
 class HoldStore:
-    """Brings the store in line with a quarantine, a few calls at a time."""
+    """Reconciles the store with a quarantine, a few calls at a time."""
 
     def __init__(
         self,
@@ -67,13 +80,13 @@
         self._clock = clock
         self._wall = wall
         self._due: dict[bytes, float] = {}
-        """Holds that are not in the store, by when this gateway writes them."""
+        """Holds that are not in the store, with the time at which this gateway writes them."""
         self._away_until = float("-inf")
         self._written: set[bytes] = set()
-        """Those written here that the view has not shown yet."""
+        """Holds written by this gateway that the view does not contain yet."""
 
     async def look(self) -> None:
-        """Write what has settled, and remove what was cleared; an outage is tried again."""
+        """Write holds that are due and delete those that were cleared; retry after an outage."""
         now = self._clock()
         if now < self._away_until:
             return
@@ -109,7 +122,7 @@
         try:
             await self._store.create(KIND, identity.hex(), hold.spec())
         except RevisionConflictError:
-            # Another gateway that saw the same ends was first.
+            # Another gateway that observed the same failures has written the hold.
             pass
         self._written.add(identity)
 
--- a/src/lotushill/quarantine/hold_view.py
+++ b/src/lotushill/quarantine/hold_view.py
@@ -1,4 +1,4 @@
-"""The requests that are held, as of a revision of the store; a pure state machine."""
+"""The requests that are held at a revision of the store, as a pure state machine."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class HoldView:
-    """All holds by identity; a newer revision replaces an older one and never the reverse."""
+    """All holds by identity; a newer revision replaces an older one, never the reverse."""
 
     def __init__(self) -> None:
         self.revision = -1
-        """The store's revision that the view stands at; below 0 while nothing is known."""
+        """The store revision that the view reflects; negative before the first update."""
         self.objects: dict[str, Any] = {}
-        """The specs of all objects by name, as the store has them."""
+        """The specs of all objects by name, as stored."""
         self.holds: dict[bytes, StoredHold] = {}
         self.faults: dict[str, str] = {}
-        """What is wrong with objects that say nothing, by name."""
+        """The errors of objects that cannot be read, by name."""
 
     def replace(self, objects: dict[str, Any], revision: int) -> bool:
-        """Take all objects of a newer revision; return whether the view is another now."""
+        """Replace all objects by those of a newer revision; return whether the view changed."""
         if revision <= self.revision:
             return False
         changed = objects != self.objects
--- a/src/lotushill/quarantine/identity.py
+++ b/src/lotushill/quarantine/identity.py
@@ -1,4 +1,4 @@
-"""What makes two arrivals the same request: the caller, the path and the body."""
+"""The identity that two arrivals of the same request share: caller, path and body."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def identity_of(team: str, host: str, method: bytes, target: bytes, body: bytes) -> bytes:
-    """Return what stays the same when a caller sends a request again, under whatever id.
+    """Return a digest that is the same when a caller repeats a request under any request id.
 
-    A cryptographic hash, so that no caller can make a request that is taken for another's.
+    The hash is cryptographic so that no caller can craft a request with the identity of a request
+    of another caller.
     """
     digest = hashlib.blake2b(digest_size=IDENTITY_BYTES)
     for part in (team.encode(), host.encode("latin-1", "replace"), method, target, body):
--- a/src/lotushill/quarantine/isolation.py
+++ b/src/lotushill/quarantine/isolation.py
@@ -1,13 +1,15 @@
-"""Which groups of requests are kept apart, since upstreams end under them. Pure.
+"""Decides which groups of requests are isolated because upstreams fail during them.
 
-The load that it answers: one caller whose requests each end the upstream that begins them, and
-whose bodies differ each time, so that no request comes again. A few a second leave hardly anybody
-else served.
+The module has no side effects.
 
-Upstreams end with all that runs there, so that busy groups are beside each end. Three things tell
-the cause from them: an upstream ends when it begins the cause, which so never had an event; hardly
-any request of the cause is answered whole; and of groups that hold each other the smallest that was
-at the ends explains them.
+The target load is one caller whose requests each crash the upstream that starts them, with a
+different body each time, so that no request is repeated. A few such requests per second leave
+hardly any other request served.
+
+An upstream fails with all requests that run there, so busy groups are present at every failure.
+Three signs distinguish the cause from them: an upstream fails when it starts the cause, so the
+cause never had an event; hardly any request of the cause completes; and of nested groups, the
+smallest that was present at the failures explains them.
 """
 
 from __future__ import annotations
@@ -25,32 +27,49 @@
     from lotushill.quarantine.group import Group
 
 ROUNDS_TO_ISOLATE = 3
-"""Ends a second or more apart: a hall that loses power ends many upstreams at once."""
+"""Number of rounds of failures after which a group is isolated.
+
+Rounds are a second or more apart, since a hall that loses power ends many upstreams at once.
+"""
 _ROUND_SECONDS = 1.0
 _WINDOW_SECONDS = 10.0
-"""Ends and whole answers of so long are held against each other."""
+"""Seconds over which failures and completions are compared."""
 _WHOLE_PER_END = 2.0
-"""With more whole answers for each end, the group is taken for one that was beside them: hardly any
-request of a bystander is cut before its first event."""
+"""Completions per failure above which a group counts as a bystander.
+
+Hardly any request of a bystander is interrupted before its first event.
+"""
 _EXPLAINED_SHARE = 0.6
-"""Of the ends of a group, those at which a smaller one within it was as well."""
+"""Fraction of the failures of a group at which a group within it was present as well.
+
+From this fraction on, the smaller group explains the failures.
+"""
 _TERM_SECONDS = 20.0
-"""A group is kept apart for so long after it may be tried: a request or more has run by then."""
+"""Seconds for which a group stays isolated once it may be tried again.
+
+At least one request has run by then.
+"""
 _FIRST_PAUSE_SECONDS = 1.0
 _LONGEST_PAUSE_SECONDS = 30.0
-"""After each end of an upstream under a group that is kept apart nothing of it is tried for a pause
-that doubles: what ran alone has been shown to be the cause."""
+"""Upper limit in seconds of the pause after a failure during isolation.
+
+After each failure of an upstream during an isolated group, no request of the group is tried for a
+pause that doubles: a group that ran alone is confirmed as the cause.
+"""
 _LONGEST_TERM_SECONDS = _TERM_SECONDS + _LONGEST_PAUSE_SECONDS
 _MOST_GROUPS = 512
 _MOST_ENDS = 16
 _WHOLE_TOLD = 3 * _MOST_ENDS
-"""Whole answers that are told against ends: some more than would do, since when half of all
-upstreams end at once their ends are heard before what speaks for the groups beside them."""
+"""Number of completions that gateways report in response to failures.
+
+It is above the number that suffices: when half of all upstreams fail at once, their failures
+arrive before the completions of the bystanders.
+"""
 
 
 @dataclass(frozen=True)
 class Term:
-    """How long a group is still kept apart, and the pause after its next end; seconds."""
+    """The remaining isolation time of a group and the pause after its next failure, in seconds."""
 
     left: float
     pause: float
@@ -58,7 +77,7 @@
 
 @dataclass(frozen=True)
 class _Told:
-    """How many whole answers a gateway told of, and when."""
+    """The number of completions that a gateway reported, and the time of the report."""
 
     count: int
     at: float
@@ -66,14 +85,14 @@
 
 @dataclass
 class _Evidence:
-    """What stands against one group; times are on a steady clock."""
+    """The evidence on one group; times are those of a monotonic clock."""
 
     ends: dict[str, float] = field(default_factory=dict)
-    """Upstreams that ended under it, by when that was heard."""
+    """Upstreams that failed during the group, with the time of the report."""
     whole: dict[str, _Told] = field(default_factory=dict)
-    """Its whole answers of late, as gateways have told."""
+    """The recent completions of the group, as reported by each gateway."""
     until: float = float("-inf")
-    """When it is no longer kept apart."""
+    """Time at which the isolation ends."""
     tried_after: float = float("-inf")
     pause: float = _FIRST_PAUSE_SECONDS
 
@@ -88,7 +107,7 @@
         return {name for name, at in self.ends.items() if now - at < _WINDOW_SECONDS}
 
     def whole_of_late(self, now: float) -> int:
-        """Without what was told long ago: a group that was sound may turn deadly."""
+        """Return the completions of recent reports; a harmless group may become harmful."""
         return sum(told.count for told in self.whole.values() if now - told.at < _WINDOW_SECONDS)
 
     def is_mostly_whole(self, now: float) -> bool:
@@ -96,12 +115,12 @@
 
     @property
     def shown(self) -> bool:
-        """Whether an upstream ended under it while it was kept apart."""
+        """Whether an upstream failed during the group while it was isolated."""
         return self.pause > _FIRST_PAUSE_SECONDS
 
 
 class Isolation:
-    """Evidence against groups, from own sight and from peers; the time is passed in."""
+    """Evidence against groups, from local observation and peers; the time is an argument."""
 
     def __init__(self) -> None:
         self._evidence: OrderedDict[Group, _Evidence] = OrderedDict()
@@ -109,23 +128,23 @@
 
     @property
     def empty(self) -> bool:
-        """Return whether nothing stands against any group."""
+        """Return whether there is no evidence against any group."""
         return not self._evidence
 
     def note_whole(self, groups: Iterable[Group], now: float) -> None:
-        """Note that a request was answered whole at this gateway."""
+        """Record that a request of these groups completed at this gateway."""
         for group in groups:
             self._whole.note(group, now)
 
     def whole(self, group: Group, now: float) -> int:
-        """Return how many of a group were answered whole here of late."""
+        """Return the number of recent completions of a group at this gateway."""
         return self._whole.count(group, now)
 
     def note_end(self, group: Group, upstream: str, teller: str, whole: int, now: float) -> bool:
-        """Note that an upstream ended before a request of a group had its first event.
+        """Record that an upstream failed before a request of a group had its first event.
 
-        `teller` is the gateway that saw it, which had so many `whole` answers of the group of late.
-        Return whether the group is kept apart from now on.
+        `teller` is the gateway that observed the failure, and `whole` the number of recent
+        completions of the group there. Return whether the group is isolated from now on.
         """
         evidence = self._of(group, now)
         self.take_whole(group, teller, whole, now)
@@ -145,7 +164,7 @@
         return True
 
     def take_whole(self, group: Group, teller: str, whole: int, now: float) -> None:
-        """Take how many of a group a gateway had answered whole of late."""
+        """Store the number of recent completions of a group that a gateway reports."""
         evidence = self._evidence.get(group)
         if evidence is None:
             return
@@ -154,9 +173,9 @@
             evidence.until = float("-inf")
 
     def adopt(self, group: Group, seconds: float, pause: float, now: float) -> bool:
-        """Keep a group apart for so long as a peer does; return whether that is news.
+        """Isolate a group for as long as a peer does; return whether that is new.
 
-        Not where whole answers that are known here speak for it.
+        The isolation is not adopted if the completions known here show that the group is harmless.
         """
         evidence = self._of(group, now)
         if evidence.is_mostly_whole(now):
@@ -167,7 +186,7 @@
         return not was_apart
 
     def terms(self, now: float) -> dict[Group, Term]:
-        """Return all groups that are kept apart, with what is left of it."""
+        """Return all isolated groups with the remaining time of their isolation."""
         return {
             group: Term(item.until - now, item.pause)
             for group, item in self._evidence.items()
@@ -175,7 +194,7 @@
         }
 
     def needs_proof(self, group: Group, now: float) -> bool:
-        """Return whether whole answers of a group that were not told yet speak for it."""
+        """Return whether completions that were not reported yet could clear a group."""
         evidence = self._evidence.get(group)
         return evidence is not None and evidence.whole_of_late(now) < _WHOLE_TOLD
 
@@ -190,24 +209,24 @@
         )
 
     def isolates(self, groups: Iterable[Group], now: float) -> bool:
-        """Return whether a request of these groups is kept apart."""
+        """Return whether a request of these groups is isolated."""
         return any(now < self._until(group) for group in groups)
 
     def wait(self, groups: Iterable[Group], now: float) -> float:
-        """Return after how many seconds one of these groups may be tried again."""
+        """Return the seconds until a request of these groups may be tried again."""
         found = (self._evidence[group] for group in groups if group in self._evidence)
         return max([0.0, *(item.tried_after - now for item in found if now < item.until)])
 
     def services(self, now: float) -> frozenset[str]:
-        """Return the services that have a group which is kept apart."""
+        """Return the services that have an isolated group."""
         return frozenset(group.service for group in self.groups(now))
 
     def groups(self, now: float) -> list[Group]:
-        """Return all groups that are kept apart."""
+        """Return all isolated groups."""
         return [group for group, item in self._evidence.items() if now < item.until]
 
     def expire(self, now: float) -> None:
-        """Forget those under which no upstream has ended for a while."""
+        """Remove the evidence on groups that have had no upstream failure for some time."""
         old = [
             group
             for group, item in self._evidence.items()
@@ -230,6 +249,6 @@
         return found
 
     def _forget_one(self, now: float) -> None:
-        """Forget who was heard of longest ago; one that is kept apart goes after all others."""
+        """Evict the least recently updated group; isolated ones only if there are no others."""
         loose = (group for group, item in self._evidence.items() if now >= item.until)
         del self._evidence[next(loose, next(iter(self._evidence)))]
--- a/src/lotushill/quarantine/news_plan.py
+++ b/src/lotushill/quarantine/news_plan.py
@@ -1,4 +1,4 @@
-"""When what is known for and against requests is told to the other gateways."""
+"""Schedule of the updates on suspects and cleared requests to the other gateways."""
 
 from __future__ import annotations
 
@@ -12,14 +12,20 @@
     import random
 
 _HELD_REPEAT_SECONDS = 2.0
-"""Between two tellings of what is held and not in the store, so that joiners hear of it."""
+"""Interval in seconds at which a hold that is not in the store is sent again.
+
+Gateways that join receive it this way.
+"""
 PROOF_SECONDS = 0.2
-"""Of gateways that all know a request as sound, the first to speak within it speaks for all."""
+"""Range in seconds of the random delay before a known good request is reported.
+
+If several gateways know the request as good, the first report within this time stands for all.
+"""
 
 
 @dataclass(frozen=True)
 class DueNews:
-    """The identities that are to be told now."""
+    """The identities that are due to be sent."""
 
     suspects: tuple[bytes, ...]
     cleared_since: tuple[bytes, ...]
@@ -27,7 +33,7 @@
 
 
 class NewsPlan:
-    """Keeps what is due; pure, with the time passed in."""
+    """Schedules updates without side effects; the time is an argument."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -36,42 +42,42 @@
         self._proofs: dict[bytes, float] = {}
 
     def next_due(self) -> float:
-        """Return when something is due, infinity for never."""
+        """Return the time at which the next update is due, or infinity if there is none."""
         if self._cleared:
             return -math.inf
         return min([self._suspects.next_due(), *self._proofs.values()])
 
     def tell(self, identity: bytes, now: float) -> None:
-        """Tell of an end under a request, now and some times more."""
+        """Schedule the update on an upstream failure for now and for several repetitions."""
         self._suspects.tell(identity, now)
 
     def go_on(self, identity: bytes, now: float) -> None:
-        """Go on telling of a request that is held and not in the store."""
+        """Schedule another update on a request that is held and not in the store."""
         if identity not in self._suspects:
             self._suspects.tell_at(identity, now + _HELD_REPEAT_SECONDS)
 
     def clear(self, identity: bytes) -> None:
-        """Tell that a request was answered whole since, and no more against it."""
+        """Schedule the update that a request completed after its failures; cancel all others."""
         self._suspects.forget(identity)
         self._proofs.pop(identity, None)
         self._cleared.add(identity)
 
     def prove(self, identity: bytes, now: float) -> None:
-        """Tell that a request was answered whole before, unless another one does first."""
+        """Schedule the update that a request is known good, unless a peer sends it first."""
         if identity not in self._proofs:
             self._proofs[identity] = now + self._rng.uniform(0.0, PROOF_SECONDS)
 
     def heard(self, identity: bytes) -> None:
-        """Note that another one has told the proof."""
+        """Cancel the update that a request is known good, since a peer has sent it."""
         self._proofs.pop(identity, None)
 
     def forget(self, identity: bytes) -> None:
-        """Tell no more against a request that another one has cleared."""
+        """Cancel all updates against a request that a peer has cleared."""
         self._suspects.forget(identity)
         self._proofs.pop(identity, None)
 
     def take(self, now: float) -> DueNews:
-        """Return what is due, which is told by then."""
+        """Return the updates that are due, and remove them from the schedule."""
         suspects = self._suspects.take(now)
         proofs = [item for item, at in self._proofs.items() if at <= now]
         for identity in proofs:
--- a/src/lotushill/quarantine/quarantine.py
+++ b/src/lotushill/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from upstreams, since upstreams end under them."""
+"""Decides which requests are withheld from upstreams because upstreams fail during them."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 _MOST_SUSPECTS = 2048
 _MOST_OF_TEAM = 256
-"""So that the requests of one team cannot push those of another out."""
+"""Limit of the suspects of one team, so that one team cannot evict the suspects of another."""
 
 
 class Quarantine:
-    """Suspects by identity, from own sight, from peers and from the store; the time is passed in.
+    """Suspects by identity, from local observation, peers and the store; the time is an argument.
 
-    A request that ends its upstream ends all that runs there. One caller that repeats it would take
-    most of a service from all others, whichever gateways it calls.
+    A request that crashes its upstream ends all requests that run there. One caller that repeats
+    it would take most of a service from all others, whichever gateways it calls.
     """
 
     def __init__(self) -> None:
@@ -39,52 +39,48 @@
 
     @property
     def empty(self) -> bool:
-        """Return whether nothing is suspected, so that no identity has to be worked out."""
+        """Return whether nothing is suspected, so that no identity has to be computed."""
         return not self._suspects and not self._stored
 
     def holds(self, identity: bytes, now: float) -> bool:
-        """Return whether a request is to reach no upstream."""
+        """Return whether a request must not reach any upstream."""
         suspect = self._suspects.get(identity)
         if suspect is not None and suspect.held(now):
             return True
         return identity in self._stored and (suspect is None or not suspect.proven)
 
     def ends_under(self, identity: bytes) -> int:
-        """Return how many upstreams ended under a request since it was last cleared."""
+        """Return the number of upstreams that failed during a request since it was last cleared."""
         suspect = self._suspects.get(identity)
         return len(suspect.ends) if suspect is not None else 0
 
     def find(self, identity: bytes) -> Suspect | None:
-        """Return a suspect."""
+        """Return the suspect with an identity, or None if there is none."""
         return self._suspects.get(identity)
 
     def held(self, now: float) -> list[bytes]:
         """Return the identities of all requests that are held."""
         return [item for item in {*self._suspects, *self._stored} if self.holds(item, now)]
 
-    # Against a request
-
     def note_end(self, identity: bytes, team: str, path: str, upstream: str, now: float) -> bool:
-        """Note that an upstream ended while it had the request; return whether that is news."""
+        """Record that an upstream failed while it had the request; return whether that is new."""
         suspect = self._suspect(identity, team, path, now)
         suspect.seen_here = True
         return suspect.add(upstream, now)
 
     def take(self, state: SuspectState, now: float) -> bool:
-        """Take what a peer holds against a request; return whether any of it is news."""
+        """Merge the evidence of a peer against a request; return whether any of it is new."""
         suspect = self._suspect(state.identity, state.team, state.path, now)
         news = [suspect.add(upstream, now) for upstream in state.upstreams]
         return any(news)
 
-    # For a request
-
     def note_whole(self, identity: bytes, now: float) -> bool:
-        """Note a whole answer; return whether it clears a suspect."""
+        """Record that a request completed; return whether this clears a suspect."""
         self._whole.note(identity, now)
         return self.clear(identity)
 
     def clear(self, identity: bytes) -> bool:
-        """Note that a request was answered whole since; return whether it was suspected."""
+        """Record that a request completed after its failures; return whether it was suspected."""
         suspect = self._suspects.get(identity)
         if suspect is None or not suspect.ends:
             return False
@@ -92,19 +88,17 @@
         return True
 
     def prove(self, identity: bytes, now: float) -> None:
-        """Note that a request was answered whole before upstreams ended under it."""
+        """Record that a request completed before any upstream failed during it."""
         suspect = self._suspects.get(identity)
         if suspect is not None:
             suspect.prove(now)
 
     def knows_whole(self, identity: bytes, now: float) -> bool:
-        """Return whether a request was answered whole here, which the others may not know."""
+        """Return whether a request completed at this gateway, which peers may not know."""
         return self._whole.knows(identity, now)
 
-    # The store
-
     def take_stored(self, holds: Mapping[bytes, StoredHold]) -> list[bytes]:
-        """Take what the store has; return what was released there since."""
+        """Replace the stored holds; return the identities released in the store since then."""
         released = [identity for identity in self._stored if identity not in holds]
         for identity in released:
             suspect = self._suspects.get(identity)
@@ -114,7 +108,7 @@
         return released
 
     def unstored(self) -> list[bytes]:
-        """Return what is held for good and is not in the store yet."""
+        """Return the identities that are held indefinitely and are not in the store yet."""
         return [
             identity
             for identity, suspect in self._suspects.items()
@@ -122,17 +116,15 @@
         ]
 
     def stored_in_vain(self) -> list[bytes]:
-        """Return what is in the store though it was answered whole."""
+        """Return the identities that are in the store although the request completed."""
         return [
             identity
             for identity in self._stored
             if (suspect := self._suspects.get(identity)) is not None and suspect.proven
         ]
 
-    # Bounds
-
     def expire(self, now: float) -> None:
-        """Forget those against whom nothing has stood for a while, late news included."""
+        """Remove the suspects that have had no evidence, late updates included, for some time."""
         old = [
             identity
             for identity, suspect in self._suspects.items()
@@ -159,7 +151,7 @@
             self._forget_one(self._suspects)
 
     def _forget_one(self, candidates: Iterable[bytes]) -> None:
-        """Forget who was heard of longest ago; one that is held goes after all that are not."""
+        """Evict the least recently updated suspect; held ones only if there are no others."""
         among = list(candidates)
         loose = (item for item in among if not self._suspects[item].held_for_good)
         self._forget(next(loose, among[0]))
--- a/src/lotushill/quarantine/recent_counts.py
+++ b/src/lotushill/quarantine/recent_counts.py
@@ -1,4 +1,4 @@
-"""How often something came of late, by key. Pure."""
+"""Counts of recent occurrences by key, without side effects; the time is an argument."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RecentCounts(Generic[Key]):
-    """Counts over the last one to two windows, of a bounded number of keys."""
+    """Counts occurrences over the last one to two windows, for a bounded number of keys."""
 
     def __init__(self, window: float, most: int) -> None:
-        """Count over `window` seconds; keys beyond `most` in one are left out."""
+        """Count over `window` seconds; more than `most` keys in one window are not counted."""
         self._window = window
         self._most = most
         self._counts: Counter[Key] = Counter()
@@ -21,13 +21,13 @@
         self._began = float("-inf")
 
     def note(self, key: Key, now: float) -> None:
-        """Count one."""
+        """Count one occurrence of a key."""
         self._turn(now)
         if key in self._counts or len(self._counts) < self._most:
             self._counts[key] += 1
 
     def count(self, key: Key, now: float) -> int:
-        """Return how many came of late."""
+        """Return the number of recent occurrences of a key."""
         self._turn(now)
         return self._counts[key] + self._former[key]
 
--- a/src/lotushill/quarantine/repeat_plan.py
+++ b/src/lotushill/quarantine/repeat_plan.py
@@ -1,4 +1,4 @@
-"""When news are told once more, since datagrams are lost. Pure."""
+"""Schedule of repeated updates, which compensates for lost datagrams; without side effects."""
 
 from __future__ import annotations
 
@@ -9,37 +9,40 @@
 Item = TypeVar("Item")
 
 _REPEAT_SECONDS = (0.0, 0.15, 0.5, 1.2)
-"""After the event. With one datagram in ten lost, one gateway in 10,000 misses all of them."""
+"""Delays in seconds after the event at which an update is sent.
+
+If one datagram in ten is lost, one gateway in 10,000 misses all four.
+"""
 
 
 class RepeatPlan(Generic[Item]):
-    """Items that are told some times each."""
+    """Items that are each sent at several times."""
 
     def __init__(self) -> None:
         self._times: dict[Item, list[float]] = {}
-        """The further times at which each one is told."""
+        """The remaining times at which each item is sent."""
 
     def __contains__(self, item: Item) -> bool:
         return item in self._times
 
     def next_due(self) -> float:
-        """Return when something is due, infinity for never."""
+        """Return the time at which the next item is due, or infinity if there is none."""
         return min((times[0] for times in self._times.values()), default=math.inf)
 
     def tell(self, item: Item, now: float) -> None:
-        """Tell of an item, now and some times more."""
+        """Schedule an item for now and for several repetitions."""
         self._times[item] = [now + after for after in _REPEAT_SECONDS]
 
     def tell_at(self, item: Item, when: float) -> None:
-        """Tell of an item once."""
+        """Schedule an item once, at a given time."""
         self._times[item] = [when]
 
     def forget(self, item: Item) -> None:
-        """Tell of an item no more."""
+        """Cancel all remaining sends of an item."""
         self._times.pop(item, None)
 
     def take(self, now: float) -> list[Item]:
-        """Return what is due, which is told by then."""
+        """Return the items that are due, and remove the times that have passed."""
         due = [item for item, times in self._times.items() if times[0] <= now]
         for item in due:
             left = [at for at in self._times[item] if at > now]
--- a/src/lotushill/quarantine/stored_hold.py
+++ b/src/lotushill/quarantine/stored_hold.py
@@ -1,4 +1,4 @@
-"""A request that is held, as the platform's store keeps it."""
+"""A held request as an object of the platform's store."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from lotushill.quarantine.identity import IDENTITY_BYTES
 
 KIND = "lotushill-quarantine"
-"""The kind of the store with an object for each request that is held, named by its identity."""
+"""The kind in the store that has one object for each held request, named by its identity."""
 _LATEST = 2**37
-"""Seconds since 1970; far beyond any."""
+"""Upper bound of valid times in seconds since 1970, far beyond any real time."""
 
 
 @dataclass(frozen=True)
 class StoredHold:
-    """Who sends the request, and the evidence."""
+    """The sender of a held request, and the evidence against the request."""
 
     team: str
     path: str
     upstreams: tuple[str, ...]
-    """Those that ended under it."""
+    """The upstreams that failed while they had the request."""
     since: float
-    """Seconds since 1970, by the clock of the gateway that wrote it."""
+    """Time of the hold in seconds since 1970, by the clock of the gateway that wrote it."""
 
     def spec(self) -> dict[str, object]:
-        """Return the object's spec."""
+        """Return the spec of the stored object."""
         return {
             "team": self.team,
             "path": self.path,
@@ -35,9 +35,10 @@
 
 
 def read_hold(name: str, spec: Any) -> tuple[bytes, StoredHold] | None:
-    """Return the identity and the hold of an object, None for one that cannot be read.
+    """Return the identity and the hold of an object, or None if the name is not an identity.
 
-    The name alone says what is held: an object whose spec another writer has spoilt still holds.
+    The name alone identifies the held request, so an object whose spec was corrupted by another
+    writer remains effective.
     """
     identity = _identity(name)
     if identity is None:
--- a/src/lotushill/quarantine/suspect.py
+++ b/src/lotushill/quarantine/suspect.py
@@ -1,4 +1,4 @@
-"""One request under which upstreams ended, and what speaks against it and for it."""
+"""One request during which upstreams failed, with the evidence for and against it."""
 
 from __future__ import annotations
 
@@ -6,49 +6,52 @@
 from dataclasses import field
 
 ENDS_TO_HOLD = 3
-"""Upstreams that end under a request, without a whole answer since, before it is held.
+"""Number of upstreams that fail during a request, without a completion in between, to hold it.
 
-With one, each of those that ran beside the cause would be held; with two, those of them that were
-sent on to the same upstream as the cause.
+At one, every request that ran beside the cause would be held; at two, every such request that was
+then forwarded to the same upstream as the cause.
 """
 _ROUND_SECONDS = 1.0
-"""Ends so close together say no more of a request that was answered whole than one does: when a
-hall loses power, a common request runs at all of its upstreams."""
+"""Interval in seconds within which failures during a known good request count as one round.
+
+When a hall loses power, a common request runs at all upstreams of the hall.
+"""
 _FIRST_TERM_SECONDS = 15.0
 _LONGEST_TERM_SECONDS = 600.0
 _CLEAR_SECONDS = 30.0
-"""News of an end are told for two seconds; one that was cleared is remembered for longer."""
+"""Seconds for which a cleared suspect is kept, since a failure is sent to peers for two seconds."""
 _MOST_ENDS = 16
 _MOST_CLEARED = 64
 
 
 @dataclass
 class Suspect:
-    """What is held of one request; times are on a steady clock.
+    """The evidence on one request; times are those of a monotonic clock.
 
-    One that was never answered whole is held for good after `ENDS_TO_HOLD` upstreams. One that was
-    may meet upstreams that end for other reasons: it is held after as many rounds of ends without
-    a whole answer between them, for a term. After it one more end holds it for twice as long.
+    A request that never completed is held indefinitely after `ENDS_TO_HOLD` upstreams failed. A
+    request that did may run at upstreams that fail for other reasons: it is held for a limited
+    term after as many rounds of failures without a completion between them. After the term, one
+    more failure holds it for twice as long.
     """
 
     team: str
     path: str
     ends: dict[str, float] = field(default_factory=dict)
-    """The upstreams that ended under it since it was last cleared, by when that was heard."""
+    """Upstreams that failed since the request was last cleared, with the time of the report."""
     cleared: dict[str, None] = field(default_factory=dict)
-    """Upstreams that no longer count, though late news may name them again; the latest last."""
+    """Upstreams that no longer count, though late updates may name them again; the newest last."""
     proven: bool = False
-    """Whether it was answered whole before its first end."""
+    """Whether the request completed before its first failure."""
     terms: int = 0
     held_until: float = float("-inf")
-    """For a proven one."""
+    """End of the current term of a known good request."""
     heard_at: float = float("-inf")
-    """When anything was last heard against it."""
+    """Time of the last new evidence against the request."""
     seen_here: bool = False
-    """Whether this gateway saw an upstream end under it, and did not only hear of it."""
+    """Whether this gateway observed an upstream failure itself, not only through peers."""
 
     def add(self, upstream: str, now: float) -> bool:
-        """Note that an upstream ended under the request; return whether that is news."""
+        """Record that an upstream failed during the request; return whether that is new."""
         if upstream in self.ends or upstream in self.cleared or len(self.ends) >= _MOST_ENDS:
             return False
         self.heard_at = now
@@ -57,37 +60,37 @@
         return True
 
     def prove(self, now: float) -> None:
-        """Note that it was answered whole before its ends."""
+        """Record that the request completed before its failures."""
         if not self.proven:
             self.proven = True
             self._hold_proven(now)
 
     def clear(self) -> None:
-        """Note that it was answered whole since its ends."""
+        """Record that the request completed after its failures."""
         self._forget_ends()
         self.proven = True
         self.terms = 0
         self.held_until = float("-inf")
 
     def release(self) -> None:
-        """Let it go; it is held again after as many further ends as at first."""
+        """Release the request; it is held again after as many new failures as the first time."""
         self.clear()
         self.proven = False
 
     def held(self, now: float) -> bool:
-        """Return whether the request is to reach no upstream."""
+        """Return whether the request must not reach any upstream."""
         if self.proven:
             return now < self.held_until
         return len(self.ends) >= ENDS_TO_HOLD
 
     def is_clear(self, now: float) -> bool:
-        """Return whether nothing stands against it, nor has lately."""
+        """Return whether there is no evidence against the request, now and in recent time."""
         quiet = now - max(self.heard_at, self.held_until) > _CLEAR_SECONDS
         return not self.ends and not self.terms and quiet
 
     @property
     def held_for_good(self) -> bool:
-        """Return whether it is held until it is released."""
+        """Return whether the request is held until it is released."""
         return not self.proven and len(self.ends) >= ENDS_TO_HOLD
 
     def _hold_proven(self, now: float) -> None:
