--- a/tests/quarantine/test_fleet.py
+++ b/tests/quarantine/test_fleet.py
@@ -1,4 +1,4 @@
-"""One caller of a deadly request before whole fleets, and ends for which no request is to blame."""
+"""Tests a fleet against one caller whose requests crash upstreams, and against other failures."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.quarantine.virtual_fleet import VirtualFleet
 
 FLEETS = ((9, 9), (81, 20), (360, 60))
-"""Gateways and upstreams."""
+"""Fleet sizes as pairs of the number of gateways and of upstreams."""
 LATE = 3
 CONTACT_SECONDS = 3.0
 
@@ -26,9 +26,10 @@
     varying: bool = False,
     mates: float = 0.0,
 ) -> None:
-    """Let requests come, so many a second; every `storm` seconds half of the upstreams end.
+    """Send requests at rates per second; half of the upstreams fail every `storm` seconds.
 
-    With `varying` the deadly ones have a body each; `mates` are sound ones of the same team.
+    With `varying` each deadly request has a different body; `mates` are harmless requests of the
+    same team.
     """
     due = fleet.now + storm
     number = 0
@@ -77,10 +78,10 @@
 
 
 class TestBodiesThatDiffer(unittest.IsolatedAsyncioTestCase):
-    """One caller changes a byte each time, as with a time or an id in the body.
+    """Tests a caller that changes a byte each time, as with a time or an id in the body.
 
-    Each of its requests was a new one, and might end three upstreams: with four gateways before six
-    engines 103 ended in 35 s, and of all other requests 0.28 were served.
+    If each of its requests counts as a new one, each may crash three upstreams: with four gateways
+    and six engines, 103 engines failed in 35 s, and only 0.28 of all other requests were served.
     """
 
     async def test_others_are_served_soon_after_its_third_end(self) -> None:
@@ -118,7 +119,7 @@
 
 
 class TestNobodyToBlame(unittest.IsolatedAsyncioTestCase):
-    """Half of the upstreams end at once, every few seconds; no request is the cause."""
+    """Tests repeated failures of half of the upstreams at once, which no request causes."""
 
     async def test_the_common_request_goes_on_and_hardly_any_other_is_held(self) -> None:
         for storm in (2.0, 5.0):
--- a/tests/quarantine/test_hold_store.py
+++ b/tests/quarantine/test_hold_store.py
@@ -1,4 +1,4 @@
-"""How holds come to the platform's store and go from it."""
+"""Tests that holds are written to the platform's store and deleted from it."""
 
 from __future__ import annotations
 
--- a/tests/quarantine/test_isolation.py
+++ b/tests/quarantine/test_isolation.py
@@ -1,4 +1,4 @@
-"""When groups of requests are kept apart, for how long, and what speaks for them."""
+"""Tests when groups of requests are isolated, for how long, and what prevents it."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         self.assertFalse(self.isolation.needs_proof(CALLER, 3.4))
 
     def test_whole_answers_of_before_do_not_speak_for_a_group_that_turned_deadly(self) -> None:
-        """A group was sound for long, and a release of its client ends each upstream."""
+        """A group is harmless for a long time; then a release of its client crashes upstreams."""
         for number in range(12):
             self.isolation.note_end(CALLER, "u0", f"gw{number}", 10, 1.0)
         for number in range(1, 16):
--- a/tests/quarantine/test_news_plan.py
+++ b/tests/quarantine/test_news_plan.py
@@ -1,4 +1,4 @@
-"""When what is known of requests is told."""
+"""Tests when updates on suspects are due."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self.plan = NewsPlan(random.Random(1))
 
     def told(self, until: float) -> int:
-        """Return how often the suspect is told until then."""
+        """Return the number of updates on the suspect that are due until a given time."""
         count = 0
         while self.plan.next_due() <= until:
             count += len(self.plan.take(max(0.0, self.plan.next_due())).suspects)
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Suspects of one gateway: what peers and the store say of them, and how many there may be."""
+"""Tests the suspects of one gateway: evidence of peers and the store, and their bounds."""
 
 from __future__ import annotations
 
--- a/tests/quarantine/test_suspect.py
+++ b/tests/quarantine/test_suspect.py
@@ -1,4 +1,4 @@
-"""When one request is held, from its ends and its whole answers."""
+"""Tests when one request is held, depending on its failures and completions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def suspect_after(ends: str, proven: bool = False, apart: float = 0.0) -> tuple[Suspect, float]:
-    """Return a suspect under which upstreams ended, each so long after the other, and the time."""
+    """Return a suspect after failures that are `apart` seconds apart, and the resulting time."""
     suspect = Suspect("team", "/p", proven=proven)
     now = 100.0
     for name in ends:
@@ -57,7 +57,7 @@
 
 
 class TestAnsweredWholeBefore(unittest.TestCase):
-    """A common request runs at many upstreams, so that many may end under it at once."""
+    """Tests a common request: it runs at many upstreams, so many may fail during it at once."""
 
     def test_a_hall_that_loses_power_says_no_more_than_one_end(self) -> None:
         suspect, now = suspect_after("abcdefgh", proven=True)
--- a/tests/quarantine/virtual_fleet.py
+++ b/tests/quarantine/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Keepers of many gateways in virtual time, before upstreams that end under a deadly request."""
+"""Simulates the quarantine of many gateways in virtual time; deadly requests crash upstreams."""
 
 from __future__ import annotations
 
@@ -35,30 +35,30 @@
 DEADLY = b"deadly----------"
 COMMON = b"common----------"
 VARYING = b"varying"
-"""How identities begin of requests of one caller that each end an upstream under other bytes."""
+"""Identity prefix of requests of one caller that each crash an upstream with different bytes."""
 _BACK_SECONDS = 2.0
 _FIRST_EVENT_SECONDS = 0.25
-"""What ran for so long when it was cut had begun to answer."""
+"""Running time in seconds after which an interrupted request has begun to respond."""
 SERVICE = Service("s", 50, None)
 MATE = b"mate"
-"""How identities begin of sound requests of the same team, on another path."""
+"""Identity prefix of harmless requests of the same team on another path."""
 
 
 def is_deadly(identity: bytes) -> bool:
-    """Return whether upstreams end under a request."""
+    """Return whether a request crashes its upstream."""
     return identity == DEADLY or identity.startswith(VARYING)
 
 
 @dataclass(frozen=True)
 class Demand:
-    """As much of a demand as a keeper reads."""
+    """The part of a request's demand that the quarantine reads."""
 
     request_id: str
 
 
 @dataclass
 class Arrival:
-    """One request at one gateway."""
+    """One request that arrives at one gateway."""
 
     identity: bytes
     gateway: int
@@ -71,21 +71,21 @@
 
     @property
     def service(self) -> Service:
-        """Return the one service that there is."""
+        """Return the only service of the fleet."""
         return SERVICE
 
     @property
     def groups(self) -> tuple[Group, ...]:
-        """Return its groups, all on one route."""
+        """Return the groups of the request, all on one route."""
         return groups_of(SERVICE.name, self.team, "route", self.target, ())
 
     def as_request(self) -> Request:
-        """Return what the keeper takes it for."""
+        """Return this arrival under the type that the quarantine expects."""
         return cast("Request", self)
 
 
 class VirtualFleet:
-    """Gateways that share what they know over a network that loses datagrams."""
+    """Gateways that exchange updates over a network that loses datagrams."""
 
     def __init__(self, gateways: int, upstreams: int, seed: int, loss: float = 0.0) -> None:
         self.now = 1000.0
@@ -102,7 +102,7 @@
         self.keepers = [self._keeper(number) for number in range(gateways)]
         self.alive = set(range(gateways))
         self.outcomes: Counter[tuple[bytes, str]] = Counter()
-        """Of arrivals, by identity (or "other") and outcome."""
+        """Number of arrivals by identity (or "other") and outcome."""
         self.deadly_ends: list[float] = []
         self.deadly_sent: list[float] = []
         self.datagrams = 0
@@ -129,7 +129,7 @@
         )
 
     def restart(self, number: int) -> None:
-        """Let a gateway start anew, with nothing that it knew."""
+        """Restart a gateway without its former state."""
         self.quarantines[number] = Quarantine()
         self.isolations[number] = Isolation()
         self.wards[number] = Ward(self.isolations[number], self._view, lambda: self.now)
@@ -144,8 +144,6 @@
             if self.rng.random() >= self._loss:
                 self.keepers[number].receive(news)
 
-    # Upstreams
-
     def _start_upstream(self) -> None:
         self._running[f"u{next(self._numbers)}"] = []
 
@@ -155,14 +153,14 @@
         self._view.replace(found, self._revision)
 
     async def end_upstream(self, name: str) -> None:
-        """Let an upstream end with all that runs there, and another come after some seconds."""
+        """End an upstream with all requests that run there; another starts some seconds later."""
         lost = self._running.pop(name)
         self._back.append(self.now + _BACK_SECONDS)
         for arrival in lost:
             await self._cut(arrival, name)
 
     async def end_share(self, share: float) -> None:
-        """End a share of the upstreams at once."""
+        """End a fraction of the upstreams at once."""
         names = list(self._running)
         lost = {name: self._running.pop(name) for name in names[: round(share * len(names))]}
         self._back += [self.now + _BACK_SECONDS] * len(lost)
@@ -170,10 +168,8 @@
             for arrival in arrivals:
                 await self._cut(arrival, name)
 
-    # Requests
-
     async def arrive(self, identity: bytes, seconds: float) -> None:
-        """Let a request come to some gateway and run for so long."""
+        """Send a request that runs for `seconds` to a random gateway."""
         gateway = self.rng.choice(sorted(self.alive))
         kind = next((kind for kind in (VARYING, MATE) if identity.startswith(kind)), b"p")
         team = "team" if kind == b"p" else "caller"
@@ -233,10 +229,8 @@
             kind = MATE
         self.outcomes[kind, outcome] += 1
 
-    # Time
-
     async def step(self) -> None:
-        """Let a little time pass."""
+        """Advance the time by one tick."""
         self.now += TICK
         while self._back and self._back[0] <= self.now:
             self._back.pop(0)
@@ -261,6 +255,6 @@
             self._note(arrival, "whole")
 
     def share_whole(self, kind: bytes) -> float:
-        """Return which share of the arrivals of a kind was answered whole."""
+        """Return the fraction of the arrivals of a kind that completed."""
         total = sum(count for (of, _), count in self.outcomes.items() if of == kind)
         return self.outcomes[kind, "whole"] / max(1, total)
