--- a/src/lotushill/duties/__init__.py
+++ b/src/lotushill/duties/__init__.py
@@ -1,3 +1,3 @@
-"""Work that one gateway does for the whole fleet: reports of usage, and orders of engines."""
+"""Work that one gateway does for the whole fleet: usage reports and engine orders."""
 
 from __future__ import annotations
--- a/src/lotushill/duties/duty_keeper.py
+++ b/src/lotushill/duties/duty_keeper.py
@@ -1,4 +1,4 @@
-"""Does the duties while this gateway holds them, and takes them over where nobody does."""
+"""Performs the duties while this gateway holds them, and takes them over if no gateway does."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class DutyKeeper:
-    """One gateway's part in the duties."""
+    """Performs the part of one gateway in the duties."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         log: EventLog,
         clock: Callable[[], float],
     ) -> None:
-        """Serve as process `life` of the gateway `name`."""
+        """Create the part of process `life` of the gateway `name`."""
         self._settings = settings
         self._clock = clock
         options = LeaseOptions(settings.lease_seconds, settings.fenced)
@@ -55,9 +55,10 @@
         self._orders = OrderDuty(self._ownership, platform, sight, health, log, clock)
 
     async def run(self) -> None:
-        """Do what falls to this gateway, for ever.
+        """Perform the duties of this gateway until cancelled.
 
-        Several loops, so that a silent store or platform keeps none of the others.
+        Several loops run side by side, so that an unresponsive store or platform delays only its
+        own loop.
         """
         async with anyio.create_task_group() as group:
             group.start_soon(
@@ -73,16 +74,16 @@
                 group.start_soon(self._orders.run)
 
     async def hand_over(self) -> None:
-        """Let another gateway hold the duties from now on, since this one stops."""
+        """Hand the duties over to another gateway because this one stops."""
         await self._ownership.retire()
 
     def receive(self, page: WorkPage) -> None:
-        """Take in what a gateway counted and has to do."""
+        """Merge the request counts and the demand that a gateway reports."""
         self.usage.receive(page)
         self._orders.receive(page)
 
     def status(self) -> dict[str, object]:
-        """Return what operators ask of the duties."""
+        """Return the state of the duties for operators."""
         record = self._ownership.record
         return {
             "holder": record.holder if record else None,
@@ -98,7 +99,7 @@
         }
 
     def _first_record(self) -> DutyRecord:
-        """Return the record of a fleet that never had one: windows count from now on."""
+        """Return the first record of a fleet, which counts the windows from now on."""
         return DutyRecord("", 0, settled=self.usage.newest_window() - 1)
 
     def _begin(self, former: DutyRecord) -> None:
--- a/src/lotushill/duties/duty_record.py
+++ b/src/lotushill/duties/duty_record.py
@@ -1,4 +1,4 @@
-"""What the platform's store holds of the duties: who has them, and what was promised to be sent."""
+"""The stored record of the duties: their holder, and the reports and orders to be sent."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 Counts = dict[str, int]
 """Requests by team."""
 WindowCounts = dict[int, Counts]
-"""Requests by team for each window, by its number."""
+"""Requests by team for each window number."""
 
 
 @dataclass(frozen=True)
 class Checkpoint:
-    """What the holder knew at some moment of windows that are not recorded yet.
+    """The counts that the holder had at some time for windows that are not recorded yet.
 
-    It outlasts the loss of power of all hosts at once.
+    The checkpoint survives a simultaneous loss of power of all hosts.
     """
 
     at: float = 0.0
-    """Seconds of true time since 1970."""
+    """True time of the checkpoint in seconds since 1970."""
     windows: WindowCounts = field(default_factory=dict)
 
 
 @dataclass(frozen=True)
 class StandingOrders:
-    """How many engines were last ordered in one hall."""
+    """The numbers of engines that were last ordered in one hall."""
 
     ordinary: int
     reclaimable: int
@@ -34,31 +34,31 @@
 
 @dataclass(frozen=True)
 class DutyRecord:
-    """One object of the store, changed only at its revision."""
+    """The record of the duties, an object of the store that is changed only at its revision."""
 
     holder: str
-    """Name of the gateway, empty where the last one handed over."""
+    """Name of the gateway that holds the duties, or empty after the last one handed over."""
     life: int
-    """Which of its processes."""
+    """Incarnation of the holder, which identifies its process."""
     beat: int = 0
-    """Rises with every write, so that each of them changes something."""
+    """Counter that increases with every write, so that each write changes the object."""
     settled: int = -1
-    """The last window whose counts are recorded; those of earlier ones never change."""
+    """The last window whose counts are recorded; recorded counts never change."""
     reports: WindowCounts = field(default_factory=dict)
-    """Recorded windows that may not have been reported yet."""
+    """Counts of recorded windows that may not have been reported yet."""
     checkpoint: Checkpoint = Checkpoint()
     orders: dict[str, StandingOrders] = field(default_factory=dict)
-    """By service and hall, as `service/hall`."""
+    """Engine orders by service and hall; the key is `service/hall`."""
     bases: dict[str, int] = field(default_factory=dict)
-    """How many engines of each service stood before anything was ordered."""
+    """Number of engines of each service that existed before anything was ordered."""
 
     def is_of(self, holder: str, life: int) -> bool:
-        """Return whether one process of one gateway holds the duties."""
+        """Return whether a given process of a given gateway holds the duties."""
         return self.holder == holder and self.life == life
 
 
 def to_spec(record: DutyRecord) -> dict[str, Any]:
-    """Return a record as plain data."""
+    """Return a record as plain data for the store."""
     return {
         "holder": record.holder,
         "life": record.life,
@@ -74,7 +74,7 @@
 
 
 def from_spec(spec: Any) -> DutyRecord | None:
-    """Return the record of plain data, None for what cannot be read."""
+    """Return the record that plain data represents, or None if the data cannot be read."""
     try:
         checkpoint = spec["checkpoint"]
         return DutyRecord(
--- a/src/lotushill/duties/engine_sizing.py
+++ b/src/lotushill/duties/engine_sizing.py
@@ -1,8 +1,9 @@
-"""How many engines of one service every hall is to have. Pure, with the clock passed in.
+"""Computes how many engines of one service each hall needs; the time is an argument.
 
-The load that it answers: requests come in bursts of two to three times their usual rate that last
-about as long as two starts of an engine, and all reclaimable engines of a hall may go at once. What
-is ordered when a burst is seen comes when half of it is over, so that the room has to stand before.
+The target load: requests arrive in bursts of two to three times their usual rate that last about as
+long as two starts of an engine, and all reclaimable engines of a hall may be taken away at once.
+Engines that are ordered when a burst is detected serve only when half of it is over, so the
+capacity must exist before.
 """
 
 from __future__ import annotations
@@ -25,39 +26,58 @@
     from lotushill.routing.service import ScalingProfile
 
 _FULL_SHARE = 0.6
-"""Of an engine's slots, up to which streams keep their pace beside the reading of prompts."""
+"""Fraction of an engine's slots up to which streams keep their pace while prompts are read."""
 _HEADROOM = 2.0
-"""Times the requests in progress of late that there is room for: most of a burst comes before the
-engines that are ordered for it."""
+"""Ratio of the capacity to the recent peak of requests in progress.
+
+Most of a burst arrives before the engines that are ordered for it.
+"""
 _PEAK_SECONDS = 30.0
-"""The demand of so long counts: bursts come again, and engines that were given back between them
-start too late and have read no shared part of a prompt."""
+"""Seconds over which the peak of the demand is taken.
+
+Bursts recur, and engines that were returned between two of them start too late and have no shared
+prompt prefix in their cache.
+"""
 _TAKEN_OVER_SECONDS = 10.0
-"""After a change of holder, what the former one ordered stands for so long."""
+"""Seconds after a change of holder for which the orders of the former holder remain in force."""
 _UNKNOWN_HEADROOM = 1.6
-"""Times the engines that stand at first, while nothing is known of the demand and where engines
-that may be taken away are to be had: a burst within the first seconds finds room."""
+"""Ratio of the ordered to the initial engines while the demand is unknown.
+
+It applies if reclaimable engines are available, so that a burst within the first seconds finds
+capacity.
+"""
 _ORDINARY_SHARE = 0.15
-"""Of the engines that stand at first, those that are kept and may not be taken away: a hall that
-loses all others, or is cut off meanwhile, goes on serving its most urgent requests."""
+"""Fraction of the initial engines that are kept as ordinary ones, which cannot be taken away.
+
+A hall that loses all other engines, or is cut off in the meantime, continues to serve its most
+urgent requests.
+"""
 _LEAST_ORDINARY = 2
 _LEAST_GIVEN_BACK = 2
 _GIVEN_BACK_SHARE = 0.25
-"""Of the engines that a hall may have, the ordinary ones that go back at once where all stand."""
+"""Fraction of a hall's engine limit that is returned in one step.
+
+It applies to ordinary engines once all ordered engines serve.
+"""
 _SHORT_SHARE = 0.7
-"""Of the engines that are needed; with fewer, and no reclaimable ones anywhere, ordinary ones are
-ordered."""
+"""Fraction of the required engines below which ordinary engines are ordered.
+
+It applies if no hall has reclaimable engines available.
+"""
 _DRY_SECONDS = 4.0
-"""After a refused order of reclaimable engines others are ordered in their place for so long:
-until after it was asked for them once more."""
+"""Seconds for which other engines are ordered after an order of reclaimable ones was refused.
+
+This lasts until after the next attempt to order reclaimable engines.
+"""
 _PROBE_ENGINES = 1
-"""Reclaimable engines that are asked for where there were none, to hear when there are again."""
+"""Number of reclaimable engines ordered during a shortage, to detect when it ends."""
 
 
 def engines_lost(limits: Iterable[float], stream_seconds: float, slots: int) -> float:
-    """Return how many engines' work is not done where some take so many requests a second alone.
+    """Return the capacity in engines that is lost because some engines limit their request rate.
 
-    `stream_seconds` is how long a request runs; an engine without a limit has all that it can do.
+    `limits` are the requests per second that each engine accepts, and `stream_seconds` is how long
+    a request runs. An engine without a limit loses nothing.
     """
     usual = _FULL_SHARE * slots
     return sum(max(0.0, 1.0 - rate * stream_seconds / usual) for rate in limits)
@@ -65,32 +85,32 @@
 
 @dataclass(frozen=True)
 class HallEngines:
-    """Engines that a hall has now."""
+    """The present engines of a hall."""
 
     serving: int
-    """Those that are not leaving, of both kinds."""
+    """Number of engines of both kinds that are not leaving."""
     ordered: StandingOrders | None
-    """What was ordered last, None where nothing was: all are ordinary then."""
+    """The last order, or None if there is none, in which case all engines are ordinary."""
 
     @property
     def ordinary(self) -> int:
-        """Return how many ordinary engines stand ordered."""
+        """Return the number of ordinary engines that are ordered."""
         return self.ordered.ordinary if self.ordered else self.serving
 
     @property
     def standing(self) -> int:
-        """Return how many engines of both kinds stand ordered."""
+        """Return the number of engines of both kinds that are ordered."""
         return self.ordinary + (self.ordered.reclaimable if self.ordered else 0)
 
 
 class EngineSizing:
-    """Follows the demand for one service and says what to order."""
+    """Tracks the demand for one service and computes the engines to order."""
 
     def __init__(self, base: int, started: float, ordered: int = 0) -> None:
-        """Begin at some moment.
+        """Start at a given time.
 
-        `base` is how many engines stood before anything was ordered, and `ordered` how many a
-        former holder of the duties ordered last, 0 for none.
+        `base` is the number of engines that existed before anything was ordered, and `ordered` the
+        number that a former holder of the duties ordered last, or 0 if there was none.
         """
         self.base = base
         self._ordered = ordered
@@ -99,18 +119,18 @@
         self._lost = LostEngines()
         self._standing = StandingEngines()
         self._dry: dict[str, float] = {}
-        """Halls where no reclaimable engine was to be had, until when that is believed."""
+        """Halls without available reclaimable engines, with the time until this is assumed."""
 
     def take_over(self, halls: Mapping[str, HallEngines], now: float) -> None:
-        """Take what a former holder ordered for what served until now.
+        """Count the engines that a former holder ordered as serving until now.
 
-        It may have been lost with the host that held the duties.
+        Those that do not serve may have been lost together with the host that held the duties.
         """
         for hall, engines in halls.items():
             self._lost.note(hall, engines.standing, engines.standing, now)
 
     def note_demand(self, running: int, now: float) -> None:
-        """Note how many requests are in progress in the whole fleet."""
+        """Record the number of requests in progress in the whole fleet."""
         while self._demand and self._demand[-1][1] <= running:
             self._demand.pop()
         self._demand.append((now, running))
@@ -118,20 +138,23 @@
             self._demand.popleft()
 
     def note_dry(self, hall: str, now: float) -> None:
-        """Note that a hall has no reclaimable engines to give."""
+        """Record that no reclaimable engines are available in a hall."""
         self._dry[hall] = now + _DRY_SECONDS
 
     def lost(self, hall: str) -> int:
-        """Return how many engines of a hall served of late and were taken away."""
+        """Return the number of engines of a hall that served recently and were taken away."""
         return self._lost.count(hall)
 
     @property
     def peak(self) -> int:
-        """Return the most requests that were in progress of late."""
+        """Return the recent peak of the requests in progress."""
         return self._demand[0][1] if self._demand else 0
 
     def wanted(self, slots: int, now: float, cheap: bool = True) -> int:
-        """Return how many engines the fleet needs; `cheap` says that some may be taken away."""
+        """Return the number of engines that the fleet needs.
+
+        `cheap` says whether the service may use reclaimable engines.
+        """
         needed = math.ceil(_HEADROOM * self.peak / (_FULL_SHARE * slots))
         unknown = _TAKEN_OVER_SECONDS if self._ordered else _PEAK_SECONDS
         if now - self._started < unknown or not self.peak:
@@ -148,7 +171,7 @@
         now: float,
         limited: float = 0.0,
     ) -> dict[str, StandingOrders]:
-        """Return the engines to have in each hall, with so many more as limits take away."""
+        """Return the engines to order in each hall, plus those that compensate for rate limits."""
         wanted = self.wanted(slots, now, scaling.reclaimable_price is not None) + math.ceil(limited)
         dry = {hall for hall in halls if self._dry.get(hall, now) > now}
         usual = math.ceil(wanted / max(1, len(halls)))
@@ -182,11 +205,11 @@
     def _in_shortage(
         self, hall: str, engines: HallEngines, ordinary: int, most: int
     ) -> StandingOrders:
-        """Return the orders for a hall where no reclaimable engines are to be had.
+        """Return the orders for a hall in which no reclaimable engines are available.
 
-        Those that serve are kept: an order of fewer would give them back at once, and ordinary ones
-        come only after a start. What stands in the place of others goes back once they are to be
-        had again.
+        Reclaimable engines that serve are kept: an order of fewer would return them at once, and
+        ordinary ones serve only after a start. Engines that replace reclaimable ones are returned
+        once these are available again.
         """
         reclaimable = min(most, max(_PROBE_ENGINES, self._standing.reclaimable(hall)))
         if engines.ordered is not None:
@@ -198,8 +221,8 @@
     ) -> dict[str, int]:
         """Return the ordinary engines to order by hall, in place of those that were taken away.
 
-        Only for halls where no others are to be had, less the `cover` that other halls give. The
-        cheapest halls come first.
+        Only halls without available reclaimable engines are included, and the `cover` that other
+        halls provide is subtracted. The cheapest halls come first.
         """
         missing = sum(self._lost.count(hall) for hall in dry) - cover
         room = max(0, scaling.most - share - _PROBE_ENGINES)
@@ -215,7 +238,7 @@
         return sum(hall.serving for hall in halls.values()) < _SHORT_SHARE * wanted
 
     def _kept(self, engines: HallEngines, ordinary: int, total: int, most: int) -> int:
-        """Return the ordinary engines to keep: more go back only as others stand in their place."""
+        """Return the ordinary engines to keep; others are returned only once they are replaced."""
         held = engines.ordinary
         if held <= ordinary or not self.peak:
             return ordinary
--- a/src/lotushill/duties/lease.py
+++ b/src/lotushill/duties/lease.py
@@ -1,9 +1,9 @@
-"""Who holds the duties, as one gateway sees it. A pure state machine with the clock passed in.
+"""State machine of the lease on the duties, as one gateway sees it; the time is an argument.
 
 Ownership is an object of the platform's store that is changed only at its revision. The holder
-writes it again well within the lease; another one takes it over once it has seen no change for a
-whole lease, or at once where the holder handed over. The revision of the write that took it is the
-fencing token: it rises with every change of holder and with every new process.
+rewrites it well within the lease. Another gateway takes it over once it has observed no change for
+a whole lease, or at once if the holder handed over. The revision of the write that acquired it is
+the fencing token, which increases with every change of holder and with every new process.
 """
 
 from __future__ import annotations
@@ -15,13 +15,20 @@
     from lotushill.duties.duty_record import DutyRecord
 
 _ACT_SHARE = 0.5
-"""Of the lease after the last confirmed write, in which the holder starts acts where the platform
-does not check tokens. The other half is for calls that take their time."""
+"""Fraction of the lease, from the last confirmed write on, in which the holder may start calls.
+
+It applies if the platform does not check tokens. The other half is reserved for slow calls.
+"""
 _LATER_LEASES = 0.7
-"""Left to the first candidates, who know what gateways counted that are lost since."""
+"""Leases that other candidates wait in addition to the first ones.
+
+The first candidates have the counts of gateways that were lost since.
+"""
 _REST_LEASES = 2.0
-"""One that lost the duties, or gave them up, stays out for so many leases: with less, two gateways
-could act in turns within one lease."""
+"""Leases for which a gateway that lost or handed over the duties does not acquire them again.
+
+With less, two gateways could act alternately within one lease.
+"""
 
 
 @dataclass(frozen=True)
@@ -29,16 +36,16 @@
     """Settings of the lease."""
 
     seconds: float
-    """How long others wait for a holder that is not heard."""
+    """Seconds without a change after which other gateways take over from the holder."""
     fenced: bool
-    """Whether the platform refuses calls with an older token."""
+    """Whether the platform rejects calls with an outdated token."""
 
 
 class Lease:
-    """What one process of one gateway knows of the ownership."""
+    """The ownership of the duties as known to one process of one gateway."""
 
     def __init__(self, name: str, life: int, options: LeaseOptions, now: float) -> None:
-        """Follow the ownership as process `life` of the gateway `name`."""
+        """Track the ownership for process `life` of the gateway `name`."""
         self.name = name
         self.life = life
         self._options = options
@@ -47,9 +54,9 @@
         self._rests_until = now + options.seconds
         self._confirmed_at = float("-inf")
         self.token: int | None = None
-        """The fencing token while this process holds the duties."""
+        """The fencing token while this process holds the duties, otherwise None."""
         self.since = now
-        """When it took or lost them last."""
+        """Time at which this process last acquired or lost the duties."""
 
     @property
     def held(self) -> bool:
@@ -57,15 +64,15 @@
         return self.token is not None
 
     def observe(self, revision: int | None, now: float) -> None:
-        """Note the revision at which the object was seen, None where there is none."""
+        """Record the revision at which the object was read, or None if it does not exist."""
         if revision != self._seen_revision:
             self._seen_revision = revision
             self._seen_at = now
 
     def may_take(self, record: DutyRecord | None, now: float, first: bool = True) -> bool:
-        """Return whether the duties may be taken from whom the last seen object names.
+        """Return whether the duties may be taken from the holder in the last object read.
 
-        Those that are not among the first candidates leave these some time to do it.
+        Gateways that are not among the first candidates wait some time longer than these.
         """
         if self.held or now < self._rests_until:
             return False
@@ -75,20 +82,20 @@
         return now - self._seen_at >= self._options.seconds + patience
 
     def take(self, token: int, sent_at: float) -> None:
-        """Hold the duties from a write on that was sent at some moment and is confirmed."""
+        """Acquire the duties through a confirmed write that was sent at `sent_at`."""
         self.token = token
         self._confirmed_at = sent_at
         self.since = sent_at
 
     def renew(self, sent_at: float) -> None:
-        """Note another confirmed write, sent at some moment."""
+        """Renew the lease through another confirmed write that was sent at `sent_at`."""
         self._confirmed_at = max(self._confirmed_at, sent_at)
 
     def may_act(self, now: float) -> bool:
         """Return whether a call to the platform may be started now.
 
-        Where tokens are checked the platform refuses the calls of a former holder, so that an
-        outage of the store need not stop the acts of the one in office.
+        If the platform checks tokens, it rejects the calls of a former holder, so an outage of the
+        store need not stop the calls of the present one.
         """
         if not self.held:
             return False
@@ -100,7 +107,7 @@
         return now - self._confirmed_at < self._options.seconds
 
     def lose(self, now: float) -> None:
-        """Stop for good with this token, and stay out for a while."""
+        """Give up this token permanently, and do not acquire the duties again for some time."""
         self.token = None
         self.since = now
         self._rests_until = now + _REST_LEASES * self._options.seconds
--- a/src/lotushill/duties/lost_engines.py
+++ b/src/lotushill/duties/lost_engines.py
@@ -1,7 +1,8 @@
-"""Engines of a hall that served of late and were taken away. Pure, with the clock passed in.
+"""Tracks engines of a hall that served recently and were taken away; the time is an argument.
 
-The load that it answers: all reclaimable engines of a hall go at short notice while no others are
-to be had, just before a burst. The order for them stands, so that no order shows the loss.
+The target load: all reclaimable engines of a hall are taken away at short notice while no others
+are available, just before a burst. The order for them remains unchanged, so it does not show the
+loss.
 """
 
 from __future__ import annotations
@@ -9,22 +10,26 @@
 from collections import deque
 
 _SPAN_SECONDS = 20.0
-"""Two starts of an engine and a wait between them; what is not back then is not replaced."""
+"""Seconds for which lost engines are tracked: two starts of an engine and a wait between them.
+
+Engines that are not back by then are not replaced.
+"""
 
 
 class LostEngines:
-    """The most engines that served in each hall of late, held against those that serve now."""
+    """Compares the recent maximum of serving engines in each hall with those that serve now."""
 
     def __init__(self) -> None:
         self._served: dict[str, deque[tuple[float, int]]] = {}
-        """Falling numbers of engines, each with the last time at which so many served."""
+        """Decreasing numbers of engines, each with the last time at which so many served."""
         self._lost: dict[str, int] = {}
 
     def note(self, hall: str, serving: int, ordered: int | None, now: float) -> None:
-        """Note how many engines of a hall serve and do not leave, and how many stand ordered.
+        """Record how many engines of a hall serve and do not leave, and how many are ordered.
 
-        Engines that were given back are not lost: no more are than are missing of the order. None
-        where what was lost cannot be ordered again, so that the order says nothing of it.
+        Engines that were returned are not lost, so at most the engines missing from the order count
+        as lost. `ordered` is None if lost engines cannot be ordered again, in which case the order
+        does not limit the loss.
         """
         served = self._served.setdefault(hall, deque())
         while served and served[-1][1] <= serving:
@@ -36,10 +41,10 @@
         self._lost[hall] = max(0, most - serving)
 
     def count(self, hall: str) -> int:
-        """Return how many engines of a hall are lost."""
+        """Return the number of lost engines of a hall."""
         return self._lost.get(hall, 0)
 
     @property
     def total(self) -> int:
-        """Return how many are lost in all halls."""
+        """Return the number of lost engines in all halls."""
         return sum(self._lost.values())
--- a/src/lotushill/duties/order_duty.py
+++ b/src/lotushill/duties/order_duty.py
@@ -1,4 +1,4 @@
-"""Orders of engines: what each hall is to have, sent to the platform while the duties are held."""
+"""Sends the platform the engine orders of each hall while this gateway holds the duties."""
 
 from __future__ import annotations
 
@@ -31,28 +31,33 @@
 
 _ORDER_SECONDS = 0.5
 _REPEAT_SECONDS = 13.0
-"""An order is sent again so often: one without an answer may be carried out after later ones."""
+"""Interval in seconds at which an order is repeated.
+
+The platform may carry out an unanswered order after later ones.
+"""
 _REFUSED_SECONDS = 3.0
-"""After reclaimable engines were refused they are asked for again so often."""
+"""Interval in seconds at which refused reclaimable engines are ordered again."""
 _FIRST_ORDER_SECONDS = 2.0
-"""After taking over, the counts of all gateways have come."""
+"""Seconds after a takeover before the first order, by when the counts of all gateways are known."""
 _STEADY_SECONDS = 2.5
-"""Two heartbeats of engines: where nothing was ordered yet, their number is believed once it has
-not risen for so long. Entries come one by one after a start, and what is missing would be given
-back."""
+"""Seconds without an increase after which the initial number of engines counts as complete.
+
+This is two heartbeats of engines, and applies if nothing was ordered yet. Entries appear one by one
+after a start, and engines whose entry is missing would be returned.
+"""
 
 
 @dataclass(frozen=True)
 class _Sent:
-    """An order that was sent; it is taken for done."""
+    """An order that was sent and is assumed to be carried out."""
 
     engines: int
     due: float
-    """When it is sent again."""
+    """Time at which the order is sent again."""
 
 
 class OrderDuty:
-    """Decides and orders while the duties are held."""
+    """Computes and sends engine orders while this gateway holds the duties."""
 
     def __init__(
         self,
@@ -73,21 +78,21 @@
         """Requests in progress by service and gateway."""
         self._orders: dict[str, StandingOrders] = {}
         self._bases: dict[str, int] = {}
-        """How many engines of each service stood before anything was ordered."""
+        """Number of engines of each service that existed before anything was ordered."""
         self._standing: dict[str, tuple[int, float]] = {}
-        """The most engines that were seen of each service, and since when."""
+        """Highest number of engines observed for each service, and the time since when."""
         self._sizings: dict[str, EngineSizing] = {}
         self._sent: dict[tuple[str, bool], _Sent] = {}
         self._asked_for: dict[tuple[str, str], int] = {}
-        """Engines that were taken away of a service in a hall, when they were last asked for."""
+        """Lost engines by service and hall at the last repetition of their order."""
 
     def receive(self, page: WorkPage) -> None:
-        """Take in what a gateway has to do."""
+        """Store the demand that a gateway reports."""
         for told in page.demand:
             self._demand.setdefault(told.service, {})[page.sender] = told.running
 
     def begin(self, former: DutyRecord) -> None:
-        """Go on from the record of the former holder."""
+        """Continue from the record of the former holder."""
         self._sent = {}
         self._sizings = {}
         self._orders = dict(former.orders)
@@ -98,7 +103,7 @@
         return replace(record, orders=dict(self._orders), bases=dict(self._bases))
 
     async def run(self) -> None:
-        """Order what is due, for ever."""
+        """Send the orders that are due, until cancelled."""
         lease = self._ownership.lease
         while True:
             await anyio.sleep(_ORDER_SECONDS)
@@ -111,10 +116,8 @@
                     if self._is_due(order, now):
                         group.start_soon(self._order_one, order)
 
-    # What is wanted
-
     def _size(self, service: Service) -> list[EngineOrder]:
-        """Return what a service is to have, one order a hall and kind."""
+        """Return the orders for a service, one for each hall and kind of engine."""
         if service.scaling is None or service.engine is None:
             return []
         now = self._clock()
@@ -135,9 +138,9 @@
         return out
 
     def _ask_again_for_lost(self, service: str, hall: str, sizing: EngineSizing) -> None:
-        """Order reclaimable engines once more where some were taken away.
+        """Repeat the order of reclaimable engines in a hall where some were taken away.
 
-        The order in force says nothing of whether others are to be had.
+        The order in force does not show whether others are available.
         """
         lost = sizing.lost(hall)
         if lost > self._asked_for.get((service, hall), 0):
@@ -146,18 +149,18 @@
         self._asked_for[service, hall] = lost
 
     def _limited(self, service: Service, slots: int) -> float:
-        """Return how many engines' work is not done since they name limits."""
+        """Return the capacity in engines that is lost to the rate limits of the upstreams."""
         rates = (self._sight.limit(item.id) for item in self._sight.upstreams.of(service.name))
         return engines_lost(rates, self._sight.stream_seconds(service.name), slots)
 
     def _running(self, service: Service) -> int:
-        """Return how many requests for a service are in progress in the whole fleet."""
+        """Return the number of requests for a service in progress in the whole fleet."""
         live = {member.name for member in self._sight.members()}
         told = self._demand.get(service.name, {})
         return sum(told[name] for name in told.keys() & live)
 
     def _sizing(self, service: Service, halls: Mapping[str, HallEngines]) -> EngineSizing | None:
-        """Return what follows the demand for a service, None while its engines still appear."""
+        """Return the sizing of a service, or None while its engines are still appearing."""
         found = self._sizings.get(service.name)
         if found is not None:
             return found
@@ -180,7 +183,7 @@
     def _steady_count(
         self, service: str, halls: Mapping[str, HallEngines], now: float
     ) -> int | None:
-        """Return how many engines stand, None while more of them still appear."""
+        """Return the number of engines, or None while more of them are still appearing."""
         count = sum(hall.serving for hall in halls.values())
         most, since = self._standing.get(service, (0, now))
         if count > most:
@@ -201,8 +204,6 @@
             for hall, count in sorted(serving.items())
         }
 
-    # Orders
-
     def _is_due(self, order: EngineOrder, now: float) -> bool:
         sent = self._sent.get(_key(order))
         return sent is None or sent.engines != order.engines or now >= sent.due
@@ -225,10 +226,10 @@
             self._sent.pop(_key(order), None)
 
     def _take_refusal(self, order: EngineOrder) -> None:
-        """Tell a newer token from reclaimable engines that are not to be had.
+        """Distinguish a newer token from a shortage of reclaimable engines.
 
-        The answer is the same for both. One that the store has not confirmed for a whole lease
-        may have been followed, and does not go on with a token that may be old.
+        The answer is the same for both. A holder that the store has not confirmed for a whole lease
+        may have a successor, and does not continue with a token that may be outdated.
         """
         now = self._clock()
         if not order.reclaimable or not self._ownership.lease.confirmed_lately(now):
--- a/src/lotushill/duties/ownership.py
+++ b/src/lotushill/duties/ownership.py
@@ -1,4 +1,4 @@
-"""Holds the duties through one object of the platform's store, or takes them over."""
+"""Holds or takes over the duties through one object of the platform's store."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     from lotushill.views.stored_object import StoredObject
 
 KIND = "lotushill-duties"
-"""The kind of the platform's store that holds one object, of this name:"""
+"""The kind in the platform's store that contains the single object `NAME`."""
 NAME = "main"
 TICK_SECONDS = 0.25
 _RENEWALS_A_LEASE = 2.5
 _LOOKS_A_LEASE = 3.0
 _COLLECTORS = 2
-"""Candidates that know what gateways counted; one of them is likely the holder."""
+"""Number of gateways that collect the counts of all; usually one of them is the holder."""
 
 
 class Ownership:
-    """The lease of one gateway, and the record as it was last read or confirmed."""
+    """The lease of one gateway, and the record as last read or confirmed."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         clock: Callable[[], float],
         lease_seconds: float,
     ) -> None:
-        """Hold by `lease`; what is done with the record is set by `serve`."""
+        """Hold the duties through `lease`; the arguments of `serve` determine the record."""
         self.lease = lease
         self.record: DutyRecord | None = None
         self._store = store
@@ -57,7 +57,7 @@
         self._lease_seconds = lease_seconds
         self._seen: StoredObject | None = None
         self._retired = False
-        """Whether this process stops, and takes nothing any more."""
+        """Whether this process is stopping and no longer acquires the duties."""
 
     async def serve(
         self,
@@ -66,10 +66,11 @@
         next_record: Callable[[DutyRecord], DutyRecord],
         is_urgent: Callable[[], bool],
     ) -> None:
-        """Renew while the duties are held, else look whether they are to be taken; for ever.
+        """Renew the lease while it is held, otherwise acquire it when possible, until cancelled.
 
-        `first_record` makes the record where there is none; `on_taken` hears of the one of the
-        former holder; `next_record` adds what is to be recorded, at once where `is_urgent`.
+        `first_record` creates the record if there is none. `on_taken` receives the record of the
+        former holder. `next_record` adds what is to be recorded, which is written at once if
+        `is_urgent` returns true.
         """
         while True:
             due = self._clock()
@@ -81,27 +82,27 @@
                 await self._look(first_record, on_taken)
                 due += self._lease_seconds / _LOOKS_A_LEASE * (1 + min(2, self._sight.rank()))
             await anyio.sleep(TICK_SECONDS)
-            # What is urgent is recorded at once, but for a store that does not take it.
+            # Urgent data is recorded at once, unless the last write to the store failed.
             while self._clock() < due and not (written and self.lease.held and is_urgent()):
                 await anyio.sleep(TICK_SECONDS)
 
     def collects(self) -> bool:
-        """Return whether this gateway holds the duties, or is among the first to take them."""
+        """Return whether this gateway holds the duties or is among the first candidates."""
         return self.lease.held or (self._sight.reads_store() and self._is_first())
 
     def lose(self, why: str) -> None:
-        """Stop acting with the present token."""
+        """Stop acting with the present token, for the reason `why`."""
         holder = self.record.holder if self.record else ""
         self._log.note("duty.lost", why=why, token=self.lease.token, holder=holder)
         self.lease.lose(self._clock())
 
     async def retire(self) -> None:
-        """Hand over since this process stops, and take the duties no more."""
+        """Hand over because this process stops, and never acquire the duties again."""
         self._retired = True
         await self.hand_over("stopping")
 
     async def hand_over(self, why: str) -> None:
-        """Let another gateway take over at once, if this one holds the duties."""
+        """Let another gateway take over at once if this one holds the duties."""
         record = self.record
         if not self.lease.held or record is None or self._seen is None:
             return
@@ -115,9 +116,9 @@
     async def _look(
         self, first_record: Callable[[], DutyRecord], on_taken: Callable[[DutyRecord], None]
     ) -> None:
-        """Read who holds the duties, and take them if nobody does."""
+        """Read which gateway holds the duties, and acquire them if none does."""
         try:
-            # What is old costs a tenth, and is found out when it is written at its revision.
+            # A stale read costs a tenth of a current one; a write at an old revision is rejected.
             found = await self._store.get(KIND, NAME, stale=True)
         except StoreError as error:
             self._log.note("duty.not_read", error=repr(error))
@@ -126,7 +127,7 @@
         self._take_in(found)
         self.lease.observe(found.revision if found else None, now)
         if found is not None and self.record is None:
-            # That of a later version, perhaps: windows that it reported would be counted again.
+            # A later version may have written it: replacing it would count windows twice.
             self._log.note("duty.unreadable", revision=found.revision)
         elif found is None or self.lease.may_take(self.record, now, self._is_first()):
             await self._take(self.record or first_record(), on_taken)
@@ -144,7 +145,7 @@
         on_taken(former)
 
     async def _renew(self, next_record: Callable[[DutyRecord], DutyRecord]) -> bool:
-        """Confirm the ownership; return whether the write is known to be in force."""
+        """Renew the lease; return whether the write is known to be in force."""
         record = self.record
         if record is None:
             self.lose("no record")
@@ -159,7 +160,7 @@
         return written
 
     async def _try_write(self, record: DutyRecord) -> bool:
-        """Write the record at the revision seen; return whether it is known to be in force."""
+        """Write the record at the last read revision; return whether it is known to be in force."""
         spec = to_spec(record)
         try:
             if self._seen is None:
@@ -176,7 +177,7 @@
         return True
 
     async def _read_again(self) -> bool:
-        """See whether a write of this process came through without its answer."""
+        """Read the record; return whether an unanswered write of this process succeeded."""
         try:
             found = await self._store.get(KIND, NAME)
         except StoreError as error:
--- a/src/lotushill/duties/ports.py
+++ b/src/lotushill/duties/ports.py
@@ -1,4 +1,4 @@
-"""What the duties ask of the rest of a gateway, of the store and of the platform."""
+"""Interfaces through which the duties use the gateway, the store and the platform."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 
 
 class Store(Protocol):
-    """The calls to the platform's store that a keeper makes."""
+    """The operations of the platform's store that the duties use."""
 
     async def get(self, kind: str, name: str, stale: bool = False) -> StoredObject | None:
-        """Return one object, None if there is none."""
+        """Return one object, or None if it does not exist."""
         ...
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
-        """Make an object that is not there."""
+        """Create an object that does not exist yet."""
         ...
 
     async def replace(
         self, kind: str, name: str, spec: Any, revision: int | None = None
     ) -> StoredObject:
-        """Replace an object at a revision."""
+        """Replace an object if it is at the given revision."""
         ...
 
 
 class Platform(Protocol):
-    """The calls that the holder of the duties makes."""
+    """The calls to the platform that the holder of the duties makes."""
 
     async def report_usage(
         self, window: int, counts: Mapping[str, int], signature: Signature
@@ -51,27 +51,30 @@
         ...
 
     async def order(self, order: EngineOrder, signature: Signature) -> CallEnd:
-        """Order engines."""
+        """Order engines of one kind in one hall."""
         ...
 
 
 @dataclass(frozen=True)
 class FleetSight:
-    """What the keeper sees of the fleet."""
+    """Access of the duties to the state of the fleet."""
 
     members: Callable[[], Iterable[MemberState]]
-    """All live members, this one included."""
+    """Returns all live members, including this gateway."""
     reads_store: Callable[[], bool]
-    """Whether the store serves this gateway, so that it may hold the duties."""
+    """Returns whether the store serves this gateway, so that it may hold the duties."""
     rank: Callable[[], int]
-    """Its place among all such gateways, 0 for the first."""
+    """Returns the rank of this gateway among all that the store serves, 0 for the first."""
     services: Callable[[], Iterable[Service]]
     upstreams: UpstreamView
     pull: Callable[[WorkPull, str], None]
-    """Sends a question for counts to an address."""
+    """Sends a request for counts to an address."""
     limit: Callable[[str], float]
-    """Requests a second that an upstream takes from all gateways, infinity without a limit."""
+    """Returns the requests per second that an upstream accepts from all gateways together.
+
+    Infinity means no limit.
+    """
     stream_seconds: Callable[[str], float]
-    """How long a request of a service runs, as far as this gateway knows."""
+    """Returns the seconds for which a request of a service runs, as known to this gateway."""
     own_pages: Callable[[int], Iterable[WorkPage]]
-    """What this gateway counted since a window."""
+    """Returns the counts of this gateway from a window on."""
--- a/src/lotushill/duties/standing_engines.py
+++ b/src/lotushill/duties/standing_engines.py
@@ -1,7 +1,8 @@
-"""How many reclaimable engines of a hall serve, told from orders and starts. Pure.
+"""Derives from orders and start times how many reclaimable engines of a hall serve.
 
-An engine's entry does not tell of which kind it is. Ordinary ones serve a start after their order
-and are not taken away, so that all others that serve are reclaimable.
+The entry of an engine does not contain its kind. Ordinary engines serve one start after their order
+and are not taken away, so all other serving engines are reclaimable. The module has no side
+effects.
 """
 
 from __future__ import annotations
@@ -10,32 +11,34 @@
 from dataclasses import dataclass
 
 _SLACK_SECONDS = 1.5
-"""After its start an engine's entry comes with its next heartbeat, and is read a little later."""
+"""Extra seconds after the start of an engine until its entry is known.
+
+The entry is written with the next heartbeat of the engine and read a little later.
+"""
 
 
 @dataclass(frozen=True)
 class Standing:
-    """Engines of one hall."""
+    """Numbers of engines of one hall."""
 
     ordinary: int
-    """Those that stand ordered."""
+    """Number of ordinary engines that are ordered."""
     serving: int
-    """Those of both kinds that serve and do not leave."""
+    """Number of engines of both kinds that serve and do not leave."""
 
 
 class StandingEngines:
-    """Tells the reclaimable engines of each hall from the ordinary ones."""
+    """Distinguishes the reclaimable engines of each hall from the ordinary ones."""
 
     def __init__(self) -> None:
         self._ordinary: dict[str, deque[tuple[float, int]]] = {}
-        """Rising numbers of ordinary engines, each with the last time at which so few stood
-        ordered."""
+        """Increasing numbers of ordinary engines, each with the last time so few were ordered."""
         self._reclaimable: dict[str, int] = {}
 
     def note(
         self, hall: str, engines: Standing, boot_seconds: float, dry: bool, now: float
     ) -> None:
-        """Note the engines of a hall; where it is `dry` no reclaimable ones are to be had."""
+        """Record the engines of a hall; in a `dry` hall no reclaimable ones are available."""
         ordinary, serving = engines.ordinary, engines.serving
         orders = self._ordinary.setdefault(hall, deque())
         while orders and orders[-1][1] >= ordinary:
@@ -44,10 +47,10 @@
         while orders[0][0] <= now - boot_seconds - _SLACK_SECONDS:
             orders.popleft()
         others = max(0, serving - orders[0][1])
-        # Where none are to be had, what comes is ordinary and only not expected yet.
+        # In a shortage, new engines are ordinary ones that serve earlier than expected.
         most = self._reclaimable.get(hall, others) if dry else others
         self._reclaimable[hall] = min(most, others)
 
     def reclaimable(self, hall: str) -> int:
-        """Return how many reclaimable engines of a hall serve, too many rather than too few."""
+        """Return an upper estimate of the reclaimable engines that serve in a hall."""
         return self._reclaimable.get(hall, 0)
--- a/src/lotushill/duties/true_time.py
+++ b/src/lotushill/duties/true_time.py
@@ -1,4 +1,4 @@
-"""True time from many clocks, of which some may be wrong by seconds."""
+"""Estimates the true time from many clocks, some of which may be wrong by seconds."""
 
 from __future__ import annotations
 
@@ -9,37 +9,38 @@
     from collections.abc import Callable
 
 _KEPT_SECONDS = 15.0
-"""A sample of another host's clock counts so long."""
+"""Seconds for which a sample of another host's clock is used."""
 
 
 class TrueTime:
-    """Seconds since 1970: an offset to the steady clock, so that steps of a clock do not show.
+    """The time in seconds since 1970, as an offset to the monotonic clock.
 
-    The offset begins as that of the own clock and is then told by a gateway that compares the
-    clocks of all; its error is that of the median clock and some milliseconds of travel.
+    Steps of a wall clock thus have no effect. The offset starts as that of the local clock and is
+    then received from a gateway that compares the clocks of all gateways. Its error is that of the
+    median clock plus some milliseconds of network delay.
     """
 
     def __init__(self, wall: Callable[[], float], clock: Callable[[], float]) -> None:
-        """Start from the own clocks: `wall` may step, `clock` never does."""
+        """Start from the local clocks: `wall` may step, `clock` is monotonic."""
         self._wall = wall
         self._clock = clock
         self._offset = wall() - clock()
         self._samples: dict[str, tuple[float, float]] = {}
 
     def now(self) -> float:
-        """Return the best estimate."""
+        """Return the best estimate of the true time."""
         return self._clock() + self._offset
 
     def wall(self) -> float:
-        """Return what the own host's clock shows."""
+        """Return the wall-clock time of the local host."""
         return self._wall()
 
     def adopt(self, now: float) -> None:
-        """Take the time that another gateway worked out from many clocks."""
+        """Adopt the time that another gateway computed from many clocks."""
         self._offset = now - self._clock()
 
     def compare(self, member: str, wall: float) -> None:
-        """Take in what another host's clock shows, and follow the median of all."""
+        """Add a sample of another host's clock, and set the offset to the median of all."""
         clock = self._clock()
         self._samples[member] = (wall - clock, clock)
         fresh = [offset for offset, at in self._samples.values() if clock - at < _KEPT_SECONDS]
--- a/src/lotushill/duties/usage_duty.py
+++ b/src/lotushill/duties/usage_duty.py
@@ -1,4 +1,4 @@
-"""Reports of usage: counts of all gateways, fixed once for each window, recorded, then sent."""
+"""Usage reports: counts of all gateways, settled once for each window, recorded, then sent."""
 
 from __future__ import annotations
 
@@ -30,22 +30,30 @@
     from lotushill.process.settings import DutySettings
 
 _PULL_SECONDS = 0.3
-"""Between two looks at the counts of all gateways: what one counts in it is lost with its host."""
+"""Interval in seconds at which the counts of all gateways are collected.
+
+What a gateway counts within it is lost together with its host.
+"""
 _PULLS_A_SECOND = 100.0
-"""Of all gateways; in a larger fleet the looks are further apart."""
+"""Limit of the requests for counts per second; a larger fleet is collected less often."""
 _AFTER_CLOSE_SECONDS = 0.4
-"""After a window has closed all gateways are asked at once: what is recorded and reported early is
-not lost with the holder."""
+"""Seconds after the close of a window at which the counts of all gateways are collected.
+
+Counts that are recorded and reported early are not lost together with the holder.
+"""
 _LONGEST_SETTLE_SECONDS = 5.0
-"""A gateway that is silent is waited for no longer: half of the time in which a report is due."""
+"""Seconds after the close of a window until it is settled without unresponsive gateways.
+
+This is half of the time within which a report is due.
+"""
 _FIRST_WINDOWS = 3
-"""Windows back that a gateway asks for which has not read a record yet."""
+"""Number of past windows that a gateway collects before it has read a record."""
 _RETRY_SECONDS = 0.5
 _MOST_SILENT_SHOWN = 5
 
 
 class UsageDuty:
-    """Collects, fixes and reports while the duties are held; a candidate collects as well."""
+    """Collects, settles and reports usage while the duties are held; candidates also collect."""
 
     def __init__(
         self,
@@ -68,12 +76,12 @@
         self._clock = clock
         self._ledger = UsageLedger()
         self._recorded: WindowCounts = {}
-        """Windows that are to be recorded with the next write, and those that were."""
+        """Counts of settled windows, both recorded and to be recorded with the next write."""
         self._reported: set[int] = set()
-        """Windows whose reports the platform has taken."""
+        """Windows whose reports the platform has accepted."""
 
     def receive(self, page: WorkPage) -> None:
-        """Take in what a gateway counted."""
+        """Merge the counts that a gateway reports."""
         self._time.compare(page.sender, page.wall)
         self._ledger.take(page, self._time.now())
 
@@ -82,17 +90,17 @@
         return int(self._time.now() // self._settings.report_window_seconds)
 
     def open_windows(self) -> set[int]:
-        """Return the windows of which counts are remembered."""
+        """Return the windows for which counts are stored."""
         return self._ledger.open_windows(-1)
 
     def begin(self, former: DutyRecord) -> None:
-        """Go on from the record of the former holder."""
+        """Continue from the record of the former holder."""
         self._recorded = {}
         self._reported = set()
         self._ledger.go_on_from(former.checkpoint)
 
     def add_to(self, record: DutyRecord) -> DutyRecord:
-        """Return the record with what was fixed and reported since."""
+        """Return the record with the windows that were settled and reported since."""
         pending = {
             window: counts
             for window, counts in {**record.reports, **self._recorded}.items()
@@ -103,15 +111,13 @@
         return replace(record, settled=settled, reports=pending, checkpoint=checkpoint)
 
     def has_unrecorded(self) -> bool:
-        """Return whether windows were fixed that no record holds yet."""
+        """Return whether there are settled windows that no record contains yet."""
         record = self._ownership.record
         settled = record.settled if record else -1
         return any(window > settled for window in self._recorded)
 
-    # Counts
-
     async def collect(self) -> None:
-        """Ask all gateways for their counts, for ever."""
+        """Request the counts of all gateways, until cancelled."""
         own = self._ownership.lease.name
         while True:
             if not self._ownership.collects():
@@ -132,7 +138,7 @@
         return record.settled + 1 if record else self.newest_window() - _FIRST_WINDOWS
 
     def _until_next_pull(self, members: int) -> float:
-        """Return the seconds until all are asked again: soon after a window has closed."""
+        """Return the seconds until the next collection, which follows the close of a window."""
         usual = max(_PULL_SECONDS, members / _PULLS_A_SECOND)
         seconds = self._settings.report_window_seconds
         into_window = self._time.now() % seconds
@@ -140,11 +146,11 @@
         return min(usual, max(TICK_SECONDS, after_close))
 
     def _settle(self, members: list[MemberState]) -> None:
-        """Fix the counts of windows that have closed and that all gateways told of since."""
+        """Settle the closed windows for which all gateways have reported since the close."""
         record = self._ownership.record
         if record is None:
             return
-        # Also where another gateway holds the duties: a candidate would keep every window for ever.
+        # A candidate also discards settled windows; otherwise it would store every window forever.
         self._ledger.forget(record.settled)
         if not self._ownership.lease.held or not self._settings.reports_usage:
             return
@@ -170,10 +176,8 @@
             silent=silent[:_MOST_SILENT_SHOWN],
         )
 
-    # Reports
-
     async def report(self) -> None:
-        """Send what is recorded and not yet reported, for ever."""
+        """Send the recorded windows that are not reported yet, until cancelled."""
         while True:
             await anyio.sleep(TICK_SECONDS)
             record = self._ownership.record
--- a/src/lotushill/duties/usage_ledger.py
+++ b/src/lotushill/duties/usage_ledger.py
@@ -1,4 +1,4 @@
-"""What all gateways counted, put together by the holder of the duties. Pure."""
+"""The counts of all gateways, merged by the holder of the duties; the time is an argument."""
 
 from __future__ import annotations
 
@@ -16,25 +16,29 @@
     from lotushill.links.messages import WorkPage
 
 _SAME_LIFE_SECONDS = 0.5
-"""Two starts of one gateway lie further apart; the same one is told a little differently."""
+"""Seconds within which reported start times belong to the same process.
+
+Two starts of one gateway are further apart; reports of the same start differ slightly.
+"""
 
 
 @dataclass
 class _Life:
-    """One process of one gateway."""
+    """The counts of one process of one gateway."""
 
     started: float
-    """True time."""
+    """True time of the start of the process."""
     heard: float
-    """True time of its last page."""
+    """True time of the last page of the process."""
     windows: dict[int, Counter[str]] = field(default_factory=dict)
 
 
 class UsageLedger:
-    """Counts by window and team, those of gateways that are gone included.
+    """Counts by window and team, including those of gateways that are gone.
 
-    What a former holder knew comes with its checkpoint. Gateways that started later are not in it
-    and are added; for the others the larger of both is true, since each is a part of the whole.
+    The counts of a former holder are in its checkpoint. Processes that started later are not
+    included in it and are added. For the others the larger of both counts is correct, since each is
+    a part of the total.
     """
 
     def __init__(self) -> None:
@@ -42,11 +46,11 @@
         self._lives: dict[str, list[_Life]] = {}
 
     def go_on_from(self, checkpoint: Checkpoint) -> None:
-        """Take in what a former holder recorded, beside what was heard here."""
+        """Set the checkpoint of a former holder, in addition to the counts received here."""
         self._checkpoint = checkpoint
 
     def take(self, page: WorkPage, now: float) -> None:
-        """Take in a page that came at some true time."""
+        """Merge a page that arrived at the true time `now`."""
         life = self._life(page.sender, now - page.age)
         life.heard = now
         for told in page.counts:
@@ -54,12 +58,12 @@
             teams[told.team] = max(teams[told.team], told.count)
 
     def heard_after(self, sender: str, moment: float) -> bool:
-        """Return whether a gateway told its counts after some true time."""
+        """Return whether a gateway reported its counts after a given true time."""
         lives = self._lives.get(sender, [])
         return bool(lives) and lives[-1].heard > moment
 
     def total(self, window: int) -> Counts:
-        """Return the requests of each team that began in a window, as far as is known."""
+        """Return the known number of requests of each team that started in a window."""
         known = Counter(self._checkpoint.windows.get(window, {}))
         old: Counter[str] = Counter()
         new: Counter[str] = Counter()
@@ -70,7 +74,7 @@
         return dict((known | old) + new)
 
     def open_windows(self, after: int) -> set[int]:
-        """Return the windows after one of which anything is known."""
+        """Return the windows after a given one that have counts."""
         known = set(self._checkpoint.windows)
         for lives in self._lives.values():
             for life in lives:
@@ -78,12 +82,12 @@
         return {window for window in known if window > after}
 
     def checkpoint(self, after: int, now: float) -> Checkpoint:
-        """Return what is known of the windows after one, at some true time."""
+        """Return a checkpoint of the windows after a given one, at the true time `now`."""
         windows = {window: self.total(window) for window in sorted(self.open_windows(after))}
         return Checkpoint(now, windows)
 
     def forget(self, settled: int) -> None:
-        """Drop the windows up to one."""
+        """Discard the windows up to and including `settled`."""
         for name, lives in list(self._lives.items()):
             for life in lives:
                 _drop(life.windows, settled)
--- a/src/lotushill/duties/work_counts.py
+++ b/src/lotushill/duties/work_counts.py
@@ -1,4 +1,4 @@
-"""What one gateway counts of its requests for the holder of the duties."""
+"""Counts of the requests of one gateway, for the holder of the duties."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     from lotushill.duties.true_time import TrueTime
 
 _WINDOWS_KEPT = 16
-"""Windows that a holder may still ask for."""
+"""Number of windows that are kept because a holder may still request them."""
 _MOST_COUNTS = 40
-"""Counts told in one datagram."""
+"""Limit of the counts in one datagram."""
 
 
 class WorkCounts:
-    """Requests that began at an upstream, by team and window; and those in progress."""
+    """Counts requests started at an upstream by team and window, and requests in progress."""
 
     def __init__(
         self, name: str, window_seconds: float, time: TrueTime, clock: Callable[[], float]
     ) -> None:
-        """Count for the gateway `name`; a window is so many seconds of true time."""
+        """Count for the gateway `name`; a window lasts `window_seconds` of true time."""
         self._name = name
         self._window_seconds = window_seconds
         self._time = time
@@ -42,7 +42,7 @@
         return int(self._time.now() // self._window_seconds)
 
     def note_began(self, team: str) -> None:
-        """Count a request that began at an upstream now."""
+        """Count a request that starts at an upstream now."""
         if not team:
             return
         window = self.window()
@@ -51,17 +51,17 @@
         self._windows[window][team] += 1
 
     def enter(self, service: str) -> None:
-        """Count in a request that is to be served."""
+        """Increment the number of requests in progress for a service."""
         self._running[service] += 1
 
     def leave(self, service: str) -> None:
-        """Count out a request."""
+        """Decrement the number of requests in progress for a service."""
         self._running[service] -= 1
 
     def pages(self, since: int) -> Iterator[WorkPage]:
-        """Yield what is known of the windows from `since` on, in parts that fit a datagram.
+        """Yield the counts of the windows from `since` on, in pages that fit a datagram.
 
-        Counts only ever rise, so that pages may be lost, come twice or in any order.
+        Counts only increase, so pages may be lost, duplicated or reordered.
         """
         counts = [
             TeamCount(window, team, count)
