--- a/tests/duties/__init__.py
+++ b/tests/duties/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of lotushill.views."""
+"""Tests of lotushill.duties."""
 
 from __future__ import annotations
--- a/tests/duties/test_duty_keeper.py
+++ b/tests/duties/test_duty_keeper.py
@@ -1,4 +1,4 @@
-"""Duties over many gateways: one holder, each window reported once, engines ordered."""
+"""Tests the duties over many gateways: one holder, each window reported once, engines ordered."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 class TestDuties(unittest.TestCase):
     def check(self, world: World) -> None:
-        """Hold against what the platform saw what must always hold."""
+        """Check the invariants against the calls that the platform received."""
         self.assertEqual(world.platform.differing, [])
         owners: dict[tuple[str, int], str] = {}
         for call in world.platform.calls:
@@ -51,7 +51,7 @@
         self.check_turns(world)
 
     def check_turns(self, world: World) -> None:
-        """No holder acts, is followed by another, and acts again within a lease."""
+        """Check that no holder acts again within a lease after another one has acted."""
         by_subject: dict[str, list[tuple[str, float]]] = {}
         for call in world.platform.calls:
             if call.taken:
@@ -72,7 +72,7 @@
         for window in world.closed_windows():
             told, truth = world.platform.reports[window], world.truth[window]
             for team, count in truth.items():
-                # One that begins within milliseconds of a border may count on either side.
+                # A request that starts within milliseconds of a border may count on either side.
                 self.assertAlmostEqual(told[team], count, delta=1)
         self.assertEqual(len({call.node for call in world.platform.calls}), 1)
         self.check(world)
@@ -108,7 +108,7 @@
 
     @in_virtual_time
     async def test_one_that_stops_does_not_take_the_duties_again(self) -> None:
-        """A planned stop lasts longer than one that gave up stays out."""
+        """A planned shutdown takes longer than the time for which a former holder stays out."""
         world = await started(count=1)
         holder = world.holder()
         assert holder is not None
@@ -119,7 +119,7 @@
 
     @in_virtual_time
     async def test_a_record_that_cannot_be_read_is_not_replaced(self) -> None:
-        """It may be that of a later version, whose reports would be made again otherwise."""
+        """A later version may have written it, whose reports would otherwise be sent again."""
         world = World(3)
         world.store.create("lotushill-duties", "main", {"form": 2})
         for node in world.nodes:
@@ -131,7 +131,7 @@
 
     @in_virtual_time
     async def test_what_a_candidate_remembers_is_bounded(self) -> None:
-        """Only the holder dropped old windows: a candidate kept every window for ever."""
+        """A candidate must discard settled windows too, or it would store every window forever."""
         world = await started()
         await world.serve(60.0)
         for node in world.nodes:
@@ -151,7 +151,7 @@
             node.start()
         await world.serve(30.0)
         world.end()
-        # What began within the last second before is known to nobody.
+        # No gateway knows the requests that started within the last second before the outage.
         self.assertLessEqual(len(world.wrong()), 1)
         self.check(world)
 
@@ -171,13 +171,13 @@
 
     @in_virtual_time
     async def test_a_holder_without_the_store_stops_after_a_call_was_refused(self) -> None:
-        """The answer to it is the same as where no reclaimable engines are to be had."""
+        """The refusal is the same as the one in a shortage of reclaimable engines."""
         world = await started()
         holder = world.holder()
         assert holder is not None
         holder.store_cut = True
         await world.serve(8.0)
-        # More is to be had of the reclaimable engines alone, and only these are ordered anew.
+        # Only reclaimable engines are available in addition, so only these are ordered again.
         for _ in range(400):
             holder.work.enter("llm")
         await world.serve(12.0)
@@ -305,7 +305,7 @@
     async def play(
         self, count: int, fenced: bool, plan: list[tuple[str, bool, int, float]]
     ) -> None:
-        """Play faults one after another and overlapping; then all is well again."""
+        """Inject faults in sequence and overlapping, then end all of them."""
         world = await started(count, fenced, seed=len(plan))
         running: list[Awaitable[None]] = []
         for kind, on_holder, index, seconds in plan:
@@ -321,11 +321,11 @@
             self.check(world)
         else:
             self.assertEqual(world.platform.differing, [])
-        # Once all is well the duties are done again.
+        # Once all faults have ended, the duties are performed again.
         self.assertEqual([item for item in world.wrong() if item[0] == newest], [])
 
     async def trouble(self, world: World, kind: str, node: Node, seconds: float) -> None:
-        """Bring one trouble about for some time."""
+        """Inject one fault for some time."""
         if kind == "kill":
             node.kill()
         elif kind == "stop":
--- a/tests/duties/test_engine_sizing.py
+++ b/tests/duties/test_engine_sizing.py
@@ -1,4 +1,4 @@
-"""Orders of engines: bursts, halls that lose all their reclaimable engines, and calm."""
+"""Tests engine orders in bursts, in steady load and when halls lose all reclaimable engines."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         self.assertGreater(orders["a"].reclaimable, orders["a"].ordinary)
 
     def test_what_engines_with_a_limit_do_not_do_others_are_ordered_for(self) -> None:
-        """Half of 56 engines take one request a second and run it for 1.4 s, in place of seven."""
+        """Half of 56 engines accept one request of 1.4 s per second: 1.4 in progress, not seven."""
         for second in range(40):
             self.sizing.note_demand(200, float(second))
         rates = [1.0] * 28 + [NO_LIMIT] * 28
--- a/tests/duties/test_reclaim.py
+++ b/tests/duties/test_reclaim.py
@@ -1,7 +1,8 @@
-"""All reclaimable engines of a hall are taken away, while none are to be had anywhere.
+"""Tests that all reclaimable engines of a hall are replaced when none are available anywhere.
 
-Seen on a fleet whose halls had all the engines that they may have: the order for the hall stood, so
-that nothing was ordered in their place for eight seconds, in which a burst came.
+In a fleet whose halls had all engines that they may have, the order for the hall remained
+unchanged, so nothing was ordered in place of the lost engines for eight seconds, and a burst
+arrived in that time.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Platform:
-    """Starts and takes away engines as they are ordered; each kind after the time of a start."""
+    """Starts and stops engines as ordered; engines of each kind serve after their boot time."""
 
     def __init__(self) -> None:
         self.there = {hall: [2, 16] for hall in "abcd"}
@@ -30,7 +31,7 @@
         self.refused: list[str] = []
 
     def order(self, hall: str, kind: int, wanted: int, now: float) -> bool:
-        """Order engines of a kind, 1 for reclaimable ones; return whether they are to be had."""
+        """Order engines of a kind, 1 for reclaimable ones; return whether they are available."""
         coming = sum(n for _, h, k, n in self.booting if (h, k) == (hall, kind))
         more = wanted - self.there[hall][kind] - coming
         if more > 0 and kind and now < self.dry_until:
@@ -42,7 +43,7 @@
         return True
 
     def advance(self, now: float) -> None:
-        """Let engines serve whose start is over."""
+        """Let the engines serve that have finished booting."""
         for item in [item for item in self.booting if item[0] <= now]:
             self.booting.remove(item)
             self.there[item[1]][item[2]] += item[3]
@@ -59,7 +60,7 @@
         self.seconds: dict[float, int] = {}
 
     def play(self, ends: float, reclaimed_at: float, demand: int, starts: float = 0.0) -> None:
-        """Order twice a second; hall a loses its reclaimable engines at some moment."""
+        """Order twice per second; hall a loses its reclaimable engines at `reclaimed_at`."""
         now = starts
         while now < ends:
             self.platform.advance(now)
@@ -98,7 +99,7 @@
         self.assertGreaterEqual(self.seconds[74.5], 0.97 * self.seconds[19.5])
 
     def test_in_a_shortage_none_that_serves_is_given_back(self) -> None:
-        """Ordinary ones take the time of a start; what serves until then is not to go for them."""
+        """Ordinary engines serve only after their boot time; until then serving ones are kept."""
         self.platform.dry_until = 40.0
         self.play(19.5, -1.0, 340)
         before = self.seconds[19.0]
@@ -118,7 +119,7 @@
         self.assertGreaterEqual(self.seconds[28.0], 70)
 
     def test_a_hall_that_has_all_it_may_have_loses_hardly_any_room(self) -> None:
-        """No other hall may have more, so that all have to come in the hall itself."""
+        """No other hall may have more engines, so all replacements come in the hall itself."""
         self.platform.there = {hall: [2, 21] for hall in "abcd"}
         self.orders = {hall: StandingOrders(2, 21) for hall in "abcd"}
         self.platform.dry_until = 28.0
--- a/tests/duties/virtual_duties.py
+++ b/tests/duties/virtual_duties.py
@@ -1,7 +1,7 @@
-"""Gateways with the real keeper of duties before a store and a platform, in virtual time.
+"""Simulates gateways that run the real duties against a store and a platform in virtual time.
 
-The ledger of `FakePlatform` says what the platform saw: who called, with which token, and what was
-taken. What must hold is checked there and not from what gateways say.
+`FakePlatform` records what the platform receives: the caller, its token, and whether the call was
+accepted. The invariants are checked against these records and not against the state of gateways.
 """
 
 from __future__ import annotations
@@ -45,18 +45,18 @@
 WINDOW = 5.0
 LEASE = 3.0
 LATE = 10.0
-"""After a window has closed, when its report is due."""
+"""Seconds after the close of a window within which its report is due."""
 EPOCH = 1_700_000_000.0
 TRAVEL = 0.002
 DETECT = 1.5
-"""Until others take a silent gateway for lost."""
+"""Seconds until other gateways consider an unresponsive gateway lost."""
 SERVICE = Service("llm", 100, EngineProfile(12, 100_000, 10), ScalingProfile(1, 28, 0.22))
 TEAMS = ("bakery", "kiosk", "pharmacy")
 
 
 @dataclass(frozen=True)
 class Call:
-    """One call as the platform carried it out."""
+    """One call that the platform carried out."""
 
     at: float
     node: str
@@ -66,7 +66,7 @@
 
 
 class FakePlatform:
-    """Takes reports and orders; may check tokens, be down, or do things late."""
+    """Accepts reports and orders; may check tokens, be down, or carry out calls late."""
 
     def __init__(self, fenced: bool, rng: random.Random) -> None:
         self.fenced = fenced
@@ -82,7 +82,7 @@
         self._tokens: dict[str, int] = {}
 
     def carry_out(self, node: str, subject: str, token: int) -> bool:
-        """Return whether a call with a token is taken, and keep it."""
+        """Record a call with a token, and return whether it is accepted."""
         newest = self._tokens.get(subject, 0)
         taken = token >= newest or not self.fenced
         self._tokens[subject] = max(newest, token)
@@ -90,14 +90,14 @@
         return taken
 
     def take_report(self, window: int, counts: dict[str, int]) -> None:
-        """Keep the first report of a window, and note one that differs."""
+        """Store the first report of a window, and record later ones that differ."""
         if self.reports.setdefault(window, counts) != counts:
             self.differing.append(window)
         self.reported_at.setdefault(window, asyncio.get_running_loop().time())
 
 
 class Node:
-    """One host: it may be killed, frozen, cut off, and its clock may step."""
+    """One host that may be killed, frozen or cut off, and whose clock may step."""
 
     def __init__(self, world: World, index: int) -> None:
         self.world = world
@@ -150,19 +150,19 @@
         self.seen_alive = self.alive
 
     def kill(self) -> None:
-        """End the process without a word."""
+        """End the process unannounced."""
         self.alive = False
         if self.task is not None:
             self.task.cancel()
         asyncio.get_running_loop().call_later(DETECT, self._noticed)
 
     async def stop(self) -> None:
-        """End the process in a planned way."""
+        """End the process by a planned shutdown."""
         await self.keeper.hand_over()
         self.kill()
 
     def begin_request(self, team: str) -> None:
-        """Serve a request that begins now."""
+        """Start a request now."""
         if self.alive:
             self.work.note_began(team)
             window = int((EPOCH + self.world.now()) // WINDOW)
@@ -200,12 +200,12 @@
             self.keeper.receive(page)
 
     def hears(self, other: Node) -> bool:
-        """Return whether datagrams of another node come here."""
+        """Return whether datagrams of another host arrive here."""
         return self.alive and self.thawed.is_set() and not self.peers_cut and not other.peers_cut
 
 
 class NodeStore:
-    """The store as one node reaches it."""
+    """Access of one host to the store."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -219,7 +219,7 @@
             return None
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
-        """Make an object."""
+        """Create an object."""
         return await self._write(lambda store: store.create(kind, name, spec))
 
     async def replace(
@@ -251,7 +251,7 @@
         return found
 
     async def _lose(self, act: Any) -> None:
-        """Carry a call out now or seconds later, and never answer."""
+        """Carry out a call now or seconds later, without ever answering."""
         world = self._node.world
         asyncio.get_running_loop().call_later(
             world.rng.choice((0.0, 3.0)), _quietly, act, world.store
@@ -261,7 +261,7 @@
 
 
 class NodePlatform:
-    """The platform's calls as one node reaches them."""
+    """Access of one host to the calls of the platform."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -314,7 +314,7 @@
 
 @dataclass
 class World:
-    """Everything, with its faults."""
+    """All hosts, the store and the platform, with the faults in force."""
 
     count: int
     fenced: bool = True
@@ -332,7 +332,7 @@
         self.nodes = [Node(self, index) for index in range(self.count)]
 
     def stand(self, engines: int) -> None:
-        """Let each of two halls have so many engines."""
+        """Give each of two halls the given number of engines."""
         self.view.replace(
             [
                 Upstream(f"{hall}{n}", "llm", f"10.1.0.{n}:1", hall, 12, False)
@@ -343,20 +343,20 @@
         )
 
     def now(self) -> float:
-        """Return the loop's time."""
+        """Return the time of the event loop."""
         return asyncio.get_running_loop().time()
 
     def readers(self) -> list[Node]:
-        """Return the nodes that read the store: the first that it serves."""
+        """Return the hosts that read the store, which are the first ones that it serves."""
         return [node for node in self.nodes if node.alive and not node.store_cut][:4]
 
     def holder(self) -> Node | None:
-        """Return who holds the duties, as far as it knows."""
+        """Return the host that considers itself the holder, the one with the newest token."""
         held = [node for node in self.nodes if node.alive and node.keeper.lease.held]
         return max(held, key=lambda node: node.keeper.lease.token or 0, default=None)
 
     async def serve(self, seconds: float, rate: float = 40.0) -> None:
-        """Let requests begin at all nodes for some time."""
+        """Start requests at random hosts for some time."""
         ends = self.now() + seconds
         while self.now() < ends:
             await asyncio.sleep(1.0 / rate)
@@ -368,12 +368,12 @@
             node.kill()
 
     def closed_windows(self) -> list[int]:
-        """Return the windows whose reports are due by now, but for the first."""
+        """Return the windows whose reports are due by now, without the first one."""
         newest = int((EPOCH + self.now() - 10.0) // WINDOW)
         return sorted(window for window in self.truth if window < newest)[1:]
 
     def wrong(self) -> list[tuple[int, str]]:
-        """Return the windows that were reported late, never, or beyond a twentieth wrong."""
+        """Return the windows reported late, never, or with an error of more than a twentieth."""
         found = []
         for window in self.closed_windows():
             told, truth = self.platform.reports.get(window), self.truth[window]
--- a/tests/duties/virtual_time.py
+++ b/tests/duties/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next thing that is due."""
+"""An event loop whose clock jumps to the next scheduled event."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Never waits: it moves the clock by what it was to wait for."""
+    """Advances the clock by the timeout instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs in virtual time; nothing in it may wait for the world outside."""
+    """Runs in virtual time; no task in it may wait for anything outside of the loop."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
@@ -36,6 +36,6 @@
 
 
 def run_virtual(main: Coroutine[Any, Any, None]) -> None:
-    """Run to its end in virtual time."""
+    """Run a coroutine to completion in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(main)
