--- a/tests/duties/test_call_health.py
+++ b/tests/duties/test_call_health.py
@@ -7,12 +7,12 @@
 
 
 class TestCallHealth(unittest.TestCase):
-    def test_single_calls_without_an_answer_say_nothing(self) -> None:
+    def test_single_unanswered_call_does_not_count(self) -> None:
         health = CallHealth()
         health.note(CallEnd.UNANSWERED, 0.0)
         self.assertFalse(health.silent(60.0))
 
-    def test_several_over_some_seconds_do_and_one_answer_ends_it(self) -> None:
+    def test_several_unanswered_calls_count_until_one_is_answered(self) -> None:
         health = CallHealth()
         for began in (0.0, 2.0, 3.5):
             health.note(CallEnd.UNANSWERED, began)
--- a/tests/duties/test_duty_keeper.py
+++ b/tests/duties/test_duty_keeper.py
@@ -64,7 +64,7 @@
                 last[node] = at
 
     @in_virtual_time
-    async def test_in_calm_times_every_window_is_reported_exactly(self) -> None:
+    async def test_without_faults_every_window_is_reported_exactly(self) -> None:
         world = await started()
         await world.serve(60.0)
         world.end()
@@ -107,7 +107,7 @@
         self.check(world)
 
     @in_virtual_time
-    async def test_one_that_stops_does_not_take_the_duties_again(self) -> None:
+    async def test_stopping_gateway_does_not_acquire_the_duties_again(self) -> None:
         """A planned shutdown takes longer than the time for which a former holder stays out."""
         world = await started(count=1)
         holder = world.holder()
@@ -118,7 +118,7 @@
         world.end()
 
     @in_virtual_time
-    async def test_a_record_that_cannot_be_read_is_not_replaced(self) -> None:
+    async def test_unreadable_record_is_not_replaced(self) -> None:
         """A later version may have written it, whose reports would otherwise be sent again."""
         world = World(3)
         world.store.create("lotushill-duties", "main", {"form": 2})
@@ -130,7 +130,7 @@
         world.end()
 
     @in_virtual_time
-    async def test_what_a_candidate_remembers_is_bounded(self) -> None:
+    async def test_windows_stored_by_candidates_are_bounded(self) -> None:
         """A candidate must discard settled windows too, or it would store every window forever."""
         world = await started()
         await world.serve(60.0)
@@ -170,7 +170,7 @@
             self.assertEqual(world.platform.differing, [])
 
     @in_virtual_time
-    async def test_a_holder_without_the_store_stops_after_a_call_was_refused(self) -> None:
+    async def test_holder_without_the_store_stops_after_a_refused_call(self) -> None:
         """The refusal is the same as the one in a shortage of reclaimable engines."""
         world = await started()
         holder = world.holder()
@@ -265,7 +265,7 @@
         self.check(world)
 
     @in_virtual_time
-    async def test_ordinary_engines_give_way_to_reclaimable_ones(self) -> None:
+    async def test_reclaimable_engines_replace_ordinary_ones(self) -> None:
         world = await started()
         await world.serve(20.0)
         world.end()
@@ -275,7 +275,7 @@
             self.assertGreater(engines[hall, True], engines[hall, False])
 
     @in_virtual_time
-    async def test_a_new_holder_goes_on_from_what_was_ordered(self) -> None:
+    async def test_new_holder_continues_from_existing_orders(self) -> None:
         world = await started()
         holder = world.holder()
         assert holder is not None
@@ -353,7 +353,7 @@
 
 
 class TestRecord(unittest.TestCase):
-    def test_what_cannot_be_read_is_no_record(self) -> None:
+    def test_unreadable_spec_gives_no_record(self) -> None:
         specs: tuple[object, ...] = (None, {}, {"holder": "a"}, [], {"holder": "a", "life": "x"})
         for spec in specs:
             self.assertIsNone(from_spec(spec))
--- a/tests/duties/test_engine_sizing.py
+++ b/tests/duties/test_engine_sizing.py
@@ -28,7 +28,7 @@
     def setUp(self) -> None:
         self.sizing = EngineSizing(56, 0.0)
 
-    def test_before_any_demand_as_many_stand_as_were_set_up(
+    def test_initial_engines_are_kept_before_any_demand(
         self,
     ) -> None:
         only = ScalingProfile(1, 28, None)
@@ -37,7 +37,7 @@
         self.assertGreater(total(orders), 56)
         self.assertGreater(orders["a"].reclaimable, orders["a"].ordinary)
 
-    def test_what_engines_with_a_limit_do_not_do_others_are_ordered_for(self) -> None:
+    def test_capacity_lost_to_rate_limits_is_ordered_in_addition(self) -> None:
         """Half of 56 engines accept one request of 1.4 s per second: 1.4 in progress, not seven."""
         for second in range(40):
             self.sizing.note_demand(200, float(second))
@@ -49,17 +49,17 @@
         after = total(self.sizing.orders(only, SLOTS, standing(14), 40.0, lost))
         self.assertAlmostEqual(before + lost, after, delta=len(HALLS))
 
-    def test_a_limit_above_what_an_engine_does_takes_nothing_away(self) -> None:
+    def test_limit_above_the_capacity_of_an_engine_loses_nothing(self) -> None:
         self.assertEqual(0.0, engines_lost([NO_LIMIT, 50.0], 1.4, SLOTS))
 
-    def test_room_for_twice_the_demand_stands_before_a_burst(self) -> None:
+    def test_capacity_for_twice_the_demand_exists_before_a_burst(self) -> None:
         for second in range(40):
             self.sizing.note_demand(200, float(second))
         self.assertLess(self.sizing.wanted(SLOTS, 40.0), 70)
         wanted = self.sizing.wanted(SLOTS, 40.0)
         self.assertGreaterEqual(wanted * SLOTS, 2 * 200)
 
-    def test_a_burst_orders_more_at_once_and_gives_back_late(self) -> None:
+    def test_burst_orders_engines_at_once_and_returns_them_late(self) -> None:
         self.sizing.note_demand(200, 30.0)
         calm = total(self.sizing.orders(SCALING, SLOTS, standing(14), 30.0))
         self.sizing.note_demand(380, 31.0)
@@ -70,7 +70,7 @@
         self.sizing.note_demand(200, 70.0)
         self.assertLess(total(self.sizing.orders(SCALING, SLOTS, standing(14), 70.0)), burst)
 
-    def test_other_halls_take_the_place_of_one_without_reclaimable_engines(self) -> None:
+    def test_other_halls_replace_one_without_reclaimable_engines(self) -> None:
         self.sizing.note_demand(200, 30.0)
         before = self.sizing.orders(SCALING, SLOTS, standing(14), 30.0)
         self.sizing.note_dry("a", 30.5)
@@ -79,21 +79,21 @@
         after = self.sizing.orders(SCALING, SLOTS, standing(14), 40.0)
         self.assertEqual(after, before)
 
-    def test_ordinary_engines_are_ordered_where_few_are_left_and_no_others_to_be_had(self) -> None:
+    def test_ordinary_engines_are_ordered_in_a_general_shortage(self) -> None:
         self.sizing.note_demand(200, 30.0)
         for hall in HALLS:
             self.sizing.note_dry(hall, 30.0)
         orders = self.sizing.orders(SCALING, SLOTS, standing(4, StandingOrders(3, 11)), 30.5)
         self.assertGreaterEqual(orders["a"].ordinary, 14)
 
-    def test_in_service_no_ordinary_engine_goes_back_before_another_stands_for_it(self) -> None:
+    def test_ordinary_engine_is_returned_only_after_its_replacement_serves(self) -> None:
         self.sizing.note_demand(200, 0.0)
         orders = self.sizing.orders(SCALING, SLOTS, standing(14), 0.5)
         self.assertEqual(orders["a"].ordinary, 14)
         later = self.sizing.orders(SCALING, SLOTS, standing(34, orders["a"]), 6.0)
         self.assertLess(later["a"].ordinary, 6)
 
-    def test_bounds_of_the_service_hold(self) -> None:
+    def test_orders_stay_within_the_limits_of_the_service(self) -> None:
         self.sizing.note_demand(100_000, 30.0)
         orders = self.sizing.orders(SCALING, SLOTS, standing(14), 30.0)
         self.assertEqual({item.ordinary + item.reclaimable for item in orders.values()}, {28})
--- a/tests/duties/test_lease.py
+++ b/tests/duties/test_lease.py
@@ -13,7 +13,7 @@
     def lease(self, fenced: bool = True) -> Lease:
         return Lease("own", 1, LeaseOptions(3.0, fenced), now=0.0)
 
-    def test_a_holder_is_waited_for_a_whole_lease_from_its_last_change(self) -> None:
+    def test_takeover_waits_a_whole_lease_from_the_last_change(self) -> None:
         lease = self.lease()
         lease.observe(7, 10.0)
         lease.observe(8, 12.0)
@@ -22,16 +22,16 @@
         self.assertTrue(lease.may_take(THEIRS, 15.0))
         self.assertFalse(lease.may_take(THEIRS, 15.0, first=False))
 
-    def test_what_was_handed_over_is_taken_at_once(self) -> None:
+    def test_handed_over_duties_are_acquired_at_once(self) -> None:
         lease = self.lease()
         lease.observe(8, 12.0)
         self.assertTrue(lease.may_take(DutyRecord("", 1), 12.0))
 
-    def test_a_new_process_waits_a_lease_before_it_takes_anything(self) -> None:
+    def test_new_process_waits_a_lease_before_it_acquires_the_duties(self) -> None:
         lease = self.lease()
         self.assertFalse(lease.may_take(DutyRecord("", 1), 2.9))
 
-    def test_one_that_lost_stays_out_for_two_leases(self) -> None:
+    def test_former_holder_backs_off_for_two_leases(self) -> None:
         lease = self.lease()
         lease.take(9, 10.0)
         lease.lose(11.0)
@@ -47,7 +47,7 @@
         lease.renew(11.0)
         self.assertTrue(lease.may_act(12.4))
 
-    def test_with_checked_tokens_an_outage_of_the_store_stops_no_act(self) -> None:
+    def test_with_checked_tokens_a_store_outage_stops_no_call(self) -> None:
         lease = self.lease(fenced=True)
         lease.take(9, 10.0)
         self.assertTrue(lease.may_act(60.0))
--- a/tests/duties/test_reclaim.py
+++ b/tests/duties/test_reclaim.py
@@ -79,7 +79,7 @@
             self.seconds[now] = self.platform.total()
             now += STEP
 
-    def test_others_stand_in_their_place_after_one_start(self) -> None:
+    def test_lost_engines_are_replaced_after_one_start(self) -> None:
         self.platform.dry_until = 28.0
         self.play(40.0, 20.0, 340)
         before = self.seconds[19.5]
@@ -87,18 +87,18 @@
         self.assertGreaterEqual(self.seconds[26.0], 0.97 * before)
         self.assertGreaterEqual(min(self.seconds[t / 2] for t in range(52, 80)), 0.9 * before)
 
-    def test_where_others_are_to_be_had_no_ordinary_ones_are_ordered(self) -> None:
+    def test_no_ordinary_engines_are_ordered_without_a_shortage(self) -> None:
         self.play(40.0, 20.0, 340)
         self.assertGreaterEqual(self.seconds[26.0], 0.97 * self.seconds[19.5])
         self.assertEqual(8, sum(item.ordinary for item in self.orders.values()))
 
-    def test_ordinary_ones_go_back_once_others_are_to_be_had_again(self) -> None:
+    def test_ordinary_engines_are_returned_after_the_shortage(self) -> None:
         self.platform.dry_until = 28.0
         self.play(75.0, 20.0, 340)
         self.assertLessEqual(sum(item.ordinary for item in self.orders.values()), 12)
         self.assertGreaterEqual(self.seconds[74.5], 0.97 * self.seconds[19.5])
 
-    def test_in_a_shortage_none_that_serves_is_given_back(self) -> None:
+    def test_no_serving_engine_is_returned_in_a_shortage(self) -> None:
         """Ordinary engines serve only after their boot time; until then serving ones are kept."""
         self.platform.dry_until = 40.0
         self.play(19.5, -1.0, 340)
@@ -107,7 +107,7 @@
         self.assertGreaterEqual(min(self.seconds.values()), before - 16)
         self.assertGreaterEqual(self.seconds[29.5], before)
 
-    def test_a_successor_replaces_what_was_lost_with_the_holder(self) -> None:
+    def test_successor_replaces_engines_lost_together_with_the_holder(self) -> None:
         self.platform.dry_until = 30.0
         self.platform.there["a"][1] = 0
         self.sizing = EngineSizing(45, 22.0, ordered=72)
@@ -118,7 +118,7 @@
         self.play(30.0, -1.0, 340, starts=22.0)
         self.assertGreaterEqual(self.seconds[28.0], 70)
 
-    def test_a_hall_that_has_all_it_may_have_loses_hardly_any_room(self) -> None:
+    def test_hall_at_its_engine_limit_keeps_almost_all_capacity(self) -> None:
         """No other hall may have more engines, so all replacements come in the hall itself."""
         self.platform.there = {hall: [2, 21] for hall in "abcd"}
         self.orders = {hall: StandingOrders(2, 21) for hall in "abcd"}
--- a/tests/duties/test_true_time.py
+++ b/tests/duties/test_true_time.py
@@ -19,7 +19,7 @@
         self.clocks = Clocks()
         self.time = TrueTime(self.clocks.wall, lambda: self.clocks.steady)
 
-    def test_a_step_of_the_own_clock_does_not_show(self) -> None:
+    def test_step_of_the_local_clock_has_no_effect(self) -> None:
         before = self.time.now()
         self.clocks.off = 3.0
         self.assertEqual(self.time.now(), before)
@@ -30,14 +30,14 @@
             self.time.compare(member, truth + off)
         self.assertAlmostEqual(self.time.now(), truth, delta=0.002)
 
-    def test_a_process_that_starts_while_its_clock_is_wrong_follows_the_others(self) -> None:
+    def test_process_started_with_a_wrong_clock_follows_the_others(self) -> None:
         self.clocks.off = 5.0
         time = TrueTime(self.clocks.wall, lambda: self.clocks.steady)
         for member in ("a", "b", "c"):
             time.compare(member, 1_000_100.0)
         self.assertAlmostEqual(time.now(), 1_000_100.0, delta=0.002)
 
-    def test_it_adopts_what_it_is_told(self) -> None:
+    def test_received_time_is_adopted(self) -> None:
         self.time.adopt(2_000_000.0)
         self.clocks.steady += 1.5
         self.assertEqual(self.time.now(), 2_000_001.5)
--- a/tests/quarantine/test_fleet.py
+++ b/tests/quarantine/test_fleet.py
@@ -71,7 +71,7 @@
                     self.assertGreaterEqual(fleet.share_whole(b"other"), 0.97)
                     self.assertGreaterEqual(fleet.share_whole(COMMON), 0.97)
 
-    async def test_a_gateway_that_saw_nothing_knows_after_the_news_alone(self) -> None:
+    async def test_gateway_without_own_observations_holds_after_peer_updates(self) -> None:
         fleet = VirtualFleet(9, 9, 1)
         await run(fleet, 8.0, deadly=3.0, others=20.0)
         self.assertEqual([True] * 9, [item.holds(DEADLY, fleet.now) for item in fleet.quarantines])
--- a/tests/quarantine/test_hold_store.py
+++ b/tests/quarantine/test_hold_store.py
@@ -63,7 +63,7 @@
         for upstream in "abc":
             self.quarantine.note_end(identity, "team", "/p", upstream, self.now)
 
-    async def test_a_hold_is_written_once_it_has_stood_for_half_a_second(self) -> None:
+    async def test_hold_is_written_after_half_a_second(self) -> None:
         self.hold()
         await self.holds.look()
         self.assertEqual({}, self.store.objects)
@@ -71,14 +71,14 @@
         self.assertEqual([f"create {ONE.hex()}"], self.store.calls)
         self.assertEqual(["a", "b", "c"], self.store.objects[ONE.hex()]["upstreams"])
 
-    async def test_one_that_is_cleared_before_is_never_written(self) -> None:
+    async def test_hold_cleared_before_its_write_is_never_written(self) -> None:
         self.hold()
         await self.holds.look()
         self.quarantine.clear(ONE)
         await self.pass_time(5.0)
         self.assertEqual([], self.store.calls)
 
-    async def test_one_that_another_gateway_wrote_is_not_written_again(self) -> None:
+    async def test_hold_written_by_another_gateway_is_not_written_again(self) -> None:
         self.store.objects[ONE.hex()] = {}
         self.hold()
         await self.pass_time(5.0)
@@ -100,7 +100,7 @@
         await self.pass_time(30.0)
         self.assertEqual(1, len(self.store.calls))
 
-    async def test_what_was_answered_whole_is_taken_away(self) -> None:
+    async def test_hold_is_deleted_after_the_request_completed(self) -> None:
         hold = StoredHold("team", "/p", (), 1.7e9)
         self.store.objects[ONE.hex()] = hold.spec()
         self.quarantine.take_stored({ONE: hold})
--- a/tests/quarantine/test_isolation.py
+++ b/tests/quarantine/test_isolation.py
@@ -14,7 +14,7 @@
 
 
 class TestGroups(unittest.TestCase):
-    def test_a_request_is_of_its_callers_route_and_of_what_is_smaller(self) -> None:
+    def test_request_belongs_to_groups_of_route_path_and_prompt(self) -> None:
         parts = (PromptPart(10, 5), PromptPart(11, 5), PromptPart(12, 5))
         groups = groups_of("s", "bakery", "r", b"/p/deadly?at=3", parts)
         self.assertEqual((CALLER, PATH), groups[:2])
@@ -32,31 +32,31 @@
         for at in times:
             self.isolation.note_end(group, f"u{at}", "gw", whole, at)
 
-    def test_three_ends_apart_in_time_isolate(self) -> None:
+    def test_three_rounds_of_failures_isolate(self) -> None:
         self.end(PATH, 1.0, 2.1)
         self.assertFalse(self.isolation.isolates((PATH,), 3.0))
         self.end(PATH, 3.2)
         self.assertTrue(self.isolation.isolates((CALLER, PATH), 3.2))
         self.assertEqual(frozenset(("s",)), self.isolation.services(3.2))
 
-    def test_many_ends_at_once_do_not(self) -> None:
+    def test_simultaneous_failures_do_not_isolate(self) -> None:
         self.end(PATH, 1.0, 1.1, 1.2, 1.3, 1.4, 1.9)
         self.assertFalse(self.isolation.isolates((PATH,), 2.0))
 
-    def test_ends_long_ago_do_not(self) -> None:
+    def test_old_failures_do_not_isolate(self) -> None:
         self.end(PATH, 1.0, 2.1, 13.0)
         self.assertFalse(self.isolation.isolates((PATH,), 13.0))
 
-    def test_the_same_end_told_by_many_counts_once(self) -> None:
+    def test_failure_reported_by_several_gateways_counts_once(self) -> None:
         for number in range(9):
             self.isolation.note_end(PATH, "u1", f"gw{number}", 0, 1.0 + number)
         self.assertFalse(self.isolation.isolates((PATH,), 10.0))
 
-    def test_a_group_that_is_mostly_answered_whole_was_beside_them(self) -> None:
+    def test_group_with_mostly_completed_requests_is_a_bystander(self) -> None:
         self.end(CALLER, 1.0, 2.1, 3.2, whole=7)
         self.assertFalse(self.isolation.isolates((CALLER,), 3.2))
 
-    def test_whole_answers_that_are_told_later_let_it_go(self) -> None:
+    def test_completions_reported_later_end_the_isolation(self) -> None:
         self.end(CALLER, 1.0, 2.1, 3.2)
         self.assertTrue(self.isolation.needs_proof(CALLER, 3.3))
         for number in range(12):
@@ -64,7 +64,7 @@
         self.assertFalse(self.isolation.isolates((CALLER,), 3.4))
         self.assertFalse(self.isolation.needs_proof(CALLER, 3.4))
 
-    def test_whole_answers_of_before_do_not_speak_for_a_group_that_turned_deadly(self) -> None:
+    def test_old_completions_do_not_protect_a_group_that_becomes_harmful(self) -> None:
         """A group is harmless for a long time; then a release of its client crashes upstreams."""
         for number in range(12):
             self.isolation.note_end(CALLER, "u0", f"gw{number}", 10, 1.0)
@@ -75,25 +75,25 @@
                 self.assertFalse(self.isolation.isolates((CALLER,), at))
         self.assertTrue(self.isolation.isolates((CALLER,), at))
 
-    def test_a_flood_of_other_groups_does_not_set_one_free(self) -> None:
+    def test_many_other_groups_do_not_evict_an_isolated_one(self) -> None:
         self.end(PATH, 1.0, 2.1, 3.2)
         for number in range(600):
             self.end(Group("s", f"other {number}"), 4.0 + number / 1000)
         self.assertTrue(self.isolation.isolates((PATH,), 5.0))
 
-    def test_of_groups_that_hold_each_other_the_smallest_is_isolated(self) -> None:
+    def test_smallest_of_nested_groups_is_isolated(self) -> None:
         for at in (1.0, 2.1, 3.2):
             self.end(PATH, at)
             self.end(CALLER, at)
         self.assertEqual([PATH], self.isolation.groups(3.2))
 
-    def test_where_no_smaller_one_was_at_the_ends_the_caller_is(self) -> None:
+    def test_caller_is_isolated_if_no_smaller_group_explains_the_failures(self) -> None:
         for number, at in enumerate((1.0, 2.1, 3.2)):
             self.end(Group("s", f"bakery on r, /p/{number}"), at)
             self.end(CALLER, at)
         self.assertEqual([CALLER], self.isolation.groups(3.2))
 
-    def test_an_end_while_it_is_apart_stops_it_for_a_pause_that_doubles(self) -> None:
+    def test_pause_doubles_with_each_failure_during_isolation(self) -> None:
         self.end(PATH, 1.0, 2.1, 3.2)
         self.assertEqual(0.0, self.isolation.wait((PATH,), 3.3))
         waits = []
@@ -105,12 +105,12 @@
         self.assertEqual([1.0, 2.0, 4.0, 8.0, 16.0, 30.0, 30.0], waits)
         self.assertTrue(self.isolation.isolates((PATH,), at))
 
-    def test_what_was_shown_to_be_the_cause_is_not_let_go_by_whole_answers(self) -> None:
+    def test_completions_do_not_end_the_isolation_of_a_confirmed_cause(self) -> None:
         self.end(PATH, 1.0, 2.1, 3.2, 4.0)
         self.isolation.take_whole(PATH, "gw1", 100, 4.1)
         self.assertTrue(self.isolation.isolates((PATH,), 4.2))
 
-    def test_it_ends_and_is_forgotten(self) -> None:
+    def test_isolation_ends_and_its_evidence_expires(self) -> None:
         self.end(PATH, 1.0, 2.1, 3.2)
         self.assertFalse(self.isolation.isolates((PATH,), 24.0))
         self.isolation.expire(24.0)
--- a/tests/quarantine/test_news_plan.py
+++ b/tests/quarantine/test_news_plan.py
@@ -23,25 +23,25 @@
             count += len(self.plan.take(max(0.0, self.plan.next_due())).suspects)
         return count
 
-    def test_an_end_is_told_several_times_within_two_seconds_and_then_no_more(self) -> None:
+    def test_failure_is_sent_several_times_within_two_seconds_only(self) -> None:
         self.plan.tell(ONE, 0.0)
         self.assertEqual(4, self.told(2.0))
         self.assertEqual(math.inf, self.plan.next_due())
 
-    def test_a_whole_answer_is_told_at_once_and_ends_what_was_told_against_it(self) -> None:
+    def test_completion_is_sent_at_once_and_cancels_failure_updates(self) -> None:
         self.plan.tell(ONE, 0.0)
         self.plan.clear(ONE)
         self.assertEqual(DueNews((), (ONE,), ()), self.plan.take(0.0))
         self.assertEqual(0, self.told(2.0))
 
-    def test_a_proof_is_told_unless_another_one_speaks_first(self) -> None:
+    def test_known_good_update_is_sent_unless_a_peer_sends_it_first(self) -> None:
         self.plan.prove(ONE, 0.0)
         self.plan.heard(ONE)
         self.assertEqual(math.inf, self.plan.next_due())
         self.plan.prove(ONE, 0.0)
         self.assertEqual((ONE,), self.plan.take(0.2).cleared_before)
 
-    def test_what_is_not_in_the_store_is_told_on(self) -> None:
+    def test_hold_that_is_not_in_the_store_is_sent_again(self) -> None:
         for now in (0.0, 0.5, 1.0, 1.9):
             self.plan.go_on(ONE, now)
         self.assertEqual(1, self.told(2.0))
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -23,13 +23,13 @@
         for upstream in upstreams:
             self.quarantine.note_end(identity, team, "/p", upstream, 5.0)
 
-    def test_ends_seen_here_and_told_by_peers_count_together(self) -> None:
+    def test_observed_and_reported_failures_count_together(self) -> None:
         self.end(ONE, "a")
         self.assertTrue(self.quarantine.take(SuspectState(ONE, "team", "/p", ("a", "b", "c")), 5.0))
         self.assertTrue(self.quarantine.holds(ONE, 5.0))
         self.assertFalse(self.quarantine.holds(TWO, 5.0))
 
-    def test_what_is_held_in_the_store_is_held_here_until_it_is_released_there(self) -> None:
+    def test_stored_hold_is_effective_until_released_in_the_store(self) -> None:
         self.quarantine.take_stored({ONE: HOLD})
         self.assertTrue(self.quarantine.holds(ONE, 5.0))
         self.assertEqual([ONE], self.quarantine.take_stored({}))
@@ -45,20 +45,20 @@
         self.end(ONE, "f")
         self.assertTrue(self.quarantine.holds(ONE, 5.0))
 
-    def test_a_view_from_before_the_hold_releases_nothing(self) -> None:
+    def test_view_older_than_the_hold_releases_nothing(self) -> None:
         self.end(ONE, "a", "b", "c")
         self.quarantine.take_stored({TWO: HOLD})
         self.assertTrue(self.quarantine.holds(ONE, 5.0))
         self.assertEqual([ONE], self.quarantine.unstored())
 
-    def test_what_was_answered_whole_is_not_held_and_leaves_the_store(self) -> None:
+    def test_cleared_request_is_not_held_and_is_to_leave_the_store(self) -> None:
         self.end(ONE, "a", "b")
         self.quarantine.take_stored({ONE: HOLD})
         self.quarantine.clear(ONE)
         self.assertFalse(self.quarantine.holds(ONE, 5.0))
         self.assertEqual([ONE], self.quarantine.stored_in_vain())
 
-    def test_one_that_was_answered_whole_here_before_is_proven_from_its_first_end(self) -> None:
+    def test_request_that_completed_here_before_its_failures_is_known_good(self) -> None:
         self.quarantine.note_whole(ONE, 1.0)
         self.end(ONE, "a", "b", "c", "d")
         self.assertFalse(self.quarantine.holds(ONE, 5.0))
@@ -70,13 +70,13 @@
         self.assertTrue(self.quarantine.holds(ONE, 5.0))
         self.assertLess(len(self.quarantine), 300)
 
-    def test_a_held_one_outlasts_those_that_are_only_suspected(self) -> None:
+    def test_held_request_is_evicted_after_mere_suspects(self) -> None:
         self.end(ONE, "a", "b", "c")
         for number in range(1000):
             self.end(number.to_bytes(16, "big"), "a")
         self.assertTrue(self.quarantine.holds(ONE, 5.0))
 
-    def test_one_that_was_cleared_is_forgotten_after_a_while_and_others_are_not(self) -> None:
+    def test_only_cleared_suspects_expire(self) -> None:
         self.end(ONE, "a")
         self.end(TWO, "a")
         self.quarantine.clear(ONE)
@@ -86,14 +86,14 @@
         self.assertIsNone(self.quarantine.find(ONE))
         self.assertEqual(1, self.quarantine.ends_under(TWO))
 
-    def test_one_that_was_cleared_is_not_held_again_while_it_is_still_in_the_store(self) -> None:
+    def test_cleared_request_is_not_held_again_while_still_in_the_store(self) -> None:
         self.end(ONE, "a", "b", "c")
         self.quarantine.take_stored({ONE: HOLD})
         self.quarantine.clear(ONE)
         self.quarantine.expire(1000.0)
         self.assertFalse(self.quarantine.holds(ONE, 1000.0))
 
-    def test_one_that_had_a_term_is_remembered_with_it(self) -> None:
+    def test_suspect_that_was_held_for_a_term_does_not_expire(self) -> None:
         self.quarantine.note_whole(ONE, 1.0)
         for at, upstream in enumerate("abc"):
             self.quarantine.note_end(ONE, "team", "/p", upstream, 5.0 + at)
@@ -101,17 +101,17 @@
         self.quarantine.expire(1000.0)
         self.assertIsNotNone(self.quarantine.find(ONE))
 
-    def test_nothing_has_to_be_worked_out_while_nothing_is_suspected(self) -> None:
+    def test_quarantine_is_empty_until_something_is_suspected(self) -> None:
         self.assertTrue(self.quarantine.empty)
         self.end(ONE, "a")
         self.assertFalse(self.quarantine.empty)
 
 
 class TestStoredHold(unittest.TestCase):
-    def test_it_is_read_as_it_was_written(self) -> None:
+    def test_hold_is_read_as_written(self) -> None:
         self.assertEqual((ONE, HOLD), read_hold(ONE.hex(), HOLD.spec()))
 
-    def test_a_spoilt_spec_still_holds_and_another_name_holds_nothing(self) -> None:
+    def test_corrupt_spec_remains_effective_and_invalid_name_does_not(self) -> None:
         specs: tuple[Any, ...] = (None, 5, [], {"team": 5, "upstreams": [1], "since": float("inf")})
         for spec in specs:
             found = read_hold(ONE.hex(), spec)
--- a/tests/quarantine/test_suspect.py
+++ b/tests/quarantine/test_suspect.py
@@ -24,11 +24,11 @@
 
 
 class TestNeverWhole(unittest.TestCase):
-    def test_it_is_held_for_good_after_three_upstreams_and_not_before(self) -> None:
+    def test_request_is_held_indefinitely_after_exactly_three_upstreams(self) -> None:
         self.assertFalse(suspect_after("ab")[0].held(100.0))
         self.assertTrue(suspect_after("abc")[0].held(1e9))
 
-    def test_one_upstream_counts_once_whoever_tells_of_it(self) -> None:
+    def test_repeated_reports_of_one_upstream_count_once(self) -> None:
         self.assertFalse(suspect_after("ababaab")[0].held(100.0))
 
     def test_a_whole_answer_clears_it_and_late_news_of_those_ends_do_not_count(self) -> None:
@@ -38,7 +38,7 @@
             suspect.add(name, now)
         self.assertFalse(suspect.held(now))
 
-    def test_after_its_release_it_takes_as_many_ends_as_at_first(self) -> None:
+    def test_released_request_needs_as_many_failures_as_the_first_time(self) -> None:
         suspect, now = suspect_after("abc")
         suspect.release()
         suspect.add("d", now)
@@ -63,27 +63,27 @@
         suspect, now = suspect_after("abcdefgh", proven=True)
         self.assertFalse(suspect.held(now))
 
-    def test_rounds_of_ends_hold_it_for_a_term(self) -> None:
+    def test_rounds_of_failures_hold_the_request_for_a_term(self) -> None:
         suspect, now = suspect_after("abc", proven=True, apart=1.0)
         self.assertTrue(suspect.held(now))
         self.assertFalse(suspect.held_for_good)
         self.assertFalse(suspect.held(now + 15.0))
 
-    def test_after_its_term_one_end_more_holds_it_for_twice_as_long(self) -> None:
+    def test_one_failure_after_the_term_holds_for_twice_as_long(self) -> None:
         suspect, now = suspect_after("abc", proven=True, apart=1.0)
         now += 15.0
         suspect.add("d", now)
         self.assertTrue(suspect.held(now + 29.0))
         self.assertFalse(suspect.held(now + 30.0))
 
-    def test_a_whole_answer_ends_the_term(self) -> None:
+    def test_completion_ends_the_term(self) -> None:
         suspect, now = suspect_after("abc", proven=True, apart=1.0)
         suspect.clear()
         self.assertFalse(suspect.held(now))
         suspect.add("d", now)
         self.assertFalse(suspect.held(now))
 
-    def test_a_proof_that_comes_after_the_ends_lets_it_go(self) -> None:
+    def test_known_good_update_after_the_failures_ends_the_hold(self) -> None:
         suspect, now = suspect_after("abc")
         self.assertTrue(suspect.held(now))
         suspect.prove(now)
