--- a/src/lotushill/availability/rests.py
+++ b/src/lotushill/availability/cooldowns.py
@@ -35,21 +35,21 @@
         return self.until if self.trial_at is None else self.trial_at + _TRIAL_SECONDS
 
 
-class Rests:
+class Cooldowns:
     """Rests by the id of an upstream's life: a later life is free at once."""
 
     def __init__(self) -> None:
         self._rests: dict[str, _Rest] = {}
-        self.asked = 0
+        self.requested_count = 0
         """Rests that were asked for so far."""
 
-    def note_asked(self, upstream_id: str, seconds: float, now: float) -> None:
+    def note_requested(self, upstream_id: str, seconds: float, now: float) -> None:
         """Note that an upstream wants nothing for so long; of several wishes the longest holds.
 
         Requests that were under way together are turned away one after the other, and a shorter
         word to a later one takes nothing back of what was asked before.
         """
-        self.asked += 1
+        self.requested_count += 1
         until = now + seconds
         known = self._rests.get(upstream_id)
         self._rests[upstream_id] = _Rest(max(until, known.until if known else until))
@@ -64,13 +64,13 @@
         elif rest.trial_at is None:
             rest.trial_at = now
 
-    def note_taken(self, upstream_id: str, now: float) -> None:
+    def note_accepted(self, upstream_id: str, now: float) -> None:
         """Note an answer that asks for no rest: what it does not take back is a rest that lasts."""
         rest = self._rests.get(upstream_id)
         if rest is not None and now >= rest.until:
             del self._rests[upstream_id]
 
-    def bars(self, upstream_id: str, now: float) -> bool:
+    def is_barred(self, upstream_id: str, now: float) -> bool:
         """Return whether an upstream is to be sent nothing now."""
         rest = self._rests.get(upstream_id)
         return rest is not None and rest.bars(now)
@@ -81,7 +81,7 @@
             return _NOBODY
         return frozenset(name for name, rest in self._rests.items() if rest.bars(now))
 
-    def first_end(self, upstream_ids: Iterable[str], now: float) -> float:
+    def seconds_to_first_end(self, upstream_ids: Iterable[str], now: float) -> float:
         """Return after how many seconds the first of some upstreams that rest takes requests."""
         ends = [self._rests[name].ends() for name in upstream_ids if name in self._rests]
         return max(0.0, min(ends, default=now) - now)
--- a/src/lotushill/availability/newest_first.py
+++ b/src/lotushill/availability/newest_first.py
@@ -35,7 +35,7 @@
         others = sorted(known - set(newest))
         return newest + self._rng.sample(others, min(_OTHERS, len(others)))
 
-    def is_told(self, told: Iterable[str]) -> bool:
+    def covers_newest(self, told: Iterable[str]) -> bool:
         """Return whether somebody told of all that became known last here."""
         return set(self._newest()) <= set(told)
 
--- a/src/lotushill/availability/retry_budget.py
+++ b/src/lotushill/availability/retry_budget.py
@@ -19,9 +19,9 @@
         self._started = started
         self._requests: deque[float] = deque()
         self._repeats: deque[float] = deque()
-        self.change(ratio, slack, window)
+        self.set_bounds(ratio, slack, window)
 
-    def change(self, ratio: float, slack: float, window: float) -> None:
+    def set_bounds(self, ratio: float, slack: float, window: float) -> None:
         """Use other bounds from now on; `window` is in seconds."""
         self._ratio = ratio * _RATIO_SHARE
         self._slack = slack * _SLACK_SHARE
@@ -31,7 +31,7 @@
         """Note a client's request."""
         self._requests.append(now)
 
-    def spend(self, gateways: int, now: float) -> bool:
+    def try_spend(self, gateways: int, now: float) -> bool:
         """Take one repeat, if this gateway's part of the budget has one left.
 
         `gateways` is how many share the budget, 0 while that is not known.
--- a/src/lotushill/availability/stated_limits.py
+++ b/src/lotushill/availability/stated_limits.py
@@ -12,14 +12,14 @@
 
 
 @dataclass(frozen=True)
-class Word:
+class LimitReport:
     """What one answer said of an upstream's limit; it was said between two moments."""
 
     rate: float
     """Requests a second from all gateways together, `NO_LIMIT` where it named none."""
-    asked: float
+    sent_at: float
     """When the request was sent."""
-    heard: float
+    received_at: float
     """When its answer came."""
 
 
@@ -31,9 +31,9 @@
     """
 
     def __init__(self) -> None:
-        self._words: dict[str, Word] = {}
+        self._words: dict[str, LimitReport] = {}
 
-    def take(self, upstream_id: str, word: Word) -> bool:
+    def merge(self, upstream_id: str, word: LimitReport) -> bool:
         """Take in a word of an own answer or of another gateway's; return whether it is news.
 
         Nothing is kept for an upstream that never named a limit.
@@ -54,15 +54,15 @@
         known = self._words.get(upstream_id)
         return known.rate if known is not None else NO_LIMIT
 
-    def word(self, upstream_id: str) -> Word | None:
+    def report(self, upstream_id: str) -> LimitReport | None:
         """Return the newest word of an upstream that ever named a limit."""
         return self._words.get(upstream_id)
 
-    def words(self) -> dict[str, Word]:
+    def reports(self) -> dict[str, LimitReport]:
         """Return all words that are kept, the ends of limits among them."""
         return dict(self._words)
 
-    def limited(self) -> dict[str, float]:
+    def limited_rates(self) -> dict[str, float]:
         """Return the rates of all upstreams that have a limit."""
         return {name: word.rate for name, word in self._words.items() if word.rate < NO_LIMIT}
 
@@ -75,20 +75,20 @@
         """Drop ends of limits, and limits of upstreams that no view knows, once they are old."""
         for upstream_id, word in list(self._words.items()):
             over = word.rate == NO_LIMIT or upstream_id not in known
-            if over and now - word.heard > _KEPT_SECONDS:
+            if over and now - word.received_at > _KEPT_SECONDS:
                 del self._words[upstream_id]
 
 
-def finite(rate: float | None) -> float | None:
+def finite_or_none(rate: float | None) -> float | None:
     """Return a rate as a log line can hold it, None without a limit."""
     return rate if rate is not None and rate < NO_LIMIT else None
 
 
-def _replaces(word: Word, known: Word) -> bool:
+def _replaces(word: LimitReport, known: LimitReport) -> bool:
     """Return whether a word is to be believed in place of the one that is known."""
     if word.rate == known.rate:
-        return word.heard > known.heard
-    if word.asked >= known.heard:
+        return word.received_at > known.received_at
+    if word.sent_at >= known.received_at:
         return True
-    overlap = known.asked < word.heard
+    overlap = known.sent_at < word.received_at
     return overlap and word.rate < known.rate
--- a/src/lotushill/availability/statement.py
+++ b/src/lotushill/availability/statement.py
@@ -8,12 +8,12 @@
 
 from lotushill.availability.stated_limits import NO_LIMIT
 
-LONGEST_REST_SECONDS = 300.0
+MAX_COOLDOWN_SECONDS = 300.0
 """A longer wish is cut to this: whoever wants nothing for minutes says that it leaves, and a figure
 that is absurd by mistake must not take an upstream away for hours."""
-LEAST_LIMIT = 0.1
+MIN_REQUESTS_PER_SECOND = 0.1
 """A lower limit is taken for this: with nothing sent, nobody would hear of its end."""
-MOST_LIMIT = 100_000.0
+MAX_REQUESTS_PER_SECOND = 100_000.0
 """A higher limit is taken for this: no fleet sends one upstream as much."""
 _MOST_LOGGED = 60
 _EMPTY = "(empty)"
@@ -26,11 +26,11 @@
 
     not_executed: bool = False
     """Whether it did not run the request and never will."""
-    rest: float = 0.0
+    cooldown: float = 0.0
     """Seconds from now in which it wants no request from this gateway; 0 for none."""
     leaving: bool = False
     """Whether it is about to end, and wants no new request from anybody."""
-    unreadable: str = ""
+    unreadable_cooldown: str = ""
     """A wish for rest that could not be read, and so is not followed."""
     limit: float | None = NO_LIMIT
     """Requests a second that it takes from all gateways together, `NO_LIMIT` where it names none.
@@ -41,11 +41,11 @@
     """What stands in the place of such a limit."""
 
 
-NOTHING_SAID = Statement()
+EMPTY_STATEMENT = Statement()
 
 
 @dataclass(frozen=True)
-class Rest:
+class ParsedCooldown:
     """How long an upstream wants no requests, as far as that can be read."""
 
     seconds: float = 0.0
@@ -53,17 +53,17 @@
 
 
 @dataclass(frozen=True)
-class Limit:
+class ParsedLimit:
     """How much an upstream takes from all gateways together, as far as that can be read."""
 
     rate: float | None = NO_LIMIT
     unreadable: str = ""
 
 
-_NONE_NAMED = Limit()
+_NONE_NAMED = ParsedLimit()
 
 
-def read_rest(values: list[bytes]) -> Rest:
+def parse_cooldown(values: list[bytes]) -> ParsedCooldown:
     """Return the longest of several wishes in seconds; dates are not among the forms in use."""
     longest, unreadable = 0.0, ""
     for value in values:
@@ -71,8 +71,8 @@
         if seconds is None:
             unreadable = _shown(value)
         else:
-            longest = max(longest, min(LONGEST_REST_SECONDS, seconds))
-    return Rest(longest, unreadable)
+            longest = max(longest, min(MAX_COOLDOWN_SECONDS, seconds))
+    return ParsedCooldown(longest, unreadable)
 
 
 def _seconds(value: bytes) -> float | None:
@@ -83,16 +83,20 @@
     return seconds if 0.0 <= seconds < math.inf else None
 
 
-def read_limit(values: list[bytes]) -> Limit:
+def parse_limit(values: list[bytes]) -> ParsedLimit:
     """Return the lowest of several limits; one alone that cannot be read leaves it open."""
     if not values:
         return _NONE_NAMED
     read = [_decimal(value) for value in values]
-    rates = [max(LEAST_LIMIT, min(MOST_LIMIT, rate)) for rate in read if rate is not None]
+    rates = [
+        max(MIN_REQUESTS_PER_SECOND, min(MAX_REQUESTS_PER_SECOND, rate))
+        for rate in read
+        if rate is not None
+    ]
     odd = [_shown(value) for value, rate in zip(values, read) if rate is None]
     if rates:
-        return Limit(min(rates), *odd[-1:])
-    return Limit(None, odd[-1] or _EMPTY)
+        return ParsedLimit(min(rates), *odd[-1:])
+    return ParsedLimit(None, odd[-1] or _EMPTY)
 
 
 def _decimal(value: bytes) -> float | None:
--- a/src/lotushill/availability/trickle.py
+++ b/src/lotushill/availability/trickle.py
@@ -13,22 +13,22 @@
 if TYPE_CHECKING:
     import random
 
-SHORTEST_SECONDS = 0.1
+MIN_INTERVAL_SECONDS = 0.1
 """The first interval; an upstream that says that it leaves serves on for seconds."""
-LONGEST_SECONDS = 3.2
+MAX_INTERVAL_SECONDS = 3.2
 """Once nothing is new, all gateways together tell once in so long, for those that joined since."""
 _ENOUGH = 2
 """Heard so often in an interval, nothing more is said in it: with one telling alone, a datagram
 that is lost leaves a gateway untold for long."""
 
 
-class Trickle:
+class TrickleTimer:
     """Tells once in an interval, unless others were heard to tell the same; they double."""
 
     def __init__(self, rng: random.Random) -> None:
         """Make a timer that is stopped."""
         self._rng = rng
-        self._interval = SHORTEST_SECONDS
+        self._interval = MIN_INTERVAL_SECONDS
         self._tells = math.inf
         self._ends = math.inf
         self._heard = 0
@@ -45,15 +45,15 @@
 
     def reset(self, now: float) -> None:
         """Begin with the shortest interval, since something is new here or to another one."""
-        if self.running and self._interval == SHORTEST_SECONDS:
+        if self.running and self._interval == MIN_INTERVAL_SECONDS:
             return
-        self._begin(SHORTEST_SECONDS, now)
+        self._begin(MIN_INTERVAL_SECONDS, now)
 
     def stop(self) -> None:
         """Tell no more."""
         self._tells = self._ends = math.inf
 
-    def hear(self) -> None:
+    def note_consistent(self) -> None:
         """Note that another one has told all that would be told here."""
         self._heard += 1
 
@@ -63,7 +63,7 @@
         if now >= self._tells:
             self._tells = math.inf
         if now >= self._ends:
-            self._begin(min(LONGEST_SECONDS, 2.0 * self._interval), now)
+            self._begin(min(MAX_INTERVAL_SECONDS, 2.0 * self._interval), now)
         return due
 
     def _begin(self, interval: float, now: float) -> None:
--- a/src/lotushill/console/quarantine_commands.py
+++ b/src/lotushill/console/quarantine_commands.py
@@ -28,7 +28,7 @@
         """List what is held, since when and by what evidence."""
         del options
         holds = await self._holds()
-        value = {identity.hex(): hold.spec() for identity, hold in holds.items()}
+        value = {identity.hex(): hold.to_spec() for identity, hold in holds.items()}
         if not holds:
             return Result("no request is held", value)
         lines = [_line(identity, hold) for identity, hold in holds.items()]
--- a/src/lotushill/contracts/effective.py
+++ b/src/lotushill/contracts/effective.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from lotushill.routing.rate_limit import RateLimit
-from lotushill.routing.urgency import USUAL_TEAM
+from lotushill.routing.urgency import DEFAULT_TEAM_RANK
 from lotushill.routing.urgency import Urgency
 
 if TYPE_CHECKING:
@@ -101,7 +101,7 @@
 
 
 def _team_rank(team: Team | None) -> int:
-    return USUAL_TEAM if team is None or team.priority is None else team.priority
+    return DEFAULT_TEAM_RANK if team is None or team.priority is None else team.priority
 
 
 def _rate_limit(origin: Origin, team: Team | None) -> RateLimit | None:
--- a/src/lotushill/duties/duty_keeper.py
+++ b/src/lotushill/duties/duty_runner.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lotushill.duties.ports import FleetSight
+    from lotushill.duties.ports import FleetAccess
     from lotushill.duties.ports import Platform
     from lotushill.duties.ports import Store
     from lotushill.duties.true_time import TrueTime
@@ -27,7 +27,7 @@
     from lotushill.process.settings import DutySettings
 
 
-class DutyKeeper:
+class DutyRunner:
     """Performs the part of one gateway in the duties."""
 
     def __init__(
@@ -37,7 +37,7 @@
         settings: DutySettings,
         store: Store,
         platform: Platform,
-        sight: FleetSight,
+        sight: FleetAccess,
         time: TrueTime,
         log: EventLog,
         clock: Callable[[], float],
--- a/src/lotushill/duties/engine_sizing.py
+++ b/src/lotushill/duties/engine_sizing.py
@@ -176,10 +176,10 @@
         dry = {hall for hall in halls if self._dry.get(hall, now) > now}
         usual = math.ceil(wanted / max(1, len(halls)))
         if scaling.reclaimable_price is None:
-            engines = min(scaling.most, max(scaling.least, usual))
+            engines = min(scaling.max_engines, max(scaling.min_engines, usual))
             return {hall: StandingOrders(engines, 0) for hall in halls}
         base = self.base / max(1, len(halls))
-        share = max(scaling.least, _LEAST_ORDINARY, round(_ORDINARY_SHARE * base))
+        share = max(scaling.min_engines, _LEAST_ORDINARY, round(_ORDINARY_SHARE * base))
         if len(dry) == len(halls) and self._is_short(wanted, halls):
             share = usual
         each = math.ceil(wanted / max(1, len(halls) - len(dry)))
@@ -188,17 +188,19 @@
             self._lost.note(hall, now_there.serving, expected, now)
             standing = Standing(now_there.ordinary, now_there.serving)
             self._standing.note(hall, standing, scaling.boot_seconds, hall in dry, now)
-        cover = (len(halls) - len(dry)) * (min(scaling.most, each) - min(scaling.most, usual))
+        cover = (len(halls) - len(dry)) * (
+            min(scaling.max_engines, each) - min(scaling.max_engines, usual)
+        )
         replaced = self._replaced(scaling, share, dry, cover)
         found = {}
         for hall, now_there in halls.items():
-            ordinary = min(scaling.most, share + replaced.get(hall, 0))
+            ordinary = min(scaling.max_engines, share + replaced.get(hall, 0))
             if hall in dry:
-                found[hall] = self._in_shortage(hall, now_there, ordinary, scaling.most)
+                found[hall] = self._in_shortage(hall, now_there, ordinary, scaling.max_engines)
                 continue
-            total = min(scaling.most, max(ordinary, each))
-            kept = self._kept(now_there, ordinary, total, scaling.most)
-            reclaimable = min(total - ordinary, scaling.most - kept)
+            total = min(scaling.max_engines, max(ordinary, each))
+            kept = self._kept(now_there, ordinary, total, scaling.max_engines)
+            reclaimable = min(total - ordinary, scaling.max_engines - kept)
             found[hall] = StandingOrders(kept, reclaimable)
         return found
 
@@ -225,7 +227,7 @@
         halls provide is subtracted. The cheapest halls come first.
         """
         missing = sum(self._lost.count(hall) for hall in dry) - cover
-        room = max(0, scaling.most - share - _PROBE_ENGINES)
+        room = max(0, scaling.max_engines - share - _PROBE_ENGINES)
         found = {}
         for hall in sorted(dry, key=lambda item: (scaling.price(item), item)):
             if missing <= 0:
--- a/src/lotushill/duties/order_duty.py
+++ b/src/lotushill/duties/order_duty.py
@@ -23,7 +23,7 @@
     from lotushill.duties.duty_record import DutyRecord
     from lotushill.duties.duty_record import StandingOrders
     from lotushill.duties.ownership import Ownership
-    from lotushill.duties.ports import FleetSight
+    from lotushill.duties.ports import FleetAccess
     from lotushill.duties.ports import Platform
     from lotushill.event_log import EventLog
     from lotushill.links.messages import WorkPage
@@ -63,7 +63,7 @@
         self,
         ownership: Ownership,
         platform: Platform,
-        sight: FleetSight,
+        sight: FleetAccess,
         health: CallHealth,
         log: EventLog,
         clock: Callable[[], float],
@@ -150,7 +150,10 @@
 
     def _limited(self, service: Service, slots: int) -> float:
         """Return the capacity in engines that is lost to the rate limits of the upstreams."""
-        rates = (self._sight.limit(item.id) for item in self._sight.upstreams.of(service.name))
+        rates = (
+            self._sight.request_rate_limit(item.id)
+            for item in self._sight.upstreams.of(service.name)
+        )
         return engines_lost(rates, self._sight.stream_seconds(service.name), slots)
 
     def _running(self, service: Service) -> int:
--- a/src/lotushill/duties/ownership.py
+++ b/src/lotushill/duties/ownership.py
@@ -18,7 +18,7 @@
 
     from lotushill.duties.call_health import CallHealth
     from lotushill.duties.lease import Lease
-    from lotushill.duties.ports import FleetSight
+    from lotushill.duties.ports import FleetAccess
     from lotushill.duties.ports import Store
     from lotushill.event_log import EventLog
     from lotushill.views.stored_object import StoredObject
@@ -40,7 +40,7 @@
         self,
         lease: Lease,
         store: Store,
-        sight: FleetSight,
+        sight: FleetAccess,
         health: CallHealth,
         log: EventLog,
         clock: Callable[[], float],
--- a/src/lotushill/duties/ports.py
+++ b/src/lotushill/duties/ports.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True)
-class FleetSight:
+class FleetAccess:
     """Access of the duties to the state of the fleet."""
 
     members: Callable[[], Iterable[MemberState]]
@@ -67,9 +67,9 @@
     """Returns the rank of this gateway among all that the store serves, 0 for the first."""
     services: Callable[[], Iterable[Service]]
     upstreams: UpstreamView
-    pull: Callable[[WorkPull, str], None]
+    send_pull: Callable[[WorkPull, str], None]
     """Sends a request for counts to an address."""
-    limit: Callable[[str], float]
+    request_rate_limit: Callable[[str], float]
     """Returns the requests per second that an upstream accepts from all gateways together.
 
     Infinity means no limit.
--- a/src/lotushill/duties/work_counts.py
+++ b/src/lotushill/duties/request_counter.py
@@ -22,7 +22,7 @@
 """Limit of the counts in one datagram."""
 
 
-class WorkCounts:
+class RequestCounter:
     """Counts requests started at an upstream by team and window, and requests in progress."""
 
     def __init__(
@@ -41,7 +41,7 @@
         """Return the number of the window that is open now."""
         return int(self._time.now() // self._window_seconds)
 
-    def note_began(self, team: str) -> None:
+    def record_start(self, team: str) -> None:
         """Count a request that starts at an upstream now."""
         if not team:
             return
@@ -50,11 +50,11 @@
             self._forget(window)
         self._windows[window][team] += 1
 
-    def enter(self, service: str) -> None:
+    def increment_running(self, service: str) -> None:
         """Increment the number of requests in progress for a service."""
         self._running[service] += 1
 
-    def leave(self, service: str) -> None:
+    def decrement_running(self, service: str) -> None:
         """Decrement the number of requests in progress for a service."""
         self._running[service] -= 1
 
--- a/src/lotushill/duties/true_time.py
+++ b/src/lotushill/duties/true_time.py
@@ -35,11 +35,11 @@
         """Return the wall-clock time of the local host."""
         return self._wall()
 
-    def adopt(self, now: float) -> None:
+    def set_time(self, now: float) -> None:
         """Adopt the time that another gateway computed from many clocks."""
         self._offset = now - self._clock()
 
-    def compare(self, member: str, wall: float) -> None:
+    def add_sample(self, member: str, wall: float) -> None:
         """Add a sample of another host's clock, and set the offset to the median of all."""
         clock = self._clock()
         self._samples[member] = (wall - clock, clock)
--- a/src/lotushill/duties/usage_duty.py
+++ b/src/lotushill/duties/usage_duty.py
@@ -21,7 +21,7 @@
     from lotushill.duties.duty_record import DutyRecord
     from lotushill.duties.duty_record import WindowCounts
     from lotushill.duties.ownership import Ownership
-    from lotushill.duties.ports import FleetSight
+    from lotushill.duties.ports import FleetAccess
     from lotushill.duties.ports import Platform
     from lotushill.duties.true_time import TrueTime
     from lotushill.event_log import EventLog
@@ -60,7 +60,7 @@
         settings: DutySettings,
         ownership: Ownership,
         platform: Platform,
-        sight: FleetSight,
+        sight: FleetAccess,
         time: TrueTime,
         health: CallHealth,
         log: EventLog,
@@ -82,7 +82,7 @@
 
     def receive(self, page: WorkPage) -> None:
         """Merge the counts that a gateway reports."""
-        self._time.compare(page.sender, page.wall)
+        self._time.add_sample(page.sender, page.wall)
         self._ledger.take(page, self._time.now())
 
     def newest_window(self) -> int:
@@ -129,7 +129,7 @@
                 self.receive(page)
             for member in members:
                 if member.name != own:
-                    self._sight.pull(WorkPull(own, since, self._time.now()), member.address)
+                    self._sight.send_pull(WorkPull(own, since, self._time.now()), member.address)
             self._settle(members)
             await anyio.sleep(self._until_next_pull(len(members)))
 
--- a/src/lotushill/gateway/duties.py
+++ b/src/lotushill/gateway/duties.py
@@ -9,8 +9,8 @@
 import anyio
 
 from lotushill import clock as clocks
+from lotushill.duties.request_counter import RequestCounter
 from lotushill.duties.true_time import TrueTime
-from lotushill.duties.work_counts import WorkCounts
 from lotushill.links.messages import StoreContact
 from lotushill.process.settings import DutySettings
 from lotushill.rendezvous import ranked
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
     from lotushill.availability.stated_limits import StatedLimits
-    from lotushill.duties.duty_keeper import DutyKeeper
+    from lotushill.duties.duty_runner import DutyRunner
     from lotushill.event_log import EventLog
     from lotushill.gateway.store_views import StoreViews
     from lotushill.links.messages import WorkPage
@@ -58,8 +58,8 @@
         self._settings = settings
         self._time = TrueTime(time.time, clocks.now)
         window_seconds = (settings.duties or DutySettings("")).report_window_seconds
-        self.work = WorkCounts(settings.name, window_seconds, self._time, clocks.now)
-        self._keeper: DutyKeeper | None = None
+        self.work = RequestCounter(settings.name, window_seconds, self._time, clocks.now)
+        self._keeper: DutyRunner | None = None
 
     async def run(self, parts: DutyParts) -> None:
         """Do what falls to this gateway for the whole fleet, once it can serve."""
@@ -73,7 +73,7 @@
 
     def pages(self, pull: WorkPull) -> Iterable[WorkPage]:
         """Return what this gateway counted, and take over the time that the asker worked out."""
-        self._time.adopt(pull.now)
+        self._time.set_time(pull.now)
         return self.work.pages(pull.since)
 
     def receive(self, page: WorkPage) -> None:
@@ -90,27 +90,27 @@
         """Return what operators ask of the duties, None without any."""
         return self._keeper.status() if self._keeper is not None else None
 
-    def _new_keeper(self, parts: DutyParts) -> DutyKeeper:
+    def _new_keeper(self, parts: DutyParts) -> DutyRunner:
         # Loaded late: nothing of it is needed to serve.
-        from lotushill.duties.duty_keeper import DutyKeeper
-        from lotushill.duties.ports import FleetSight
+        from lotushill.duties.duty_runner import DutyRunner
+        from lotushill.duties.ports import FleetAccess
         from lotushill.platform.duty_api import DutyApi
 
         settings = self._settings.duties
         assert settings is not None
         membership = parts.peers.membership
-        sight = FleetSight(
+        sight = FleetAccess(
             members=membership.live,
             reads_store=lambda: parts.views.contact() is StoreContact.READING,
             rank=lambda: _rank(membership),
             services=lambda: _services(parts.views),
             upstreams=parts.views.upstreams,
-            pull=parts.peers.send_message,
-            limit=parts.limits.rate,
+            send_pull=parts.peers.send_message,
+            request_rate_limit=parts.limits.rate,
             stream_seconds=lambda service: parts.fleet.pace(service).stream_seconds,
             own_pages=self.work.pages,
         )
-        return DutyKeeper(
+        return DutyRunner(
             self._settings.name,
             membership.own.incarnation,
             settings,
--- a/src/lotushill/gateway/fleet_quarantine.py
+++ b/src/lotushill/gateway/fleet_quarantine.py
@@ -57,11 +57,11 @@
 
     def held(self) -> list[bytes]:
         """Return the identities of all requests that are held now."""
-        return self.suspects.held(clocks.now())
+        return self.suspects.held_identities(clocks.now())
 
     def isolated(self) -> list[Group]:
         """Return the groups of requests that run apart now."""
-        return self.isolation.groups(clocks.now())
+        return self.isolation.isolated_groups(clocks.now())
 
     def take_stored(self) -> None:
         """Take what the store has, since it has changed."""
@@ -71,4 +71,4 @@
         """Bring the store in line with what is held."""
         while True:
             await anyio.sleep(_LOOK_SECONDS)
-            await self._hold_store.look()
+            await self._hold_store.reconcile()
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -13,7 +13,7 @@
 import anyio
 
 from lotushill import clock as clocks
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.contracts.exceptions import SettingsError
 from lotushill.event_log import EventLog
@@ -26,8 +26,8 @@
 from lotushill.gateway.store_views import StoreViews
 from lotushill.journal import Journal
 from lotushill.limits.barred_upstreams import BarredUpstreams
-from lotushill.limits.counting import CountingGateways
 from lotushill.limits.fleet_limits import FleetLimits
+from lotushill.limits.limit_owners import LimitOwners
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.limits.team_limits import TeamLimits
 from lotushill.links.http_server import HttpServer
@@ -44,24 +44,24 @@
 from lotushill.process.metrics import Metrics
 from lotushill.process.side_tasks import SideTasks
 from lotushill.process.suspension import SuspensionWatch
+from lotushill.requests.client_application import ClientApplication
 from lotushill.requests.client_protocol import ClientProtocol
-from lotushill.requests.engine_memory import EngineMemory
-from lotushill.requests.front import Front
-from lotushill.requests.idle_connections import idle_connections
+from lotushill.requests.engine_memory_client import EngineMemoryClient
+from lotushill.requests.idle_connections import idle_connection_limit
+from lotushill.requests.isolation_policy import IsolationPolicy
 from lotushill.requests.mover import Mover
 from lotushill.requests.parts import GatewayParts
 from lotushill.requests.retry_budgets import RetryBudgets
 from lotushill.requests.upstream_gate import UpstreamGate
 from lotushill.requests.upstream_pool import UpstreamPool
-from lotushill.requests.ward import Ward
 from lotushill.routing.limits import ClientLimits
-from lotushill.scheduling.desk import PlacementDesk
-from lotushill.scheduling.line_keeper import LineKeeper
+from lotushill.scheduling.placement_responder import PlacementResponder
 from lotushill.scheduling.placer import Placer
+from lotushill.scheduling.queue_runner import QueueRunner
 from lotushill.scheduling.shared_load import SharedLoad
-from lotushill.starting.knowledge import Start
-from lotushill.waiting.line import WaitingLine
-from lotushill.waiting.turns import Rivals
+from lotushill.starting.startup_phase import StartupPhase
+from lotushill.waiting.admission_queue import AdmissionQueue
+from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
     import asyncio
@@ -129,10 +129,10 @@
             self.peers.send_message,
             clocks.now,
         )
-        self._start_of_life = Start(SMALL_FLEET, clocks.now())
-        self.rests = Rests()
+        self._start_of_life = StartupPhase(SMALL_FLEET, clocks.now())
+        self.rests = Cooldowns()
         stated = StatedLimits()
-        counting = CountingGateways(
+        counting = LimitOwners(
             self.peers.membership, self.peers.schedulers, lambda: self.registration.listed
         )
         self.limits = FleetLimits(
@@ -147,11 +147,11 @@
             clocks.now,
         )
         self.team_limits = TeamLimits(counting, self.limits.client, rng, clocks.now)
-        self.waiting = LineKeeper(
+        self.waiting = QueueRunner(
             settings.name,
-            WaitingLine(
+            AdmissionQueue(
                 self.fleet,
-                Rivals(settings.name),
+                RemoteQueues(settings.name),
                 self.fleet.shares,
                 self.fleet.shedding.returns,
             ),
@@ -161,13 +161,13 @@
             clocks.now,
             self.log,
         )
-        self.desk = PlacementDesk(
+        self.desk = PlacementResponder(
             settings.name,
             self.fleet,
             self.shared_load,
             self._service_named,
             self.views.upstreams.of,
-            self.peers.model_sync.ready,
+            self.peers.model_sync.is_ready,
             stated,
             self.waiting,
             self.peers.send_to,
@@ -206,9 +206,9 @@
             clocks.now,
         )
         self.budgets = RetryBudgets(settings.retry, self._sharing, clocks.now())
-        ward = Ward(self.quarantine.isolation, self.views.upstreams, clocks.now)
+        ward = IsolationPolicy(self.quarantine.isolation, self.views.upstreams, clocks.now)
         self.mover = Mover(
-            EngineMemory(),
+            EngineMemoryClient(),
             placer,
             self.shared_load,
             self.views.upstreams,
@@ -220,7 +220,7 @@
             self.log,
             clocks.now,
         )
-        self.front = Front(
+        self.front = ClientApplication(
             GatewayParts(
                 name=settings.name,
                 configuration=self.views.configuration,
@@ -233,7 +233,7 @@
                 gate=self.gate,
                 limits=self.limits,
                 team_limits=self.team_limits,
-                ward=ward,
+                isolation_policy=ward,
                 mover=self.mover,
                 budgets=self.budgets,
                 quarantine=self.quarantine.keeper,
@@ -310,18 +310,18 @@
         while True:
             await anyio.sleep(_SWEEP_SECONDS)
             known = {upstream.id for upstream in self.views.upstreams.all()}
-            self.pool.sweep(known)
-            self.fleet.forget(known, clocks.now())
+            self.pool.close_expired(known)
+            self.fleet.evict_unused(known, clocks.now())
             self._tell_paces()
             self.rests.forget(known, clocks.now())
             self.limits.forget(known)
             self.team_limits.forget()
             self.mover.forget(known)
-            self.waiting.line.engines.forget(known)
+            self.waiting.queue.engines.forget(known)
             self.shared_load.expire()
             self.views.expire()
             self.quarantine.keeper.look()
-            for load in self.shared_load.due_lists(self.peers.count()):
+            for load in self.shared_load.due_snapshots(self.peers.count()):
                 self.peers.tell_load(load)
 
     # Settings
@@ -356,10 +356,10 @@
         """Be taken out by the balancer first, then finish every request in progress."""
         ends = clocks.now() + self.settings.grace_seconds - _LAST_SECONDS
         self._stopping = True
-        self.front.closing = True
+        self.front.closes_connections = True
         self.log.note("process.stopping", in_progress=self.front.in_progress)
         await anyio.sleep(self.settings.leave_seconds)
-        self.front.open = False
+        self.front.accepts_requests = False
         self.clients.stop()
         while self.front.in_progress and clocks.now() < ends:
             await anyio.sleep(_TICK_SECONDS)
@@ -378,17 +378,17 @@
             contact=self.views.contact,
             upstream_id=self.views.upstreams.id_of,
             on_load=lambda load: self.shared_load.receive(load),
-            everything=lambda: self.shared_load.everything(),
+            everything=lambda: self.shared_load.all_running(),
             on_gone=self._on_gone,
             paces=lambda: self.shared_load.paces(),
-            on_paces=lambda paces: self.shared_load.take_paces(paces),
+            on_paces=lambda paces: self.shared_load.merge_paces(paces),
             answer=lambda ask, now: self.desk.answer(ask, now),
             on_late=lambda request: self.shared_load.give_up(request),
             on_work_pull=self.duties.pages,
             on_work_page=self.duties.receive,
             on_suspects=lambda news: self.quarantine.keeper.receive(news),
             on_leaving=lambda news: self.leaving.receive(news),
-            on_limits=lambda news: self.limits.keeper.receive(news),
+            on_limits=lambda news: self.limits.gossip.receive(news),
             on_permit_ask=self._on_permit_ask,
             on_permit_answer=lambda answer: self.limits.client.receive(answer),
             on_returns=lambda news: self.returns.receive(news),
@@ -397,24 +397,24 @@
         )
 
     def _on_permit_ask(self, ask: PermitAsk) -> PermitAnswer:
-        limits = self.team_limits if self.team_limits.counts(ask) else self.limits
+        limits = self.team_limits if self.team_limits.is_team_limit(ask) else self.limits
         return limits.answer(ask)
 
     def _on_gone(self, name: str) -> None:
         self.shared_load.drop_sender(name)
-        self.waiting.drop_asker(name)
+        self.waiting.drop_gateway(name)
 
     def _tell_paces(self) -> None:
         for item in self.fleet.engine_paces.take_changes():
-            steps, reading = round(item.steps, 2), round(item.reading, 2)
+            steps, reading = round(item.step_slowness, 2), round(item.read_slowness, 2)
             self.log.note("upstream.pace", upstream=item.upstream, steps=steps, reading=reading)
 
     def _on_tick(self) -> None:
         self.suspension.look()
         self.leaving.tell_due()
-        self.limits.keeper.tell_due()
+        self.limits.gossip.send_due()
         self.returns.tell_due()
-        self.mover.look()
+        self.mover.start_due_handovers()
 
     def _knows_fleet(self) -> bool:
         """Return whether the own model tells what the whole fleet runs."""
@@ -422,7 +422,7 @@
         if not self._start_of_life.is_new(now):
             return True
         heard = len(self.peers.membership.live())
-        has_model = self.peers.model_sync.ready()
+        has_model = self.peers.model_sync.is_ready()
         return self._start_of_life.knows_fleet(heard, self.registration.listed, has_model, now)
 
     def _sharing(self) -> int:
@@ -446,7 +446,7 @@
         service = self._service_of(upstream.id)
         if service is None:
             return 0
-        return idle_connections(
+        return idle_connection_limit(
             service.max_connections, self.peers.count(), upstream.id, self.settings.name
         )
 
@@ -458,7 +458,7 @@
         """Take what was believed before a suspension for old."""
         self.log.note("process.woke", suspended=round(seconds, 2))
         self.front.note_suspension(seconds)
-        self.pool.drop_idle()
+        self.pool.close_idle()
         self.views.doubt()
 
     def _on_configuration(self) -> None:
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -11,7 +11,7 @@
 from lotushill.routing.team import team_number
 
 if TYPE_CHECKING:
-    from lotushill.availability.rests import Rests
+    from lotushill.availability.cooldowns import Cooldowns
     from lotushill.event_log import EventLog
     from lotushill.gateway.duties import FleetDuties
     from lotushill.gateway.fleet_quarantine import FleetQuarantine
@@ -24,11 +24,11 @@
     from lotushill.process.metrics import Metrics
     from lotushill.process.settings import GatewaySettings
     from lotushill.process.side_tasks import SideTasks
-    from lotushill.requests.front import Front
+    from lotushill.requests.client_application import ClientApplication
     from lotushill.requests.mover import Mover
     from lotushill.requests.upstream_gate import UpstreamGate
     from lotushill.requests.upstream_pool import UpstreamPool
-    from lotushill.scheduling.line_keeper import LineKeeper
+    from lotushill.scheduling.queue_runner import QueueRunner
 
 
 class Reported(Protocol):
@@ -41,7 +41,7 @@
     store: ObjectStore
     views: StoreViews
     peers: Peers
-    rests: Rests
+    rests: Cooldowns
     limits: FleetLimits
     team_limits: TeamLimits
     fleet: Fleet
@@ -50,8 +50,8 @@
     mover: Mover
     quarantine: FleetQuarantine
     side_tasks: SideTasks
-    front: Front
-    waiting: LineKeeper
+    front: ClientApplication
+    waiting: QueueRunner
 
     def ready(self) -> bool:
         """Return whether clients may be sent here."""
@@ -70,13 +70,15 @@
         lambda: float(gateway.peers.schedulers.schedules()),
     )
     gauge("unanswered_asks", "Asks without an answer", lambda: gateway.peers.client.unanswered)
-    line = gateway.waiting.line
-    gauge("waiting", "Requests that wait here for room", lambda: len(line.room))
-    gauge("waiting_bytes", "Bytes of these, as reckoned", lambda: line.room.bytes)
+    line = gateway.waiting.queue
+    gauge("waiting", "Requests that wait here for room", lambda: len(line.requests))
+    gauge("waiting_bytes", "Bytes of these, as reckoned", lambda: line.requests.bytes)
     gauge("waiting_held", "Requests that had to wait here so far", lambda: line.held)
     gauge("waiting_placed", "Of these, placed so far", lambda: line.placed)
     gauge("waiting_given_up", "Of these, refused so far", lambda: line.given_up)
-    gauge("waiting_full", "Requests that found the waiting room full", lambda: line.room.overflows)
+    gauge(
+        "waiting_full", "Requests that found the waiting room full", lambda: line.requests.overflows
+    )
     gauge(
         "waiting_elsewhere",
         "Requests of this gateway that wait at schedulers",
@@ -116,7 +118,11 @@
         "Ends of upstreams under requests of this gateway so far, once for each request",
         lambda: gateway.quarantine.keeper.upstream_ends,
     )
-    gauge("rests_asked", "Rests that upstreams asked for so far", lambda: gateway.rests.asked)
+    gauge(
+        "rests_asked",
+        "Rests that upstreams asked for so far",
+        lambda: gateway.rests.requested_count,
+    )
     gauge(
         "upstreams_resting",
         "Upstreams that want nothing from this gateway now",
@@ -125,22 +131,22 @@
     gauge(
         "sends_barred",
         "Requests kept from upstreams that were chosen and want none, so far",
-        lambda: gateway.gate.barred,
+        lambda: gateway.gate.blocked_sends,
     )
     gauge(
         "rests_unreadable",
         "Wishes for rest that could not be read so far",
-        lambda: gateway.gate.unreadable,
+        lambda: gateway.gate.unreadable_cooldowns,
     )
     gauge(
         "upstreams_limited",
         "Upstreams that name a limit for all gateways together",
-        lambda: len(gateway.limits.stated.limited()),
+        lambda: len(gateway.limits.stated.limited_rates()),
     )
     gauge(
         "sends_unpermitted",
         "Requests for which there was no permit at the upstream that was chosen, so far",
-        lambda: gateway.gate.unpermitted,
+        lambda: gateway.gate.requests_without_permit,
     )
     gauge(
         "permits_denied",
@@ -162,26 +168,26 @@
     gauge("places_promised", "Places promised here so far", lambda: returns.made)
     gauge("returns_placed", "Returns placed here as promised so far", lambda: returns.kept)
     gauge("returns_early", "Asks of returns before their time so far", lambda: returns.early)
-    gauge("moves_under_way", "Handovers of runs now", lambda: gateway.mover.under_way)
+    gauge("moves_under_way", "Handovers of runs now", lambda: gateway.mover.handovers_in_progress)
     gauge(
         "teams_over_share",
         "Services and tiers with a team that others go before where there is too little room",
-        lambda: len(gateway.fleet.shares.ahead(clocks.now())),
+        lambda: len(gateway.fleet.shares.teams_over_share(clocks.now())),
     )
     gauge(
         "team_limit_held_back",
         "Times that a request was kept back by the limit of its team, so far",
-        lambda: gateway.team_limits.held_back,
+        lambda: gateway.team_limits.delayed_count,
     )
     gauge(
         "waiting_for_start",
         "Requests that wait until this gateway is ready",
-        lambda: gateway.front.waiting,
+        lambda: gateway.front.waiting_until_ready,
     )
     gauge(
         "upstreams_uneven",
         "Upstreams that are slower or faster than their like for good, as far as is known here",
-        lambda: len(gateway.fleet.engine_paces.lasting()),
+        lambda: len(gateway.fleet.engine_paces.deviating_paces()),
     )
     gauge("connections_opened", "Connections to upstreams", lambda: gateway.pool.opened)
     gauge("task_faults", "Faults beside the request path", lambda: gateway.side_tasks.faults)
@@ -208,10 +214,10 @@
             "known": [asdict(item) for item in gateway.views.upstreams.all()],
             "ignored": dict(gateway.views.upstream_faults.held),
             "resting": sorted(gateway.rests.barred(clocks.now())),
-            "limited": gateway.limits.stated.limited(),
+            "limited": gateway.limits.stated.limited_rates(),
             "paces": {
-                item.upstream: [round(item.steps, 2), round(item.reading, 2)]
-                for item in gateway.fleet.engine_paces.lasting()
+                item.upstream: [round(item.step_slowness, 2), round(item.read_slowness, 2)]
+                for item in gateway.fleet.engine_paces.deviating_paces()
             },
         },
         "over_share": _over_share(gateway),
@@ -222,7 +228,7 @@
         },
         "members": [_member(item) for item in gateway.peers.membership.all()],
         "held_requests": {
-            item.hex(): gateway.quarantine.suspects.ends_under(item)
+            item.hex(): gateway.quarantine.suspects.failure_count(item)
             for item in gateway.quarantine.held()
         },
         "isolated_groups": [
@@ -245,17 +251,17 @@
     names = {team_number(item.name): item.name for item in table.teams} if table else {}
     return [
         {**asdict(item), "team": names.get(item.team, str(item.team))}
-        for item in gateway.fleet.shares.ahead(clocks.now())
+        for item in gateway.fleet.shares.teams_over_share(clocks.now())
     ]
 
 
-def _waiting(keeper: LineKeeper) -> dict[str, object]:
-    room = keeper.line.room
+def _waiting(keeper: QueueRunner) -> dict[str, object]:
+    room = keeper.queue.requests
     return {
         "tiers": {name: room.tiers(name) for name in room.services()},
-        "held": keeper.line.held,
-        "placed": keeper.line.placed,
-        "given_up": keeper.line.given_up,
+        "held": keeper.queue.held,
+        "placed": keeper.queue.placed,
+        "given_up": keeper.queue.given_up,
         "found_full": room.overflows,
     }
 
--- a/src/lotushill/limits/barred_upstreams.py
+++ b/src/lotushill/limits/barred_upstreams.py
@@ -7,14 +7,14 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from lotushill.availability.rests import Rests
+    from lotushill.availability.cooldowns import Cooldowns
     from lotushill.limits.denials import Denials
 
 
 class BarredUpstreams:
     """What those who choose leave out. Pure, with the clock passed in."""
 
-    def __init__(self, rests: Rests, denials: Denials) -> None:
+    def __init__(self, rests: Cooldowns, denials: Denials) -> None:
         self._rests = rests
         self._denials = denials
 
@@ -24,14 +24,14 @@
 
     def any_limited(self, upstream_ids: Iterable[str], route: str, now: float) -> bool:
         """Return whether for any of some upstreams there is no permit."""
-        return any(self._denials.bars(name, route, now) for name in upstream_ids)
+        return any(self._denials.is_barred(name, route, now) for name in upstream_ids)
 
-    def first_end(self, upstream_ids: Iterable[str], route: str, now: float) -> float:
+    def seconds_to_first_end(self, upstream_ids: Iterable[str], route: str, now: float) -> float:
         """Return after how many seconds the first of some upstreams may be sent a request."""
         return min((self._end(name, route, now) for name in upstream_ids), default=0.0)
 
     def _end(self, upstream_id: str, route: str, now: float) -> float:
         return max(
-            self._rests.first_end((upstream_id,), now),
-            self._denials.left(upstream_id, route, now),
+            self._rests.seconds_to_first_end((upstream_id,), now),
+            self._denials.seconds_left(upstream_id, route, now),
         )
--- a/src/lotushill/limits/denials.py
+++ b/src/lotushill/limits/denials.py
@@ -23,7 +23,7 @@
         self._asked: dict[str, float] = {}
         """Upstreams for which an answer is awaited, by when it is given up."""
 
-    def note_asked(self, upstream_id: str, until: float) -> None:
+    def note_pending(self, upstream_id: str, until: float) -> None:
         """Note that a permit is asked for: one ask of a gateway is under way at a time."""
         self._asked[upstream_id] = until
 
@@ -40,23 +40,23 @@
         """Forget what was denied, since the limit is another one."""
         self._until.pop(upstream_id, None)
 
-    def left(self, upstream_id: str, route: str, now: float) -> float:
+    def seconds_left(self, upstream_id: str, route: str, now: float) -> float:
         """Return for how many seconds nothing is to be asked for a route, 0 for not at all."""
         rank = self._ranks.get(route, -1)
         denied = self._until.get(upstream_id, {})
         ends = [until for other, until in denied.items() if other <= rank]
         return max(0.0, max([*ends, self._asked.get(upstream_id, -math.inf)]) - now)
 
-    def bars(self, upstream_id: str, route: str, now: float) -> bool:
+    def is_barred(self, upstream_id: str, route: str, now: float) -> bool:
         """Return whether nothing is to be asked for a route now."""
-        return self.left(upstream_id, route, now) > 0.0
+        return self.seconds_left(upstream_id, route, now) > 0.0
 
     def barred(self, route: str, now: float) -> frozenset[str]:
         """Return all upstreams for which nothing is to be asked for a route now."""
         if not self._until and not self._asked:
             return _NOBODY
         names = self._until.keys() | self._asked.keys()
-        return frozenset(name for name in names if self.bars(name, route, now))
+        return frozenset(name for name in names if self.is_barred(name, route, now))
 
     def forget(self, limited: set[str], now: float) -> None:
         """Drop what is over, and what was said of upstreams without a limit."""
--- a/src/lotushill/limits/fleet_limits.py
+++ b/src/lotushill/limits/fleet_limits.py
@@ -6,10 +6,10 @@
 
 from lotushill.availability.stated_limits import NO_LIMIT
 from lotushill.limits.denials import Denials
-from lotushill.limits.limit_keeper import LimitKeeper
-from lotushill.limits.permit_client import ANSWER_SECONDS
+from lotushill.limits.limit_gossip import LimitGossip
+from lotushill.limits.permit_buckets import PermitBuckets
+from lotushill.limits.permit_client import ANSWER_TIMEOUT_SECONDS
 from lotushill.limits.permit_client import PermitClient
-from lotushill.limits.permit_desk import PermitDesk
 from lotushill.limits.permit_request import PermitRequest
 from lotushill.links.limit_messages import PermitAnswer
 
@@ -19,7 +19,7 @@
 
     from lotushill.availability.stated_limits import StatedLimits
     from lotushill.event_log import EventLog
-    from lotushill.limits.counting import CountingGateways
+    from lotushill.limits.limit_owners import LimitOwners
     from lotushill.limits.permit_rank import PermitRanks
     from lotushill.links.limit_messages import LimitNews
     from lotushill.links.limit_messages import LimitState
@@ -39,7 +39,7 @@
     def __init__(
         self,
         upstreams: UpstreamView,
-        counting: CountingGateways,
+        counting: LimitOwners,
         stated: StatedLimits,
         ranks: PermitRanks,
         send: Callable[[PermitAsk, str], None],
@@ -57,10 +57,10 @@
         self.stated = stated
         self.denials = Denials()
         self.client = PermitClient(counting.own_name, send)
-        self.keeper = LimitKeeper(
+        self.gossip = LimitGossip(
             counting.own_name, self.stated, tell, self._note_changed, log, rng, clock
         )
-        self._desk = PermitDesk()
+        self._desk = PermitBuckets()
         self.denied = 0
         """Requests that were denied a permit so far, the ones of other gateways included."""
 
@@ -76,7 +76,7 @@
         upstream_id = request.upstream.id
         if not self.is_limited(upstream_id):
             return True
-        if self.denials.bars(upstream_id, request.route, self._clock()):
+        if self.denials.is_barred(upstream_id, request.route, self._clock()):
             return False
         answer = await self._ask(request)
         if not answer.granted:
@@ -86,7 +86,7 @@
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
         """Answer another gateway that takes this one for the counting one."""
-        self.keeper.take(ask.limit, ask.sender)
+        self.gossip.merge(ask.limit, ask.sender)
         upstream = self._upstreams.find(ask.limit.upstream)
         if upstream is None or not self._counting.is_own(upstream):
             return PermitAnswer(ask.number, False, _OTHERS_PAUSE, 0)
@@ -97,7 +97,7 @@
         """Drop what is of no more use, with the ids of all upstreams that are known."""
         now = self._clock()
         self.stated.forget(known, now)
-        limited = set(self.stated.limited())
+        limited = set(self.stated.limited_rates())
         self.denials.forget(limited, now)
         self._desk.forget(limited)
 
@@ -105,37 +105,37 @@
         """Begin anew with an upstream that has named another limit, its first one or its end."""
         self.denials.clear(upstream_id)
         upstream = self._upstreams.find(upstream_id)
-        word, now = self.stated.word(upstream_id), self._clock()
-        if word is None or word.rate == NO_LIMIT or now - word.heard >= _NEW_SECONDS:
+        word, now = self.stated.report(upstream_id), self._clock()
+        if word is None or word.rate == NO_LIMIT or now - word.received_at >= _NEW_SECONDS:
             return
         if upstream is not None and self._counting.is_own(upstream):
-            self._desk.begin(upstream_id, word.rate, now)
+            self._desk.add_bucket(upstream_id, word.rate, now)
 
     async def _ask(self, request: PermitRequest) -> PermitAnswer:
         upstream_id = request.upstream.id
-        counting = self._counting.of(request.upstream)
+        counting = self._counting.owner_of(request.upstream)
         if counting.name == self._counting.own_name:
             return self._decide(request, counting.name)
-        self.denials.note_asked(upstream_id, self._clock() + ANSWER_SECONDS)
+        self.denials.note_pending(upstream_id, self._clock() + ANSWER_TIMEOUT_SECONDS)
         try:
             return await self.client.ask(self._state(upstream_id), request, counting.address)
         finally:
             self.denials.note_answered(upstream_id)
 
     def _state(self, upstream_id: str) -> LimitState:
-        word = self.stated.word(upstream_id)
+        word = self.stated.report(upstream_id)
         assert word is not None, "only for an upstream with a limit is a permit asked for"
-        return self.keeper.state(upstream_id, word)
+        return self.gossip.state(upstream_id, word)
 
     def _decide(self, request: PermitRequest, asker: str, number: int = 0) -> PermitAnswer:
         upstream = request.upstream
         if not self.is_limited(upstream.id):
             return PermitAnswer(number, True, 0.0, 0)
         now = self._clock()
-        rate = self.stated.rate(upstream.id) * self._counting.part()
+        rate = self.stated.rate(upstream.id) * self._counting.usable_fraction()
         rank = self._ranks.rank(
             upstream.service, request.route, request.tier, request.prompt_tokens, now
         )
-        verdict = self._desk.ask(upstream.id, rate, rank, asker, now)
+        verdict = self._desk.request_permit(upstream.id, rate, rank, asker, now)
         self.denied += not verdict.granted
         return PermitAnswer(number, verdict.granted, verdict.again_in, rank)
--- a/src/lotushill/limits/counting.py
+++ b/src/lotushill/limits/limit_owners.py
@@ -16,7 +16,7 @@
     from lotushill.routing.upstream import Upstream
 
 
-class CountingGateways:
+class LimitOwners:
     """One scheduler for each upstream, worked out from the live members by all of them alike.
 
     Schedulers know what runs, and so which requests are to come first.
@@ -39,7 +39,7 @@
         """Return the name of this gateway."""
         return self._membership.own.name
 
-    def of(self, upstream: Upstream) -> MemberState:
+    def owner_of(self, upstream: Upstream) -> MemberState:
         """Return who counts for an upstream: one of its hall, which is cut off together with it."""
         halls = self._schedulers.halls()
         near = halls.get(upstream.hall)
@@ -50,9 +50,9 @@
 
     def is_own(self, upstream: Upstream) -> bool:
         """Return whether this gateway counts."""
-        return self.of(upstream).name == self.own_name
+        return self.owner_of(upstream).name == self.own_name
 
-    def part(self) -> float:
+    def usable_fraction(self) -> float:
         """Return which part of a limit those that this gateway hears may use."""
         heard = len(self._membership.live())
         staying = [item for item in self._membership.all() if item.phase is not MemberPhase.LEAVING]
--- a/src/lotushill/limits/permit_desk.py
+++ b/src/lotushill/limits/permit_buckets.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from dataclasses import field
 
-DEPTH = 2.0
+BUCKET_DEPTH = 2.0
 """Permits that are kept while nobody asks."""
 _RANK_LEVEL = 0.45
 """What has to be left for each rank before that asks as well: those that ask often never let it
@@ -56,24 +56,26 @@
         return 1.0 + _RANK_LEVEL * min(_RANKS, before)
 
 
-class PermitDesk:
+class PermitBuckets:
     """One token bucket for each upstream that this gateway counts."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, _Bucket] = {}
 
-    def begin(self, upstream_id: str, rate: float, now: float) -> None:
+    def add_bucket(self, upstream_id: str, rate: float, now: float) -> None:
         """Count for an upstream that has just named its first limit, and so been counted by nobody.
 
         Where all engines name limits at once, what comes in the next moments is not all refused.
         """
-        level = min(DEPTH, rate * _BEFORE_SECONDS)
+        level = min(BUCKET_DEPTH, rate * _BEFORE_SECONDS)
         self._buckets.setdefault(upstream_id, _Bucket(now, level))
 
-    def ask(self, upstream_id: str, rate: float, rank: int, asker: str, now: float) -> Verdict:
+    def request_permit(
+        self, upstream_id: str, rate: float, rank: int, asker: str, now: float
+    ) -> Verdict:
         """Return whether `asker` may send a request of a rank, at so many a second for all."""
         bucket = self._buckets.setdefault(upstream_id, _Bucket(now))
-        bucket.level = min(DEPTH, bucket.level + rate * max(0.0, now - bucket.at))
+        bucket.level = min(BUCKET_DEPTH, bucket.level + rate * max(0.0, now - bucket.at))
         bucket.at = max(bucket.at, now)
         bucket.askers[asker] = bucket.ranks[rank] = now
         wanted = bucket.wanted(rank, rate, now)
--- a/src/lotushill/limits/permit_client.py
+++ b/src/lotushill/limits/permit_client.py
@@ -15,7 +15,7 @@
     from lotushill.limits.permit_request import PermitRequest
     from lotushill.links.limit_messages import LimitState
 
-ANSWER_SECONDS = 0.15
+ANSWER_TIMEOUT_SECONDS = 0.15
 """Some round trips between regions; a gateway that takes longer is frozen, lost or cut off."""
 _SILENT_PAUSE = 0.3
 """Until one that did not answer is asked again: by then the members have likely lost it."""
@@ -43,7 +43,7 @@
         )
         self._send(ask, address)
         try:
-            async with asyncio.timeout(ANSWER_SECONDS):
+            async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
                 return await waiting
         except TimeoutError:
             self.unanswered += 1
--- a/src/lotushill/limits/team_limits.py
+++ b/src/lotushill/limits/team_limits.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING
 
 from lotushill.limits.denials import Denials
-from lotushill.limits.permit_client import ANSWER_SECONDS
-from lotushill.limits.permit_desk import PermitDesk
+from lotushill.limits.permit_buckets import PermitBuckets
+from lotushill.limits.permit_client import ANSWER_TIMEOUT_SECONDS
 from lotushill.limits.permit_request import PermitRequest
 from lotushill.links.limit_messages import LimitState
 from lotushill.links.limit_messages import PermitAnswer
@@ -21,7 +21,7 @@
     import random
     from collections.abc import Callable
 
-    from lotushill.limits.counting import CountingGateways
+    from lotushill.limits.limit_owners import LimitOwners
     from lotushill.limits.permit_client import PermitClient
     from lotushill.links.limit_messages import PermitAsk
     from lotushill.routing.rate_limit import RateLimit
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        counting: CountingGateways,
+        counting: LimitOwners,
         client: PermitClient,
         rng: random.Random,
         clock: Callable[[], float],
@@ -54,30 +54,30 @@
         self._rng = rng
         self._clock = clock
         self._denials = Denials()
-        self._desk = PermitDesk()
+        self._desk = PermitBuckets()
         self._used: dict[str, float] = {}
         """When each limit was last asked for here."""
-        self.held_back = 0
+        self.delayed_count = 0
         """Requests of this gateway that were not let through at once, so far."""
 
-    async def wait(self, limit: RateLimit, tier: int) -> float:
+    async def request_permit(self, limit: RateLimit, tier: int) -> float:
         """Return 0 for a request that may go on now, and counts; else seconds until it may ask.
 
         The more urgent go first, as far as permits are left.
         """
-        name, kind, now = counted_name(limit), str(tier), self._clock()
-        left = self._denials.left(name, kind, now)
+        name, kind, now = limit_key(limit), str(tier), self._clock()
+        left = self._denials.seconds_left(name, kind, now)
         if left > 0.0:
             return min(left, _LOOK_SECONDS)
         answer = await self._ask(limit, name, tier)
         if answer.granted:
             return 0.0
-        self.held_back += 1
+        self.delayed_count += 1
         pause = max(_LEAST_PAUSE, answer.again_in * self._rng.uniform(*_SPREAD))
         self._denials.note_denied(name, kind, answer.rank, self._clock() + pause)
         return min(pause, _LOOK_SECONDS)
 
-    def counts(self, ask: PermitAsk) -> bool:
+    def is_team_limit(self, ask: PermitAsk) -> bool:
         """Return whether an ask is for a limit of a team, and not for one of an upstream."""
         return ask.limit.upstream.startswith(_PREFIX)
 
@@ -97,13 +97,13 @@
         self._denials.forget(set(self._used), now)
 
     async def _ask(self, limit: RateLimit, name: str, tier: int) -> PermitAnswer:
-        counting = self._counting.of(_counted(name))
+        counting = self._counting.owner_of(_counted(name))
         self._used[name] = self._clock()
         if counting.name == self._counting.own_name:
             return self._decide(name, limit.rate, tier, counting.name)
         request = PermitRequest(_counted(name), str(tier), tier)
         state = LimitState(name, limit.rate, 0.0, 0.0)
-        self._denials.note_asked(name, self._clock() + ANSWER_SECONDS)
+        self._denials.note_pending(name, self._clock() + ANSWER_TIMEOUT_SECONDS)
         try:
             return await self._client.ask(state, request, counting.address)
         finally:
@@ -114,14 +114,14 @@
     ) -> PermitAnswer:
         now = self._clock()
         self._used[name] = now
-        own_rate = rate * self._counting.part()
+        own_rate = rate * self._counting.usable_fraction()
         # Whoever begins to count hands out little at once: another one may have counted until now.
-        self._desk.begin(name, own_rate, now)
-        verdict = self._desk.ask(name, own_rate, tier, asker, now)
+        self._desk.add_bucket(name, own_rate, now)
+        verdict = self._desk.request_permit(name, own_rate, tier, asker, now)
         return PermitAnswer(number, verdict.granted, verdict.again_in, tier)
 
 
-def counted_name(limit: RateLimit) -> str:
+def limit_key(limit: RateLimit) -> str:
     """Return the name under which a limit is counted."""
     return f"{_PREFIX}{limit.scope}"
 
@@ -131,6 +131,6 @@
     return Upstream(name, "", "", "", 0, False)
 
 
-def counted_as(limit: RateLimit) -> Upstream:
+def limit_as_upstream(limit: RateLimit) -> Upstream:
     """Return what stands for a limit where gateways work out who counts for it."""
-    return _counted(counted_name(limit))
+    return _counted(limit_key(limit))
--- a/src/lotushill/links/pace_records.py
+++ b/src/lotushill/links/pace_records.py
@@ -11,7 +11,7 @@
 
 from lotushill.links.exceptions import MalformedFrameError
 from lotushill.links.load_records import upstream_number
-from lotushill.placement.engine_pace import LastingPace
+from lotushill.placement.engine_pace import LongTermPace
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,15 +25,15 @@
 _MOST = 20.0
 
 
-def pack_paces(paces: Sequence[LastingPace]) -> bytes:
+def pack_paces(paces: Sequence[LongTermPace]) -> bytes:
     """Return paces as records, as many as are told."""
     return b"".join(
-        _RECORD.pack(upstream_number(item.upstream), item.steps, item.reading)
+        _RECORD.pack(upstream_number(item.upstream), item.step_slowness, item.read_slowness)
         for item in paces[:MOST_PACES]
     )
 
 
-def unpack_paces(data: bytes, upstream_id: Callable[[int], str | None]) -> list[LastingPace]:
+def unpack_paces(data: bytes, upstream_id: Callable[[int], str | None]) -> list[LongTermPace]:
     """Return the paces of records; raise MalformedFrameError for anything else.
 
     `upstream_id` finds the id of an upstream by its number; unknown ones are left out.
@@ -44,5 +44,5 @@
     for number, steps, reading in _RECORD.iter_unpack(data):
         name = upstream_id(number)
         if name is not None and _LEAST <= steps <= _MOST and _LEAST <= reading <= _MOST:
-            found.append(LastingPace(name, steps, reading))
+            found.append(LongTermPace(name, steps, reading))
     return found
--- a/src/lotushill/load/limits/emulated_fleet.py
+++ b/src/lotushill/load/limits/emulated_fleet.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from lotushill.availability.stated_limits import NO_LIMIT
-from lotushill.availability.stated_limits import Word
-from lotushill.limits.team_limits import counted_as
+from lotushill.availability.stated_limits import LimitReport
+from lotushill.limits.team_limits import limit_as_upstream
 from lotushill.links.messages import MemberPhase
 from lotushill.links.messages import MemberState
 from lotushill.load.limits.emulated_members import EmulatedMembers
@@ -193,7 +193,7 @@
         self._sent.append(self._loop.time())
         rate = self._rate()
         await asyncio.sleep(_ANSWER_SECONDS / 2)
-        gateway.limits.keeper.hear(ENGINE.id, Word(rate, sent, self._loop.time()))
+        gateway.limits.gossip.note_answer(ENGINE.id, LimitReport(rate, sent, self._loop.time()))
 
     def _team_limit(self) -> RateLimit:
         return RateLimit("team", self._play.rate)
@@ -207,7 +207,7 @@
         """Do what is due at one gateway, and look again after a while."""
         gateway = self._gateways[name]
         if not gateway.down and not gateway.frozen:
-            gateway.limits.keeper.tell_due()
+            gateway.limits.gossip.send_due()
         self._loop.call_later(_TICK, self._tick, name)
 
     # The network
@@ -223,7 +223,7 @@
     def _tell(self, sender: str, news: LimitNews) -> None:
         for name in list(self._gateways):
             if name != sender:
-                receive = self._gateways[name].limits.keeper.receive
+                receive = self._gateways[name].limits.gossip.receive
                 self._deliver(sender, name, lambda receive=receive: receive(news))  # type: ignore[misc]
 
     def _deliver(self, sender: str, to: str, call: Callable[[], None]) -> None:
@@ -243,8 +243,8 @@
 
     async def _do(self, fault: Fault) -> None:
         await asyncio.sleep(_FAULT_AT)
-        counted = counted_as(self._team_limit()) if self._play.way == TEAM else ENGINE
-        counting = counting_gateways(self._gateways["gw-0"].members).of(counted)
+        counted = limit_as_upstream(self._team_limit()) if self._play.way == TEAM else ENGINE
+        counting = counting_gateways(self._gateways["gw-0"].members).owner_of(counted)
         match fault:
             case Fault.NONE:
                 return
--- a/src/lotushill/load/limits/ways.py
+++ b/src/lotushill/load/limits/ways.py
@@ -9,8 +9,8 @@
 from lotushill.availability.stated_limits import NO_LIMIT
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.event_log import EventLog
-from lotushill.limits.counting import CountingGateways
 from lotushill.limits.fleet_limits import FleetLimits
+from lotushill.limits.limit_owners import LimitOwners
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.limits.permit_request import PermitRequest
 from lotushill.limits.team_limits import TeamLimits
@@ -87,7 +87,7 @@
         """Ask whether the limit lets one through, for as long as a request waits."""
         ends = self._clock() + _TEAM_PATIENCE
         while True:
-            pause = await self._own.wait(self._limit, tier)
+            pause = await self._own.request_permit(self._limit, tier)
             if pause <= 0.0:
                 return True
             if self._clock() + pause > ends:
@@ -161,9 +161,9 @@
     return FleetLimits(view, counting, stated, ranks, send, tell, log, rng, clock)
 
 
-def counting_gateways(members: Members) -> CountingGateways:
+def counting_gateways(members: Members) -> LimitOwners:
     """Return who counts for whom as one gateway sees it."""
-    return CountingGateways(members, Schedulers(members), lambda: 0)
+    return LimitOwners(members, Schedulers(members), lambda: 0)
 
 
 def make_way(
--- a/src/lotushill/load/policy/arrivals.py
+++ b/src/lotushill/load/policy/arrivals.py
@@ -56,7 +56,7 @@
             service="llm",
             route=kind.name,
             target=kind.target,
-            gap=kind.gap,
+            target_gap=kind.gap,
             time_left=kind.deadline,
             stream=True,
             prompt_tokens=sum(part.tokens for part in parts),
--- a/src/lotushill/load/policy/engine.py
+++ b/src/lotushill/load/policy/engine.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lotushill.placement.kept_parts import Chain
+    from lotushill.placement.prefix_cache_model import Chain
 
 _MOST_STEPS = 10
 """Steps taken as one where nothing is read: the events of a stream lie about so far apart."""
--- a/src/lotushill/load/policy/known_paces.py
+++ b/src/lotushill/load/policy/known_paces.py
@@ -29,7 +29,7 @@
         del now
         return self._engine.slowness
 
-    def settle(self, steps: float, reading: float) -> None:
+    def set_long_term(self, steps: float, reading: float) -> None:
         """Keep to what is known."""
 
 
--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -11,17 +11,17 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from lotushill.availability.patience import limited_retry
-from lotushill.availability.patience import rest_pause
-from lotushill.availability.patience import return_pause
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.retry_budget import RetryBudget
 from lotushill.availability.stated_limits import NO_LIMIT
+from lotushill.availability.stated_limits import LimitReport
 from lotushill.availability.stated_limits import StatedLimits
-from lotushill.availability.stated_limits import Word
+from lotushill.availability.wait_policy import cooldown_wait
+from lotushill.availability.wait_policy import limited_retry_after_seconds
+from lotushill.availability.wait_policy import returned_request_wait
 from lotushill.limits.barred_upstreams import BarredUpstreams
 from lotushill.limits.denials import Denials
-from lotushill.limits.permit_desk import PermitDesk
+from lotushill.limits.permit_buckets import PermitBuckets
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.load.policy import known_paces
 from lotushill.load.policy.arrivals import Arrivals
@@ -37,23 +37,23 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.fleet import Fleet
-from lotushill.placement.kept_parts import chained
-from lotushill.placement.learning import PACED_EVENTS
+from lotushill.placement.learning import PACE_SAMPLE_PAUSES
 from lotushill.placement.messages import Began
 from lotushill.placement.messages import Ended
 from lotushill.placement.messages import Outcome
 from lotushill.placement.messages import Paced
-from lotushill.placement.placed import placed
+from lotushill.placement.placed_message import placed_message
+from lotushill.placement.prefix_cache_model import chain_parts
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
 from lotushill.routing.upstream import Upstream
-from lotushill.starting.draw import Seen
-from lotushill.starting.draw import draw
-from lotushill.waiting.entry import Held
-from lotushill.waiting.entry import Waiting
-from lotushill.waiting.line import WaitingLine
-from lotushill.waiting.turns import NEWS_SECONDS as WAITING_NEWS_SECONDS
-from lotushill.waiting.turns import Rivals
+from lotushill.starting.draw import UpstreamCredit
+from lotushill.starting.draw import draw_upstream
+from lotushill.waiting.admission_queue import AdmissionQueue
+from lotushill.waiting.entry import Queued
+from lotushill.waiting.entry import QueueEntry
+from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS as WAITING_NEWS_SECONDS
+from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -143,20 +143,20 @@
         """For how many reasons an engine is away now."""
         self._rest_asked = [0.0] * scenario.engines
         """Seconds of rest that an engine asks for while it turns all away, 0 while it does not."""
-        self._rests = [Rests() for _ in range(scenario.schedulers)]
+        self._rests = [Cooldowns() for _ in range(scenario.schedulers)]
         self._limits = StatedLimits()
         self._ranks = [
             PermitRanks(fleet, self._limits, lambda _: self.upstreams) for fleet in self.fleets
         ]
         self._disturbing = random.Random(f"{seed}/disturbances")
-        self._desk = PermitDesk()
+        self._desk = PermitBuckets()
         self._denials = [Denials() for _ in range(scenario.schedulers)]
         self._budgets = [
             RetryBudget(_RETRY_RATIO, _RETRY_SLACK, _RETRY_WINDOW_SECONDS) for _ in self.fleets
         ]
         self._alive = list(range(scenario.schedulers))
         self.lines = [
-            WaitingLine(fleet, Rivals(str(n)), fleet.shares, fleet.shedding.returns)
+            AdmissionQueue(fleet, RemoteQueues(str(n)), fleet.shares, fleet.shedding.returns)
             for n, fleet in enumerate(self.fleets)
         ]
         self._in_line: dict[int, Client] = {}
@@ -255,7 +255,7 @@
         if isinstance(found, Choice):
             self._admit(client, found)
             return
-        if isinstance(found, Held):
+        if isinstance(found, Queued):
             self._wait_in_line(client, found)
             return
         pause = self._pause(client, found)
@@ -264,7 +264,7 @@
             return
         self._refuse(client, found)
 
-    def _wait_in_line(self, client: Client, held: Held) -> None:
+    def _wait_in_line(self, client: Client, held: Queued) -> None:
         """Have a request asked for again while it waits, as its gateway does."""
         self._in_line[client.key] = client
         scheduler, waiting_since = client.scheduler, client.waited_since
@@ -275,7 +275,7 @@
                 del self._in_line[client.key]
                 self._place(client)
 
-        self._at(self.now + held.renew, renew)
+        self._at(self.now + held.renew_seconds, renew)
         if not self._watched[scheduler]:
             self._watched[scheduler] = True
             self._at(self.now + _LOOK_SECONDS, lambda: self._look(scheduler))
@@ -291,25 +291,25 @@
                 self._admit(client, found)
             else:
                 self._refuse(client, found)
-        if len(line.room):
+        if len(line.requests):
             self._at(self.now + _LOOK_SECONDS, lambda: self._look(scheduler))
         else:
             self._watched[scheduler] = False
 
     def _tell_line(self, scheduler: int) -> None:
         """Tell the other schedulers how many wait, until none does."""
-        tiers = self.lines[scheduler].room.tiers("llm")
+        tiers = self.lines[scheduler].requests.tiers("llm")
 
         def hear() -> None:
             for number, line in enumerate(self.lines):
                 if number != scheduler:
-                    line.rivals.note(str(scheduler), "llm", tiers, self.now)
+                    line.remote_queues.set_counts(str(scheduler), "llm", tiers, self.now)
 
         self._at(self.now + _NEWS_SECONDS, hear)
         if self._watched[scheduler]:
             self._at(self.now + WAITING_NEWS_SECONDS, lambda: self._tell_line(scheduler))
 
-    def _choose(self, client: Client) -> Choice | NoChoice | Held:
+    def _choose(self, client: Client) -> Choice | NoChoice | Queued:
         rests, denials = self._rests[client.scheduler], self._denials[client.scheduler]
         barred = BarredUpstreams(rests, denials)
         known = [item for n, item in enumerate(self.upstreams) if self._listed[n]]
@@ -317,10 +317,10 @@
         closed = barred.names(route, self.now)
         open_ones = [item for item in known if item.id not in closed | client.excluded]
         if closed and not open_ones:
-            self.lines[client.scheduler].room.drop(client.key)
+            self.lines[client.scheduler].requests.drop(client.key)
             limited = barred.any_limited(closed, route, self.now)
             refusal = Refusal.LIMITED if limited else Refusal.RESTING
-            return NoChoice(refusal, barred.first_end(closed, route, self.now))
+            return NoChoice(refusal, barred.seconds_to_first_end(closed, route, self.now))
         waited = self.now - client.waited_since
         left = max(0.0, client.arrived + client.kind.deadline - self.now)
         need = replace(client.need, waited=waited, time_left=left)
@@ -329,7 +329,7 @@
             fleet = self.fleets[client.scheduler]
             drawn = self._drawn(fleet, known, excluded)
             return fleet.choose(need, self.service, drawn, excluded, self.now)
-        entry = Waiting(client.key, need, "", client.waited_since, self.now, excluded)
+        entry = QueueEntry(client.key, need, "", client.waited_since, self.now, excluded)
         return self.lines[client.scheduler].place(entry, self.service, known, self.now)
 
     def _hears(self) -> bool:
@@ -339,8 +339,8 @@
         self, fleet: Fleet, known: list[Upstream], excluded: frozenset[str]
     ) -> list[Upstream]:
         loads = [(item, fleet.load(item.id)) for item in known if item.id not in excluded]
-        seen = [Seen(item, load.unanswered, load.answered) for item, load in loads]
-        return draw(seen, self._rng)
+        seen = [UpstreamCredit(item, load.unanswered, load.answered) for item, load in loads]
+        return draw_upstream(seen, self._rng)
 
     def _admit(self, client: Client, choice: Choice) -> None:
         """Ask for a permit where the engine has a limit, and send with one."""
@@ -351,7 +351,7 @@
             return
         # Any scheduler's model would do; the one of the engine's own is as good as this one.
         rank = self._ranks[asker].rank("llm", need.route, need.tier, need.prompt_tokens, self.now)
-        verdict = self._desk.ask(name, rate, rank, str(asker), self.now)
+        verdict = self._desk.request_permit(name, rate, rank, str(asker), self.now)
         if verdict.granted:
             self._at(self.now + _PERMIT_SECONDS, lambda: self._send_if_there(client, choice))
             return
@@ -367,11 +367,11 @@
         """Return after how long a request is looked at again, None where it is refused now."""
         waited, target = self.now - client.waited_since, client.kind.target
         if found.refusal in (Refusal.RESTING, Refusal.LIMITED):
-            return rest_pause(found.retry_after, waited, client.need)
+            return cooldown_wait(found.retry_after, waited, client.need)
         if found.final or found.refusal is Refusal.EARLY:
             return None
         if found.refusal is Refusal.RETURNED:
-            return return_pause(waited, client.need)
+            return returned_request_wait(waited, client.need)
         if found.refusal is not Refusal.NO_UPSTREAM:
             return None
         pause = _POLL_SECONDS * self._rng.uniform(0.7, 1.3)
@@ -381,7 +381,7 @@
         left = client.arrived + client.kind.deadline - self.now
         retry_after = refusal.retry_after
         if refusal.refusal is Refusal.LIMITED:
-            retry_after = limited_retry(retry_after)
+            retry_after = limited_retry_after_seconds(retry_after)
         pause = min(retry_after, _RETURN_SHARE * left)
         tries = 2
         if client.impatient:
@@ -411,11 +411,11 @@
         client.sent_at = self.now
         self._rests[client.scheduler].note_sent(choice.upstream.id, self.now)
         self._clients[number] = client
-        told = placed(number, client.need, choice, True)
-        self.fleets[client.scheduler].note_taken(client.need, self.now)
+        told = placed_message(number, client.need, choice, True)
+        self.fleets[client.scheduler].note_choice_used(client.need, self.now)
         mine = self.fleets[client.scheduler]
         mine.start(told, self.service, self.now)
-        mine.pace("llm").note_reading(told.reading)
+        mine.pace("llm").note_prefill(told.prefill_tokens)
         for fleet in self.fleets if self._hears() else ():
             if fleet is not mine:
                 start = functools.partial(fleet.start, told, self.service)
@@ -438,7 +438,7 @@
         if client.over or client.number != number:
             return
         engine = self.engines[client.engine]
-        chain = tuple(chained(client.need.parts))
+        chain = tuple(chain_parts(client.need.parts))
         run = Run(
             number, client.need.tier, client.need.prompt_tokens, client.output,
             client.need.prompt_tokens, chain,
@@ -455,11 +455,11 @@
         name = self.upstreams[client.engine].id
         self._at(
             self.now + _WAY_SECONDS,
-            lambda: self._rests[client.scheduler].note_taken(name, self.now),
+            lambda: self._rests[client.scheduler].note_accepted(name, self.now),
         )
         client.run = run
-        if client.need.patience < client.kind.deadline:
-            patient_until = client.waited_since + client.need.patience
+        if client.need.first_event_timeout < client.kind.deadline:
+            patient_until = client.waited_since + client.need.first_event_timeout
             self._at(patient_until, lambda: self._impatient(client, run))
         self._wake(client.engine)
 
@@ -481,7 +481,7 @@
         client.excluded |= {self.upstreams[client.engine].id}
         client.rejected += 1
         budget = self._budgets[client.scheduler]
-        if client.rejected >= _MOST_REJECTED or not budget.spend(len(self._alive), self.now):
+        if client.rejected >= _MOST_REJECTED or not budget.try_spend(len(self._alive), self.now):
             self._refuse(client, NoChoice(Refusal.RESTING, _SHED_RETRY_SECONDS))
             return
         self._at(self.now + _WAY_SECONDS, lambda: self._place(client))
@@ -490,7 +490,7 @@
         """Let an engine refuse a request and ask for rest."""
         self.turned_away += 1
         name, seconds = self.upstreams[client.engine].id, self._rest_asked[client.engine]
-        self._rests[client.scheduler].note_asked(name, seconds, self.now)
+        self._rests[client.scheduler].note_requested(name, seconds, self.now)
         self._end_run(client, Outcome.FAILED)
         client.excluded |= {name}
         client.rejected += 1
@@ -506,10 +506,10 @@
     def _tell_returns(self) -> None:
         """Let the schedulers tell each other whom they told to come back."""
         for fleet in self.fleets:
-            news = fleet.shedding.returns.due_news(self.now)
+            news = fleet.shedding.returns.due_states(self.now)
             others = [other for other in self.fleets if other is not fleet]
             for other in others if news else ():
-                heard = functools.partial(other.shedding.returns.hear, news)
+                heard = functools.partial(other.shedding.returns.merge, news)
                 self._at(self.now + _NEWS_SECONDS, self._with_clock(heard))
         if self.now < self.scenario.seconds:
             self._at(self.now + _RETURN_NEWS_SECONDS, self._tell_returns)
@@ -539,7 +539,7 @@
             client.began_at = at
             began = Began(run.number, at - client.sent_at)
             self._at(at, lambda: self._tell_all(client, lambda fleet, now: fleet.begin(began, now)))
-        elif len(run.events) == PACED_EVENTS + 1:
+        elif len(run.events) == PACE_SAMPLE_PAUSES + 1:
             pauses = sorted(b - a for a, b in itertools.pairwise(run.events))
             paced = Paced(run.number, pauses[2])
             self._at(
@@ -552,12 +552,12 @@
             return
         fleet = self.fleets[client.scheduler]
         load, pace = fleet.load(self.upstreams[client.engine].id), fleet.pace("llm")
-        due = load.unread.all(pace.read_rate, self.now) / pace.read_rate
+        due = load.prefill_queue.remaining_tokens(pace.read_rate, self.now) / pace.read_rate
         if pause > 0.0:
             slowness = load.pace.step_slowness(self.now)
             ratio = pace.pauses.note(pause, client.due, len(load.running), slowness)
             if ratio is not None and not due:
-                load.pace.note_step(ratio, self.now)
+                load.pace.note_pause_ratio(ratio, self.now)
         client.due = due
 
     def _on_end(self, run: Run, at: float) -> None:
@@ -609,7 +609,7 @@
     def _finish(self, client: Client, end: str, why: str = "") -> None:
         client.over = True
         self._in_line.pop(client.key, None)
-        self.lines[client.scheduler].room.drop(client.key)
+        self.lines[client.scheduler].requests.drop(client.key)
         client.served = end in ("in_time", "late")
         if why:
             self.tallies[client.kind.name].why[why] += 1
@@ -642,7 +642,7 @@
                 self._at(self.now + _LOST_SECONDS, end)
         client.number = 0
         self._in_line.pop(client.key, None)
-        self.lines[client.scheduler].room.drop(client.key)
+        self.lines[client.scheduler].requests.drop(client.key)
         client.scheduler = self._rng.choice(self._alive)
         if client.tries > 1 or begun:
             self._finish(client, "failed", "gateway lost")
@@ -659,11 +659,11 @@
             self._at(ends, functools.partial(self._name_limit, index, NO_LIMIT))
 
     def _name_limit(self, index: int, rate: float) -> None:
-        self._limits.take(self.upstreams[index].id, Word(rate, self.now, self.now))
+        self._limits.merge(self.upstreams[index].id, LimitReport(rate, self.now, self.now))
         for denials in self._denials:
             denials.clear(self.upstreams[index].id)
         if rate < NO_LIMIT:
-            self._desk.begin(self.upstreams[index].id, rate, self.now)
+            self._desk.add_bucket(self.upstreams[index].id, rate, self.now)
 
     def _plan_old_work(self) -> None:
         """Let requests of former gateways run on, of which no scheduler knows."""
--- a/src/lotushill/moves/move_links.py
+++ b/src/lotushill/moves/move_links.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self._due: dict[str, list[float]] = {}
 
-    def take(self, upstream_id: str, seconds: float, within: float) -> bool:
+    def try_reserve(self, upstream_id: str, seconds: float, within: float) -> bool:
         """Count in a copy of so many seconds if it is done in time behind the others."""
         due = self._due.get(upstream_id, [])
         if len(due) >= _MOST_AT_ONCE or sum(due) + seconds > within:
@@ -25,13 +25,13 @@
         self._due.setdefault(upstream_id, []).append(seconds)
         return True
 
-    def give_back(self, upstream_id: str, seconds: float) -> None:
+    def release(self, upstream_id: str, seconds: float) -> None:
         """Count out a copy that is done or given up."""
         due = self._due[upstream_id]
         due.remove(seconds)
         if not due:
             del self._due[upstream_id]
 
-    def busy(self, upstream_id: str) -> bool:
+    def is_full(self, upstream_id: str) -> bool:
         """Return whether no further move may be under way at an upstream."""
         return len(self._due.get(upstream_id, ())) >= _MOST_AT_ONCE
--- a/src/lotushill/moves/move_plan.py
+++ b/src/lotushill/moves/move_plan.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from lotushill.placement.backup import COPY_LOSS_PER_TOKEN
-from lotushill.placement.pauses import missed
+from lotushill.placement.pauses import exceed_probability
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -94,7 +94,7 @@
     cause: Cause
     worth: float
     """What the move saves beyond its price, as a share of the request's credit."""
-    within: float
+    time_limit: float
     """Seconds in which the copy has to be done."""
 
 
@@ -106,8 +106,8 @@
     if copying > bound or (cause is Cause.SLOW and not slower):
         return None
     rest = _rest_events(run)
-    here = 1.0 if cause is Cause.STALLED else outlasts(rest * run.pause, bound)
-    there = outlasts(rest * run.usual_pause + copying, run.time_left)
+    here = 1.0 if cause is Cause.STALLED else outlast_probability(rest * run.pause, bound)
+    there = outlast_probability(rest * run.usual_pause + copying, run.time_left)
     worth = (here - there) * _loss(run, cause) - _price(run, copying)
     return Move(cause, worth, bound) if worth > 0.0 else None
 
@@ -136,11 +136,11 @@
     """Return what the move itself costs: the memory, and a pause that may be too long."""
     price = _WAY_LOSS + COPY_LOSS_PER_TOKEN * run.tokens
     if run.gap > 0.0 and not run.stalled:
-        price += _GAP_LOSS * missed(run.usual_pause + copying, run.gap)
+        price += _GAP_LOSS * exceed_probability(run.usual_pause + copying, run.gap)
     return price
 
 
-def outlasts(rest: float, left: float) -> float:
+def outlast_probability(rest: float, left: float) -> float:
     """Return how likely a run with `rest` likely seconds to go is not over in `left` seconds."""
     if left <= 0.0:
         return 1.0
@@ -157,7 +157,7 @@
     return _CALL_SECONDS + way * tokens * engine.token_bytes / engine.link_rate
 
 
-def in_order(moves: Iterable[tuple[str, Move]]) -> list[tuple[str, Move]]:
+def sort_by_urgency(moves: Iterable[tuple[str, Move]]) -> list[tuple[str, Move]]:
     """Return named moves with the most urgent first: what is worth most where the time is equal.
 
     Runs of upstreams that leave compete for the time that is left, and go before others.
--- a/src/lotushill/moves/notices.py
+++ b/src/lotushill/moves/notices.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-USUAL_SECONDS = 2.0
+DEFAULT_NOTICE_SECONDS = 2.0
 """What an upstream that names no time is taken to work on: the least notice that one gives."""
 _MOST_REMEMBERED = 4096
 """Lives, some times as many as the largest fleet has upstreams."""
@@ -28,11 +28,11 @@
         if known is None:
             while len(self._ends) >= _MOST_REMEMBERED:
                 del self._ends[next(iter(self._ends))]
-            self._ends[upstream_id] = now + (USUAL_SECONDS if seconds is None else seconds)
+            self._ends[upstream_id] = now + (DEFAULT_NOTICE_SECONDS if seconds is None else seconds)
         elif seconds is not None:
             self._ends[upstream_id] = min(known, now + seconds)
 
-    def left(self, upstream_id: str, now: float) -> float | None:
+    def seconds_left(self, upstream_id: str, now: float) -> float | None:
         """Return how many seconds an upstream works on, 0 past its time; None if it stays."""
         ends = self._ends.get(upstream_id)
         return None if ends is None else max(0.0, ends - now)
--- a/src/lotushill/moves/stalls.py
+++ b/src/lotushill/moves/stalls.py
@@ -22,7 +22,7 @@
 _LEAST_LONG_SECONDS = 0.02
 _MULTIPLE = 4.0
 """Of a long pause: one stream in some thousands pauses for so long and goes on by itself."""
-LEAST_SECONDS = 0.5
+MIN_THRESHOLD_SECONDS = 0.5
 """Less is a disturbance that upstreams get over, and going on elsewhere takes as long."""
 _MOST_PAUSES_ALLOWED = 4.0
 """Of the pause that is in time, after which waiting any longer serves nobody."""
@@ -30,7 +30,7 @@
 """The same where a route names no such pause."""
 
 
-class Stalls:
+class StallThresholds:
     """A long pause of each service, from the pauses of this gateway's own streams."""
 
     def __init__(self) -> None:
@@ -57,22 +57,22 @@
         """Return the pause that one event in a hundred exceeds, in seconds."""
         return self._long.get(service, _FIRST_SECONDS)
 
-    def shown(self) -> dict[str, float]:
+    def long_pauses_ms(self) -> dict[str, float]:
         """Return the long pause of each service, in milliseconds."""
         return {service: round(1000 * long, 1) for service, long in self._long.items()}
 
-    def after(self, service: str, gap: float) -> float:
+    def threshold(self, service: str, gap: float) -> float:
         """Return after how many seconds a stream has stopped; `gap` is the pause in time."""
-        return min(latest(gap), self._bound(service))
+        return min(max_threshold(gap), self._bound(service))
 
-    def after_if_known(self, service: str) -> float | None:
+    def threshold_if_known(self, service: str) -> float | None:
         """Return the same where no pause is in time, None until enough were seen."""
         return self._bound(service) if self._seen[service] >= _KNOWN_FROM else None
 
     def _bound(self, service: str) -> float:
-        return max(LEAST_SECONDS, _MULTIPLE * self.long_pause(service))
+        return max(MIN_THRESHOLD_SECONDS, _MULTIPLE * self.long_pause(service))
 
 
-def latest(gap: float) -> float:
+def max_threshold(gap: float) -> float:
     """Return the longest pause, in seconds, that any stream is waited for that can go on."""
     return max(_MOST_SECONDS, _MOST_PAUSES_ALLOWED * gap)
--- a/src/lotushill/peering/group_keeper.py
+++ b/src/lotushill/peering/group_keeper.py
@@ -5,13 +5,13 @@
 import math
 from typing import TYPE_CHECKING
 
-from lotushill.availability.trickle import Trickle
+from lotushill.availability.trickle import TrickleTimer
 from lotushill.links.quarantine_messages import GroupEnd
 from lotushill.links.quarantine_messages import GroupNews
 from lotushill.links.quarantine_messages import IsolatedGroup
 from lotushill.quarantine.group import Group
-from lotushill.quarantine.news_plan import PROOF_SECONDS
-from lotushill.quarantine.repeat_plan import RepeatPlan
+from lotushill.quarantine.repeat_schedule import RepeatSchedule
+from lotushill.quarantine.update_schedule import KNOWN_GOOD_JITTER_SECONDS
 
 if TYPE_CHECKING:
     import random
@@ -43,28 +43,28 @@
         self._log = log
         self._rng = rng
         self._clock = clock
-        self._ends: RepeatPlan[GroupEnd] = RepeatPlan()
-        self._proofs: RepeatPlan[Group] = RepeatPlan()
-        self._timer = Trickle(rng)
+        self._ends: RepeatSchedule[GroupEnd] = RepeatSchedule()
+        self._proofs: RepeatSchedule[Group] = RepeatSchedule()
+        self._timer = TrickleTimer(rng)
         """For what is kept apart: a gateway that starts anew has seen none of the ends."""
 
     # The request path
 
     def isolates(self, groups: Iterable[Group]) -> bool:
         """Return whether a request of these groups is kept apart."""
-        return not self._isolation.empty and self._isolation.isolates(groups, self._clock())
+        return not self._isolation.is_empty and self._isolation.is_isolated(groups, self._clock())
 
     def note_whole(self, groups: Iterable[Group]) -> None:
         """Note a whole answer."""
-        self._isolation.note_whole(groups, self._clock())
+        self._isolation.record_completion(groups, self._clock())
 
     def note_end(self, groups: Iterable[Group], upstream: str) -> None:
         """Note that an upstream ended before a request of these groups had its first event."""
         now = self._clock()
         for group in groups:
-            whole = self._isolation.whole(group, now)
+            whole = self._isolation.completion_count(group, now)
             end = GroupEnd(group.service, group.label, upstream, whole)
-            self._ends.tell(end, now)
+            self._ends.schedule_repeats(end, now)
             self._take_end(end, self._name)
 
     def expire(self) -> None:
@@ -85,15 +85,19 @@
         now = self._clock()
         group = Group(end.service, end.label)
         if not end.upstream:
-            self._isolation.take_whole(group, teller, end.whole, now)
+            self._isolation.record_peer_completions(group, teller, end.whole, now)
             return
         self._take_end(end, teller)
-        if self._isolation.whole(group, now) and group not in self._proofs:
-            self._proofs.tell_at(group, now + self._rng.uniform(0.0, PROOF_SECONDS))
+        if self._isolation.completion_count(group, now) and group not in self._proofs:
+            self._proofs.schedule_once(
+                group, now + self._rng.uniform(0.0, KNOWN_GOOD_JITTER_SECONDS)
+            )
 
     def _take_end(self, end: GroupEnd, teller: str) -> None:
         group = Group(end.service, end.label)
-        if self._isolation.note_end(group, end.upstream, teller, end.whole, self._clock()):
+        if self._isolation.record_upstream_failure(
+            group, end.upstream, teller, end.whole, self._clock()
+        ):
             self._note_isolated(group, end.upstream)
 
     def _hear_isolated(self, told: tuple[IsolatedGroup, ...]) -> None:
@@ -102,8 +106,10 @@
             group = Group(item.service, item.label)
             if self._isolation.adopt(group, item.left, item.pause, now):
                 self._note_isolated(group, "")
-        if {Group(item.service, item.label) for item in told} >= set(self._isolation.groups(now)):
-            self._timer.hear()
+        if {Group(item.service, item.label) for item in told} >= set(
+            self._isolation.isolated_groups(now)
+        ):
+            self._timer.note_consistent()
 
     def _note_isolated(self, group: Group, upstream: str) -> None:
         self._log.note(
@@ -115,13 +121,13 @@
 
     def next_due(self) -> float:
         """Return when something is to be told, infinity for never."""
-        if self._isolation.empty:
+        if self._isolation.is_empty:
             return math.inf
         return min(self._ends.next_due(), self._proofs.next_due(), self._timer.next_due)
 
     def tell_due(self) -> None:
         """Send what is due."""
-        ends = [*self._ends.take(self._clock()), *self._due_proofs()]
+        ends = [*self._ends.pop_due(self._clock()), *self._due_proofs()]
         for start in range(0, len(ends), _MOST_IN_DATAGRAM):
             self._tell(GroupNews(self._name, tuple(ends[start : start + _MOST_IN_DATAGRAM])))
         self._tell_isolated()
@@ -130,17 +136,17 @@
         """Return whole answers that are due to be told: once enough are known, no more are."""
         now = self._clock()
         found = []
-        for group in self._proofs.take(now):
-            if not self._isolation.needs_proof(group, now):
+        for group in self._proofs.pop_due(now):
+            if not self._isolation.needs_completion_reports(group, now):
                 continue
-            whole = self._isolation.whole(group, now)
-            self._isolation.take_whole(group, self._name, whole, now)
+            whole = self._isolation.completion_count(group, now)
+            self._isolation.record_peer_completions(group, self._name, whole, now)
             found.append(GroupEnd(group.service, group.label, "", whole))
         return found
 
     def _tell_isolated(self) -> None:
         now = self._clock()
-        terms = self._isolation.terms(now)
+        terms = self._isolation.isolation_terms(now)
         if not terms:
             self._timer.stop()
         elif self._timer.is_due(now):
--- a/src/lotushill/peering/leaving_keeper.py
+++ b/src/lotushill/peering/leaving_keeper.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.availability.telling import Telling
+from lotushill.availability.announcement_schedule import AnnouncementSchedule
 from lotushill.links.messages import LeavingNews
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
         self._tell = tell
         self._log = log
         self._clock = clock
-        self._telling = Telling(rng)
+        self._telling = AnnouncementSchedule(rng)
 
     def note(self, upstream_id: str) -> None:
         """Note that an upstream has said in an answer that it leaves."""
@@ -50,7 +50,7 @@
             self._take(upstream_id, news.sender)
         missing = set(self._upstreams.leaving_by_word) - set(news.upstreams)
         lacks = news.complete and bool(missing)
-        self._telling.hear(news.upstreams, news.complete, lacks, self._clock())
+        self._telling.note_received(news.upstreams, news.complete, lacks, self._clock())
 
     def _take(self, upstream_id: str, source: str) -> None:
         if self._upstreams.note_leaving(upstream_id):
@@ -60,6 +60,6 @@
     def tell_due(self) -> None:
         """Tell the others, if that is due."""
         leaving = self._upstreams.leaving_by_word
-        told = self._telling.due(leaving, self._clock())
+        told = self._telling.due_names(leaving, self._clock())
         if told:
             self._tell(LeavingNews(self._name, tuple(told), len(told) == len(leaving)))
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -56,7 +56,7 @@
 from lotushill.peering.member_log import MemberLog
 from lotushill.peering.view_exchange import ViewExchange
 from lotushill.scheduling.hall_contact import HallContact
-from lotushill.scheduling.load_relay import BATCH_SECONDS
+from lotushill.scheduling.load_relay import BATCH_INTERVAL_SECONDS
 from lotushill.scheduling.load_relay import LoadRelay
 from lotushill.scheduling.model_sync import ModelSync
 from lotushill.scheduling.placement_client import PlacementClient
@@ -72,7 +72,7 @@
     from lotushill.links.codec import Message
     from lotushill.links.datagram import Datagram
     from lotushill.membership.membership import Outgoing
-    from lotushill.placement.engine_pace import LastingPace
+    from lotushill.placement.engine_pace import LongTermPace
     from lotushill.placement.messages import Load
     from lotushill.process.settings import GatewaySettings
 
@@ -96,9 +96,9 @@
     on_load: Callable[[Load], None]
     everything: Callable[[], list[Load]]
     """All that is held to run."""
-    paces: Callable[[], list[LastingPace]]
+    paces: Callable[[], list[LongTermPace]]
     """What is known of the pace of upstreams."""
-    on_paces: Callable[[list[LastingPace]], None]
+    on_paces: Callable[[list[LongTermPace]], None]
     """Hears what another scheduler knows of it."""
     on_gone: Callable[[str], None]
     """Hears of a gateway that left or was lost."""
@@ -189,8 +189,8 @@
     async def _flush_for_ever(self) -> None:
         """Pass on load that waits; nothing is woken up for while none does."""
         while True:
-            await self._relay.waits()
-            await anyio.sleep(BATCH_SECONDS)
+            await self._relay.wait_for_pending()
+            await anyio.sleep(BATCH_INTERVAL_SECONDS)
             self._relay.flush_due(self._clock())
 
     def count(self) -> int:
@@ -217,7 +217,7 @@
 
     def tell_load(self, load: Load) -> None:
         """Tell the schedulers of requests placed and ended."""
-        self._relay.tell(pack(load), load.number, self._clock())
+        self._relay.publish(pack(load), load.number, self._clock())
 
     def tell_all(self, message: Message) -> None:
         """Send a message to every other gateway that is heard."""
@@ -264,7 +264,7 @@
             return
         now = self._clock()
         if isinstance(message, LoadBatch):
-            self._hall_contact.hear(message.sender, now)
+            self._hall_contact.note_batch(message.sender, now)
             self._take_records(message.records)
         elif isinstance(message, LoadNews):
             self._take_records(message.records)
@@ -349,13 +349,13 @@
         self._send_all(self.membership.tick(now))
         self._follow_changes(now)
         self._views.look(revisions, now)
-        self._hall_contact.look(now)
-        self._relay.tell_of_life(now)
+        self._hall_contact.update_listening(now)
+        self._relay.send_keepalive(now)
         if min(revisions[ViewKind.CONFIGURATION], revisions[ViewKind.UPSTREAMS]) >= 0:
             self._fill_model(now)
 
     def _fill_model(self, now: float) -> None:
-        source = self.model_sync.pull_from(now)
+        source = self.model_sync.next_source(now)
         if source is not None:
             self.links.post(source, ModelPull(self.membership.own.name))
 
--- a/src/lotushill/peering/quarantine_keeper.py
+++ b/src/lotushill/peering/quarantine_keeper.py
@@ -12,10 +12,10 @@
 from lotushill.links.quarantine_messages import GroupNews
 from lotushill.links.quarantine_messages import SuspectNews
 from lotushill.links.quarantine_messages import SuspectState
-from lotushill.quarantine.end_watch import Cut
-from lotushill.quarantine.end_watch import EndWatch
-from lotushill.quarantine.end_watch import Listing
-from lotushill.quarantine.news_plan import NewsPlan
+from lotushill.quarantine.failure_watch import FailureWatch
+from lotushill.quarantine.failure_watch import InterruptedRequest
+from lotushill.quarantine.failure_watch import Listing
+from lotushill.quarantine.update_schedule import UpdateSchedule
 
 if TYPE_CHECKING:
     import random
@@ -65,8 +65,8 @@
         self._tell = tell
         self._log = log
         self._clock = clock
-        self._plan = NewsPlan(rng)
-        self._watch = EndWatch()
+        self._plan = UpdateSchedule(rng)
+        self._watch = FailureWatch()
         self._checks: dict[str, asyncio.Task[bool | None]] = {}
         """Questions under way, by upstream."""
         self._notes: set[asyncio.Task[None]] = set()
@@ -80,19 +80,19 @@
 
     def holds(self, request: Request) -> bool:
         """Return whether a request is to reach no upstream."""
-        if self._quarantine.empty:
+        if self._quarantine.is_empty:
             return False
-        return self._quarantine.holds(request.identity, self._clock())
+        return self._quarantine.is_held(request.identity, self._clock())
 
     def may_be_sent_on(self, request: Request) -> bool:
         """Return whether an arrival that was cut may go to a further upstream."""
         if self._groups.isolates(request.groups):
             return False
-        if self._quarantine.empty:
+        if self._quarantine.is_empty:
             return True
-        if self._quarantine.ends_under(request.identity) >= _ENDS_TO_STOP:
+        if self._quarantine.failure_count(request.identity) >= _ENDS_TO_STOP:
             return False
-        return not self._quarantine.holds(request.identity, self._clock())
+        return not self._quarantine.is_held(request.identity, self._clock())
 
     def note_held(self, request: Request) -> None:
         """Note that a request was kept from upstreams."""
@@ -107,8 +107,8 @@
     def note_whole(self, request: Request) -> None:
         """Note a whole answer."""
         self._groups.note_whole(request.groups)
-        if self._quarantine.note_whole(request.identity, self._clock()):
-            self._plan.clear(request.identity)
+        if self._quarantine.record_completion(request.identity, self._clock()):
+            self._plan.schedule_cleared(request.identity)
             self._wake.set()
 
     def note_cut(self, request: Request, upstream: Upstream, begun: bool) -> asyncio.Task[None]:
@@ -118,13 +118,13 @@
         """
         path = request.target.partition(b"?")[0].decode("latin-1")[:_MOST_PATH]
         groups = () if begun else request.groups
-        cut = Cut(request.identity, request.team, path, upstream.id, groups)
+        cut = InterruptedRequest(request.identity, request.team, path, upstream.id, groups)
         task = asyncio.create_task(self._check(cut, upstream))
         self._notes.add(task)
         task.add_done_callback(self._notes.discard)
         return task
 
-    async def _check(self, cut: Cut, upstream: Upstream) -> None:
+    async def _check(self, cut: InterruptedRequest, upstream: Upstream) -> None:
         if self._listing(upstream.id) is not Listing.SERVING:
             # It was leaving, and ended as planned.
             return
@@ -136,7 +136,7 @@
         if await check:
             self._note_end(cut)
         else:
-            self._watch.note(cut, self._clock())
+            self._watch.add(cut, self._clock())
 
     def _listing(self, upstream_id: str) -> Listing:
         found = self._upstreams.find(upstream_id)
@@ -144,12 +144,14 @@
             return Listing.GONE
         return Listing.LEAVING if found.draining else Listing.SERVING
 
-    def _note_end(self, cut: Cut) -> None:
+    def _note_end(self, cut: InterruptedRequest) -> None:
         now = self._clock()
         if cut.groups:
             self._groups.note_end(cut.groups, cut.upstream)
             self._wake.set()
-        if not self._quarantine.note_end(cut.identity, cut.team, cut.path, cut.upstream, now):
+        if not self._quarantine.record_upstream_failure(
+            cut.identity, cut.team, cut.path, cut.upstream, now
+        ):
             return
         self.upstream_ends += 1
         self._log.note(
@@ -158,16 +160,16 @@
             team=cut.team,
             path=cut.path,
             upstream=cut.upstream,
-            ends=self._quarantine.ends_under(cut.identity),
-            held=self._quarantine.holds(cut.identity, now),
+            ends=self._quarantine.failure_count(cut.identity),
+            held=self._quarantine.is_held(cut.identity, now),
         )
-        self._plan.tell(cut.identity, now)
+        self._plan.schedule_failure(cut.identity, now)
         self._tell_proof(cut.identity, now)
         self._wake.set()
 
     def _tell_proof(self, identity: bytes, now: float) -> None:
-        if self._quarantine.knows_whole(identity, now):
-            self._plan.prove(identity, now)
+        if self._quarantine.has_completed(identity, now):
+            self._plan.schedule_known_good(identity, now)
 
     # Peers
 
@@ -184,16 +186,16 @@
             return
         for identity in news.since:
             self._quarantine.clear(identity)
-            self._plan.forget(identity)
+            self._plan.cancel(identity)
         for identity in news.before:
-            self._quarantine.prove(identity, now)
-            self._plan.heard(identity)
+            self._quarantine.mark_known_good(identity, now)
+            self._plan.cancel_known_good(identity)
 
     def _take(self, state: SuspectState, now: float) -> None:
-        was_held = self._quarantine.holds(state.identity, now)
-        if not self._quarantine.take(state, now):
+        was_held = self._quarantine.is_held(state.identity, now)
+        if not self._quarantine.merge_peer_state(state, now):
             return
-        if self._quarantine.holds(state.identity, now) and not was_held:
+        if self._quarantine.is_held(state.identity, now) and not was_held:
             self._log.note(
                 "quarantine.held",
                 identity=state.identity.hex(),
@@ -206,7 +208,7 @@
 
     def take_stored(self, holds: dict[bytes, StoredHold]) -> None:
         """Take what the store has."""
-        for identity in self._quarantine.take_stored(holds):
+        for identity in self._quarantine.replace_stored(holds):
             self._log.note("quarantine.released", identity=identity.hex())
 
     # What is due
@@ -216,10 +218,10 @@
         now = self._clock()
         self._quarantine.expire(now)
         self._groups.expire()
-        for cut in self._watch.take_ended(self._listing, now):
+        for cut in self._watch.pop_failed(self._listing, now):
             self._note_end(cut)
         for identity in self._quarantine.unstored():
-            self._plan.go_on(identity, now)
+            self._plan.schedule_held_repeat(identity, now)
             self._wake.set()
 
     async def run(self) -> None:
@@ -238,7 +240,7 @@
 
     def tell_due(self) -> None:
         """Send what is due."""
-        due = self._plan.take(self._clock())
+        due = self._plan.pop_due(self._clock())
         states = [state for item in due.suspects if (state := self._state(item)) is not None]
         for start in range(0, len(states), _MOST_IN_DATAGRAM):
             group = tuple(states[start : start + _MOST_IN_DATAGRAM])
@@ -249,7 +251,7 @@
 
     def _state(self, identity: bytes) -> SuspectState | None:
         suspect = self._quarantine.find(identity)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.failed_upstreams:
             return None
-        upstreams = tuple(suspect.ends)[-_MOST_UPSTREAMS:]
+        upstreams = tuple(suspect.failed_upstreams)[-_MOST_UPSTREAMS:]
         return SuspectState(identity, suspect.team, suspect.path, upstreams)
--- a/src/lotushill/peering/return_keeper.py
+++ b/src/lotushill/peering/return_keeper.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from lotushill.membership.schedulers import Schedulers
-    from lotushill.returns.promises import Returns
+    from lotushill.returns.promises import ReturnPromises
 
 
 class ReturnKeeper:
@@ -23,7 +23,7 @@
     def __init__(
         self,
         name: str,
-        returns: Returns,
+        returns: ReturnPromises,
         schedulers: Schedulers,
         send: Callable[[ReturnNews, str], None],
         clock: Callable[[], float],
@@ -38,11 +38,11 @@
     def receive(self, news: ReturnNews) -> None:
         """Take what another gateway tells."""
         if news.sender != self._name:
-            self._returns.hear(news.promises, self._clock())
+            self._returns.merge(news.promises, self._clock())
 
     def tell_due(self) -> None:
         """Tell the other schedulers, if something is due."""
-        told = self._returns.due_news(self._clock())
+        told = self._returns.due_states(self._clock())
         for start in range(0, len(told), MOST_PROMISES):
             news = ReturnNews(self._name, tuple(told[start : start + MOST_PROMISES]))
             for scheduler in self._schedulers.others():
--- a/src/lotushill/placement/backup.py
+++ b/src/lotushill/placement/backup.py
@@ -55,8 +55,10 @@
     fit = []
     for item in upstreams:
         load = loads.get(item.id)
-        held = load.memory if load else 0
-        sound = load is None or not (load.away(now) or load.failures.rate(now) > _SOUND_RATE)
+        held = load.reserved_tokens if load else 0
+        sound = load is None or not (
+            load.is_unreachable(now) or load.failures.rate(now) > _SOUND_RATE
+        )
         if item.id != chosen.id and sound and held < room:
             fit.append((item.hall == chosen.hall, held, item.id, item))
     return min(fit, key=lambda entry: entry[:3])[3] if fit else None
--- a/src/lotushill/placement/quiet_pause.py
+++ b/src/lotushill/placement/baseline_pause.py
@@ -12,7 +12,7 @@
 """Of the number of requests, below which the pauses say nothing of its effect."""
 
 
-class QuietPause:
+class BaselinePause:
     """A line fitted to pauses over running requests, earlier ones counting less and less."""
 
     def __init__(self) -> None:
--- a/src/lotushill/placement/choice.py
+++ b/src/lotushill/placement/choice.py
@@ -26,25 +26,25 @@
 
     upstream: Upstream
     cost: float
-    first: float
+    first_event_seconds: float
     """Predicted time to the first event, or to the whole of a plain answer."""
-    reading: int
+    prefill_tokens: int
     """Prompt tokens that the upstream has to read for it."""
-    ahead: int
+    total_prefill_tokens: int
     """Prompt tokens that are read until its first event, those of others included."""
-    seconds: float
+    answer_seconds: float
     """Predicted time until the answer is whole."""
-    wait: float = 0.0
+    wait_seconds: float = 0.0
     """Predicted time until its own prompt is begun."""
-    harm: float = 0.0
+    interference_cost: float = 0.0
     """What it costs the streams that run beside it."""
-    usual_loss: float = 0.0
+    typical_request_cost: float = 0.0
     """On a route of long prompts, what a usual request would lose there and make others lose."""
-    again: int = 0
+    reread_tokens: int = 0
     """Shared prompt tokens that are read again."""
     running: int = 0
     """Requests that run there already, of all gateways."""
-    full: bool = False
+    is_full: bool = False
     """Whether all slots there are taken by requests as urgent."""
     fetch: Fetch | None = None
     """Prompt parts that the upstream is to take from another one first."""
@@ -52,7 +52,7 @@
     """Where a copy of the run's memory is kept while it grows."""
     returned: bool = False
     """Whether its caller was refused and came back as it was told."""
-    continues: bool = False
+    resumes_from_copy: bool = False
     """Whether the upstream holds a copy of the run's memory, and goes on from it."""
     moved: MovedMemory | None = None
     """Where the memory was moved there, or kept there when the run was stopped."""
@@ -89,9 +89,9 @@
     refusal: Refusal
     retry_after: float
     """Seconds."""
-    wait: float = 0.0
+    wait_seconds: float = 0.0
     """Predicted seconds until its prompt is begun, where a usual one would lose least."""
-    first: float = 0.0
+    first_event_seconds: float = 0.0
     """Predicted seconds to its first event at the soonest upstream."""
     usual_prompt: float = 0.0
     """Prompt tokens that are usual on its route."""
--- a/src/lotushill/placement/engine_pace.py
+++ b/src/lotushill/placement/engine_pace.py
@@ -52,7 +52,7 @@
 """An upstream that slowed down for a while is tried again; one that is slow by itself shows it."""
 
 
-class UsualTime:
+class RecentMedian:
     """The median of times over some seconds."""
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
         self._slot_ends = float("-inf")
         self.median = 0.0
 
-    def known(self, slots: int) -> bool:
+    def has_slots(self, slots: int) -> bool:
         """Return whether something was noted in so many slots of time."""
         return len(self._slots) >= slots
 
@@ -74,27 +74,27 @@
 
 
 @dataclass(frozen=True)
-class LastingPace:
+class LongTermPace:
     """How many times slower than its like an engine works for its life."""
 
     upstream: str
-    steps: float
-    reading: float
+    step_slowness: float
+    read_slowness: float
 
 
 class EnginePace:
     """The pace of one engine."""
 
     def __init__(self) -> None:
-        self.steps = UsualTime()
-        self.readings = UsualTime()
-        self.lasting_steps = 1.0
+        self.steps = RecentMedian()
+        self.readings = RecentMedian()
+        self.long_term_step_slowness = 1.0
         """Times slower than its like; 1 until it is known to differ."""
-        self.lasting_reading = 1.0
+        self.long_term_read_slowness = 1.0
         """The same of reading, beside what its steps say."""
-        self.tried = False
+        self.is_known = False
         """Whether anything is known of it."""
-        self.plain = False
+        self.is_plain = False
         """Whether it gives plain answers, of which each counts as a reading."""
         self._seen_at: float | None = None
         """When something that lasts was noted; None where only another gateway told of it."""
@@ -104,63 +104,63 @@
     def step_slowness(self, now: float) -> float:
         """Return how many times slower than its like it steps."""
         if self._short == 1.0:
-            return self.lasting_steps
-        return self.lasting_steps * self._short_part(now)
+            return self.long_term_step_slowness
+        return self.long_term_step_slowness * self._short_part(now)
 
     def read_slowness(self, now: float) -> float:
         """Return how many times slower than its like it reads prompts."""
-        return self.step_slowness(now) * self.lasting_reading
+        return self.step_slowness(now) * self.long_term_read_slowness
 
-    def note_step(self, ratio: float, now: float) -> None:
+    def note_pause_ratio(self, ratio: float, now: float) -> None:
         """Learn of the moment from a pause between events against what is usual."""
         self._note(ratio, _STEP_WEIGHT, now)
 
-    def note_steps(self, ratio: float, now: float) -> None:
+    def note_stream_ratio(self, ratio: float, now: float) -> None:
         """Learn of the moment from a typical pause of one stream against what is usual."""
         self._note(ratio, _STREAM_STEP_WEIGHT, now)
 
     def note_pause(self, seconds: float, now: float) -> None:
         """Learn what lasts from a typical pause of one stream beside which little was read."""
-        self.tried = True
+        self.is_known = True
         self._seen_at = now
         self.steps.note(seconds, now)
 
-    def note_reading(self, seconds: float, now: float) -> None:
+    def note_prefill_time(self, seconds: float, now: float) -> None:
         """Learn what lasts from the seconds that reading a token took."""
-        self.tried = True
+        self.is_known = True
         self._seen_at = now
         self.readings.note(seconds, now)
 
     def note_answer(self, seconds: float, now: float) -> None:
         """Learn what lasts from the seconds that a plain answer took."""
-        self.plain = True
-        self.note_reading(seconds, now)
+        self.is_plain = True
+        self.note_prefill_time(seconds, now)
 
-    def settle(self, steps: float, reading: float) -> None:
+    def set_long_term(self, steps: float, reading: float) -> None:
         """Take what lasts; what is known of the moment stays as it is."""
-        self._short = max(_LEAST_SHORT, self._short * self.lasting_steps / steps)
-        self.lasting_steps = steps
-        self.lasting_reading = reading
+        self._short = max(_LEAST_SHORT, self._short * self.long_term_step_slowness / steps)
+        self.long_term_step_slowness = steps
+        self.long_term_read_slowness = reading
 
-    def forget_old(self, now: float) -> None:
+    def reset_stale(self, now: float) -> None:
         """Forget what lasts where nothing was seen of it for long."""
         if self._seen_at is None:
             self._seen_at = now
         if now - self._seen_at > _KEPT_SECONDS:
             self._seen_at = now
-            self.steps = UsualTime()
-            self.readings = UsualTime()
-            self.settle(1.0, 1.0)
+            self.steps = RecentMedian()
+            self.readings = RecentMedian()
+            self.set_long_term(1.0, 1.0)
 
-    def presume(self, steps: float, reading: float) -> None:
+    def adopt_reported(self, steps: float, reading: float) -> None:
         """Take what another gateway has found, until own evidence says something else."""
-        if not self.tried:
-            self.tried = True
-            self.settle(steps, reading)
+        if not self.is_known:
+            self.is_known = True
+            self.set_long_term(steps, reading)
 
     def _note(self, ratio: float, weight: float, now: float) -> None:
         current = self._short_part(now)
-        bounded = min(_MOST_RATIO, max(_LEAST_SHORT, ratio / self.lasting_steps))
+        bounded = min(_MOST_RATIO, max(_LEAST_SHORT, ratio / self.long_term_step_slowness))
         self._short = current + weight * (bounded - current)
         self._short_at = now
 
@@ -169,94 +169,98 @@
         return 1.0 + (self._short - 1.0) * fresh
 
 
-class ServicePaces:
+class ServiceEnginePaces:
     """The paces of a service's engines, held against their median."""
 
     def __init__(self) -> None:
         self._paces: dict[str, EnginePace] = {}
         self._settled_at = float("-inf")
-        self.differing = False
+        self.has_deviating = False
         """Whether some engine is known to differ for good."""
-        self.changes = 0
+        self.change_count = 0
         """Lasting paces that were settled or changed so far."""
-        self._changed: dict[str, LastingPace] = {}
+        self._changed: dict[str, LongTermPace] = {}
 
     def add(self, upstream: str, pace: EnginePace) -> None:
         """Count an engine in."""
         self._paces[upstream] = pace
 
-    def keep(self, upstreams: Collection[str]) -> None:
+    def retain(self, upstreams: Collection[str]) -> None:
         """Count out all engines but some."""
         for upstream in self._paces.keys() - set(upstreams):
             del self._paces[upstream]
 
-    def known(self) -> list[LastingPace]:
+    def known_paces(self) -> list[LongTermPace]:
         """Return the upstreams of which something is known."""
         return [
-            LastingPace(upstream, pace.lasting_steps, pace.lasting_reading)
+            LongTermPace(upstream, pace.long_term_step_slowness, pace.long_term_read_slowness)
             for upstream, pace in self._paces.items()
-            if pace.tried
+            if pace.is_known
         ]
 
-    def lasting(self) -> list[LastingPace]:
+    def deviating_paces(self) -> list[LongTermPace]:
         """Return the upstreams that are known to differ."""
-        return [item for item in self.known() if (item.steps, item.reading) != (1.0, 1.0)]
+        return [
+            item
+            for item in self.known_paces()
+            if (item.step_slowness, item.read_slowness) != (1.0, 1.0)
+        ]
 
-    def presume(self, told: LastingPace, pace: EnginePace) -> None:
+    def adopt_reported(self, told: LongTermPace, pace: EnginePace) -> None:
         """Take what another gateway has found of an engine of which nothing is known here."""
         self.add(told.upstream, pace)
-        pace.presume(told.steps, told.reading)
-        self.differing = self.differing or _pair(pace) != (1.0, 1.0)
+        pace.adopt_reported(told.step_slowness, told.read_slowness)
+        self.has_deviating = self.has_deviating or _pair(pace) != (1.0, 1.0)
 
-    def take_changes(self) -> list[LastingPace]:
+    def take_changes(self) -> list[LongTermPace]:
         """Return the lasting paces that changed since this was asked before."""
         changed, self._changed = self._changed, {}
         return list(changed.values())
 
-    def settle(self, now: float) -> None:
+    def update_long_term(self, now: float) -> None:
         """Hold each engine against the median of all, now and then."""
         if now < self._settled_at + _SETTLE_SECONDS:
             return
         self._settled_at = now
         before = {upstream: _pair(pace) for upstream, pace in self._paces.items()}
         for pace in self._paces.values():
-            pace.forget_old(now)
+            pace.reset_stale(now)
         usual_step = _usual([pace.steps for pace in self._paces.values()], _LEAST_STEPS)
         usual_reading = _usual([pace.readings for pace in self._paces.values()], _LEAST_ANSWERS)
         wanted = {
             upstream: self._lasting(pace, usual_step, usual_reading)
             for upstream, pace in self._paces.items()
         }
-        self.differing = any(pair != (1.0, 1.0) for pair in wanted.values())
+        self.has_deviating = any(pair != (1.0, 1.0) for pair in wanted.values())
         for upstream, (steps, reading) in wanted.items():
             if (steps, reading) != _pair(self._paces[upstream]):
-                self._paces[upstream].settle(steps, reading)
+                self._paces[upstream].set_long_term(steps, reading)
             if (steps, reading) != before[upstream]:
-                self.changes += 1
-                self._changed[upstream] = LastingPace(upstream, steps, reading)
+                self.change_count += 1
+                self._changed[upstream] = LongTermPace(upstream, steps, reading)
 
     def _lasting(
         self, pace: EnginePace, usual_step: float, usual_reading: float
     ) -> tuple[float, float]:
         """Return what lasts of the steps and, beside them, of the readings of one engine."""
-        steps, reading = pace.lasting_steps, pace.lasting_reading
-        if usual_step and pace.steps.known(_LEAST_STEPS):
+        steps, reading = pace.long_term_step_slowness, pace.long_term_read_slowness
+        if usual_step and pace.steps.has_slots(_LEAST_STEPS):
             steps = _follow(steps, pace.steps.median / usual_step, _LEAST_DIFFERENCE)
-        slots = _LEAST_ANSWERS if pace.plain else _LEAST_READINGS
-        if usual_reading and pace.readings.known(slots):
+        slots = _LEAST_ANSWERS if pace.is_plain else _LEAST_READINGS
+        if usual_reading and pace.readings.has_slots(slots):
             ratio = pace.readings.median / usual_reading / steps
-            least = _LEAST_ANSWER_DIFFERENCE if pace.plain else _LEAST_READING_DIFFERENCE
+            least = _LEAST_ANSWER_DIFFERENCE if pace.is_plain else _LEAST_READING_DIFFERENCE
             reading = _follow(reading, ratio, least)
         return steps, reading
 
 
 def _pair(pace: EnginePace) -> tuple[float, float]:
-    return pace.lasting_steps, pace.lasting_reading
+    return pace.long_term_step_slowness, pace.long_term_read_slowness
 
 
-def _usual(times: list[UsualTime], slots: int) -> float:
+def _usual(times: list[RecentMedian], slots: int) -> float:
     """Return the median over the engines, 0 where too few are known to tell which are usual."""
-    known = [item.median for item in times if item.known(slots)]
+    known = [item.median for item in times if item.has_slots(slots)]
     enough = max(_LEAST_ENGINES, len(times) / 2)
     return statistics.median(known) if len(known) >= enough else 0.0
 
--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -19,25 +19,25 @@
 from lotushill.placement.choice import Refusal
 from lotushill.placement.fetch import FetchPlanner
 from lotushill.placement.fleet_paces import FleetPaces
-from lotushill.placement.kept_parts import chained
 from lotushill.placement.learning import learn_first_event
 from lotushill.placement.learning import learn_pause
 from lotushill.placement.messages import Outcome
-from lotushill.placement.pace import Pace
+from lotushill.placement.pace import ServicePace
+from lotushill.placement.prefix_cache_model import chain_parts
 from lotushill.placement.recent_parts import RecentParts
 from lotushill.placement.reserve import only_reserved_left
 from lotushill.placement.shedding import Shedding
 from lotushill.placement.shortlist import shortlist
-from lotushill.placement.team_room import has_to_wait
-from lotushill.placement.team_room import kept_slots
+from lotushill.placement.team_reserve import has_to_wait
+from lotushill.placement.team_reserve import reserved_slots
 from lotushill.placement.upstream_load import UpstreamLoad
 from lotushill.placement.weigher import EngineWeigher
-from lotushill.placement.weigher import Place
+from lotushill.placement.weigher import Location
 from lotushill.placement.weigher import PlainWeigher
-from lotushill.placement.weigher import Usual
+from lotushill.placement.weigher import TypicalRequest
 from lotushill.rendezvous import ranked
 from lotushill.routing.demand import PromptPart
-from lotushill.shares.shares import Shares
+from lotushill.shares.shares import TeamShares
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -45,13 +45,13 @@
     from collections.abc import Mapping
     from collections.abc import Sequence
 
-    from lotushill.placement.engine_pace import LastingPace
-    from lotushill.placement.kept_parts import Chain
+    from lotushill.placement.engine_pace import LongTermPace
     from lotushill.placement.messages import Began
     from lotushill.placement.messages import Ended
     from lotushill.placement.messages import Paced
     from lotushill.placement.messages import Placed
     from lotushill.placement.need import Need
+    from lotushill.placement.prefix_cache_model import Chain
     from lotushill.routing.service import EngineProfile
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
@@ -65,7 +65,7 @@
 may be what is cut off."""
 _MOST_RANKED = 10_000
 _RANKS_KEPT = 32
-NO_UPSTREAM_RETRY = 1.0
+NO_UPSTREAM_RETRY_AFTER_SECONDS = 1.0
 """Seconds after which an upstream may have come."""
 
 
@@ -95,10 +95,10 @@
         self._is_cut_off = is_cut_off
         self.recent = RecentParts(recent_seconds)
         self.shedding = Shedding()
-        self.shares = Shares()
+        self.shares = TeamShares()
         self.engine_paces = FleetPaces()
         self._loads: dict[str, UpstreamLoad] = {}
-        self._paces: dict[str, Pace] = {}
+        self._paces: dict[str, ServicePace] = {}
         self._where: dict[int, _Where] = {}
 
     # Feeding the model
@@ -110,11 +110,11 @@
             found = self._loads[upstream_id] = UpstreamLoad()
         return found
 
-    def pace(self, service: str) -> Pace:
+    def pace(self, service: str) -> ServicePace:
         """Return the pace of a service."""
         found = self._paces.get(service)
         if found is None:
-            found = self._paces[service] = Pace()
+            found = self._paces[service] = ServicePace()
         return found
 
     def note_arrival(self, need: Need, now: float) -> None:
@@ -122,16 +122,16 @@
         self.shedding.usual.note_size(need.route, need.size)
         self.shares.note_arrival(need, now)
 
-    def presume_pace(self, told: LastingPace, service: str) -> None:
+    def adopt_reported_pace(self, told: LongTermPace, service: str) -> None:
         """Take a pace that another scheduler has found, where nothing is known here."""
-        self.engine_paces.presume(told, service, self.load(told.upstream).pace)
+        self.engine_paces.adopt_reported(told, service, self.load(told.upstream).pace)
 
     def start(self, placed: Placed, service: Service, now: float) -> None:
         """Count a request in, of this gateway or of another."""
         engine = service.engine
         load = self.load(placed.upstream)
         load.start(placed, engine.memory_tokens if engine else 0, now)
-        self.engine_paces.of(service.name).add(placed.upstream, load.pace)
+        self.engine_paces.for_service(service.name).add(placed.upstream, load.pace)
         parts = [PromptPart(*item) for item in zip(placed.part_ids, placed.part_tokens)]
         self.recent.note(parts, now)
         self.shedding.note(placed, service.name, now)
@@ -153,16 +153,16 @@
             return
         pace = self.pace(where.service.name)
         learn_first_event(placed, began.seconds, load, pace, where.service, now)
-        self.engine_paces.of(where.service.name).settle(now)
+        self.engine_paces.for_service(where.service.name).update_long_term(now)
 
     def note_paced(self, paced: Paced, now: float) -> None:
         """Learn how fast an upstream steps from one of its streams."""
         where = self._where.get(paced.request)
         if where is None or not _is_time(paced.pause):
             return
-        quiet = self.pace(where.service.name).pauses.quiet
+        quiet = self.pace(where.service.name).pauses.baseline
         learn_pause(paced.pause, self._loads[where.upstream], quiet, now)
-        self.engine_paces.of(where.service.name).settle(now)
+        self.engine_paces.for_service(where.service.name).update_long_term(now)
 
     def end(self, ended: Ended, now: float, near: bool = True) -> None:
         """Count a request out, and learn from its end; `near` says that the own hall told it.
@@ -186,23 +186,23 @@
         if ran and where.service.engine is not None:
             self.pace(where.service.name).note_end(ended.seconds, ended.outcome, now)
 
-    def knows(self, request: int) -> bool:
+    def is_running(self, request: int) -> bool:
         """Return whether a request is counted in."""
         return request in self._where
 
-    def find(self, request: int) -> Placed | None:
+    def running_request(self, request: int) -> Placed | None:
         """Return a request that is counted in, None without one."""
         where = self._where.get(request)
         return self._loads[where.upstream].running.get(request) if where else None
 
-    def forget(self, known: set[str], now: float) -> None:
+    def evict_unused(self, known: set[str], now: float) -> None:
         """Drop what is no longer of use: idle upstreams that no view knows, and old parts."""
-        self.recent.forget(now)
+        self.recent.evict_old(now)
         self.shares.forget(now)
         for upstream_id, load in list(self._loads.items()):
             if upstream_id not in known and not load.running:
                 del self._loads[upstream_id]
-        self.engine_paces.keep(self._loads)
+        self.engine_paces.retain(self._loads)
 
     # Choosing
 
@@ -219,13 +219,13 @@
 
         What is `closed` has no room now: it gets nothing, but counts for the room of all.
         """
-        self.shares.note_ask(need, now)
+        self.shares.note_demand(need, now)
         known = {item.id: item for item in upstreams}
         ranks = _ranks(need.service, tuple(known)) if service.engine else {}
         candidates = [item for item in known.values() if item.id not in excluded]
-        reachable = [item for item in candidates if not self.load(item.id).away(now)]
+        reachable = [item for item in candidates if not self.load(item.id).is_unreachable(now)]
         if not candidates:
-            return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY)
+            return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
         kept = self._keeps_slots_from(need, service, reachable, now)
         if kept is not None:
             return self._explained(self.shedding.refuse_for_others(need, kept, now), need, now)
@@ -245,14 +245,14 @@
             return self._explained(self.shedding.refuse_for_teams(need, choices, now), need, now)
         # What waits for a slot keeps it from more urgent ones that come later: engines let them in
         # first, but do not take a slot away.
-        open_ones = [choice for choice in choices if not choice.full]
+        open_ones = [choice for choice in choices if not choice.is_full]
         best = min(open_ones or choices, key=lambda choice: choice.cost)
-        if best.first > need.patience:
-            best = min(choices, key=lambda choice: choice.first)
+        if best.first_event_seconds > need.first_event_timeout:
+            best = min(choices, key=lambda choice: choice.first_event_seconds)
         returned = self.shedding.returns.has_place(need.caller, now)
         return replace(best, returned=True) if returned else best
 
-    def note_taken(self, need: Need, now: float) -> None:
+    def note_choice_used(self, need: Need, now: float) -> None:
         """Note that a choice for a request is used, so that its caller's place is."""
         self.shares.note_placed(need, now)
         self.shedding.returns.note_placed(need.caller, now)
@@ -271,14 +271,14 @@
         loads = [self.load(item.id) for item in upstreams]
         slots = len(loads) * service.engine.slots
         held = sum(len(load.running) for load in loads)
-        urgent = sum(load.more_urgent(need.tier) for load in loads)
-        if not only_reserved_left(held + kept_slots(slots), urgent, slots):
+        urgent = sum(load.count_more_urgent(need.tier) for load in loads)
+        if not only_reserved_left(held + reserved_slots(slots), urgent, slots):
             return None
         if self.shedding.must_serve(need, now):
             return None
         if only_reserved_left(held, urgent, slots):
             return Refusal.OVERLOAD
-        return Refusal.SHARE if self.shares.over_share(need, now) else None
+        return Refusal.SHARE if self.shares.is_over_share(need, now) else None
 
     def only_reserved_left(
         self,
@@ -290,7 +290,7 @@
         """Return whether the free slots are no more than are kept for more urgent requests."""
         loads = [self.load(item.id) for item in upstreams]
         held = sum(len(load.running) for load in loads)
-        urgent = sum(load.more_urgent(need.tier) for load in loads)
+        urgent = sum(load.count_more_urgent(need.tier) for load in loads)
         return only_reserved_left(held, urgent, len(loads) * engine.slots, most)
 
     def _gives_way(
@@ -299,13 +299,13 @@
         """Return whether a request leaves the room to teams that have had less of their share."""
         if not has_to_wait(need, choices, service.engine is not None):
             return False
-        return self.shares.over_share(need, now) and not self.shedding.must_serve(need, now)
+        return self.shares.is_over_share(need, now) and not self.shedding.must_serve(need, now)
 
     def _explained(self, refused: NoChoice, need: Need, now: float) -> NoChoice:
         """Return a refusal with the standing of the team, where that is its reason."""
         if refused.refusal is not Refusal.SHARE:
             return refused
-        return replace(refused, standing=self.shares.beside_others(need, now))
+        return replace(refused, standing=self.shares.relative_standing(need, now))
 
     def backup(
         self,
@@ -317,9 +317,9 @@
     ) -> Upstream | None:
         """Return where a copy of a run's memory is worth keeping, None if nowhere."""
         engine = service.engine
-        if engine is None or not engine.backups:
+        if engine is None or not engine.can_back_up_memory:
             return None
-        if not is_worth_copying(need, choice.seconds, self.pace(need.service).cuts.rate):
+        if not is_worth_copying(need, choice.answer_seconds, self.pace(need.service).cuts.rate):
             return None
         return backup_target(choice.upstream, need, engine, upstreams, self._loads, now)
 
@@ -332,13 +332,13 @@
         cut: frozenset[str],
         now: float,
     ) -> PlainWeigher | EngineWeigher:
-        place = Place(self._hall, cut)
+        place = Location(self._hall, cut)
         pace = self.pace(need.service)
-        differing = self.engine_paces.of(need.service).differing
+        differing = self.engine_paces.for_service(need.service).has_deviating
         if service.engine is None:
             return PlainWeigher(need, pace, place, differing, now)
-        chain = tuple(chained(need.parts))
-        usual = Usual(
+        chain = tuple(chain_parts(need.parts))
+        usual = TypicalRequest(
             self.shedding.usual.reading(need.service, need.route) or need.prompt_tokens,
             self.shedding.usual.weight(need.route, need.size),
             self.shedding.is_long(need),
@@ -374,7 +374,7 @@
         for item in sources:
             load = self.load(item.id)
             if item.hall not in cut and load.failures.rate(now) < _SOUND_RATE:
-                kept[item.id] = load.kept.matched_chain(shared)
+                kept[item.id] = load.prefix_cache.matched_chain_tokens(shared)
         return FetchPlanner(engine, kept, known)
 
 
--- a/src/lotushill/placement/fleet_paces.py
+++ b/src/lotushill/placement/fleet_paces.py
@@ -4,45 +4,45 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.placement.engine_pace import ServicePaces
+from lotushill.placement.engine_pace import ServiceEnginePaces
 
 if TYPE_CHECKING:
     from collections.abc import Collection
 
     from lotushill.placement.engine_pace import EnginePace
-    from lotushill.placement.engine_pace import LastingPace
+    from lotushill.placement.engine_pace import LongTermPace
 
 
 class FleetPaces:
     """Paces by service."""
 
     def __init__(self) -> None:
-        self._services: dict[str, ServicePaces] = {}
+        self._services: dict[str, ServiceEnginePaces] = {}
 
-    def of(self, service: str) -> ServicePaces:
+    def for_service(self, service: str) -> ServiceEnginePaces:
         """Return the paces of a service's upstreams."""
         found = self._services.get(service)
         if found is None:
-            found = self._services[service] = ServicePaces()
+            found = self._services[service] = ServiceEnginePaces()
         return found
 
-    def known(self) -> list[LastingPace]:
+    def known_paces(self) -> list[LongTermPace]:
         """Return the lasting paces of all upstreams of which something is known."""
-        return [item for paces in self._services.values() for item in paces.known()]
+        return [item for paces in self._services.values() for item in paces.known_paces()]
 
-    def lasting(self) -> list[LastingPace]:
+    def deviating_paces(self) -> list[LongTermPace]:
         """Return the upstreams that are known to differ from their like."""
-        return [item for paces in self._services.values() for item in paces.lasting()]
+        return [item for paces in self._services.values() for item in paces.deviating_paces()]
 
-    def presume(self, told: LastingPace, service: str, pace: EnginePace) -> None:
+    def adopt_reported(self, told: LongTermPace, service: str, pace: EnginePace) -> None:
         """Take what another scheduler has found, where nothing is known here."""
-        self.of(service).presume(told, pace)
+        self.for_service(service).adopt_reported(told, pace)
 
-    def take_changes(self) -> list[LastingPace]:
+    def take_changes(self) -> list[LongTermPace]:
         """Return the lasting paces that changed since this was asked before."""
         return [item for paces in self._services.values() for item in paces.take_changes()]
 
-    def keep(self, upstreams: Collection[str]) -> None:
+    def retain(self, upstreams: Collection[str]) -> None:
         """Count out all upstreams but some."""
         for paces in self._services.values():
-            paces.keep(upstreams)
+            paces.retain(upstreams)
--- a/src/lotushill/placement/messages.py
+++ b/src/lotushill/placement/messages.py
@@ -24,11 +24,11 @@
     request: int
     """Number of the attempt, the same at all gateways and hardly ever that of another."""
     upstream: str
-    reading: int
+    prefill_tokens: int
     """Prompt tokens that the upstream has to read for it."""
     memory: int
     """Tokens of prompt and answer that it may hold in the end."""
-    gap: float
+    target_gap: float
     """Longest pause between its events that is in time, 0 for none."""
     seconds: float
     """How long it is expected to run."""
@@ -45,9 +45,9 @@
     """0 is the most urgent."""
     prompt: int = 0
     """Tokens of its whole prompt."""
-    first: float = 0.0
+    first_event_seconds: float = 0.0
     """Predicted time to its first event, 0 where that was not predicted."""
-    ahead: int = 0
+    total_prefill_tokens: int = 0
     """Prompt tokens that are read until then, those of others included."""
     team: int = 0
     """Number of its team, 0 for none."""
--- a/src/lotushill/placement/need.py
+++ b/src/lotushill/placement/need.py
@@ -21,7 +21,7 @@
     route: str
     target: float
     """Time to the answer, or to the first event of a stream, that is in time."""
-    gap: float
+    target_gap: float
     """Longest pause between events that is in time, 0 for none."""
     time_left: float
     stream: bool
@@ -47,8 +47,8 @@
         return self.prompt_tokens + _OUTPUT_WORTH * self.output_tokens
 
     @property
-    def patience(self) -> float:
+    def first_event_timeout(self) -> float:
         """Return how long a client waits for the first sign of an answer."""
         if not self.stream:
             return self.time_left
-        return min(self.time_left, max(2.0, 4 * self.target, 8 * self.gap))
+        return min(self.time_left, max(2.0, 4 * self.target, 8 * self.target_gap))
--- a/src/lotushill/placement/pace.py
+++ b/src/lotushill/placement/pace.py
@@ -24,14 +24,14 @@
 _HIGHEST_RATE = 2_000_000.0
 
 
-def reading_seconds(reading: float, seconds: float) -> float | None:
+def seconds_per_token(reading: float, seconds: float) -> float | None:
     """Return the seconds that each token took until a first event; None if that says little."""
     if reading < _CLEAR_READING:
         return None
     return max(0.001, seconds - _OVERHEAD_SECONDS) / reading
 
 
-class Pace:
+class ServicePace:
     """Moving averages for one service."""
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         """Of streams whose upstream was lost."""
         self.answer_seconds = _FIRST_ANSWER_SECONDS
         """Seconds that a plain request takes, without waiting."""
-        self.long_reading = 0.0
+        self.long_prefill_seconds = 0.0
         """Seconds that reading the longer prompts of the moment takes."""
 
         self.stream_seconds = _FIRST_STREAM_SECONDS
@@ -70,8 +70,8 @@
         weight = _WEIGHT if seconds < self.answer_seconds else _SLOW_WEIGHT
         self.answer_seconds += weight * (seconds - self.answer_seconds)
 
-    def note_reading(self, tokens: int) -> None:
+    def note_prefill(self, tokens: int) -> None:
         """Learn the mix of prompts: the level moves quickly up and slowly down."""
         seconds = tokens / self.read_rate
-        weight = _LONG_RISE if seconds > self.long_reading else _LONG_FALL
-        self.long_reading += weight * (seconds - self.long_reading)
+        weight = _LONG_RISE if seconds > self.long_prefill_seconds else _LONG_FALL
+        self.long_prefill_seconds += weight * (seconds - self.long_prefill_seconds)
--- a/src/lotushill/placement/pauses.py
+++ b/src/lotushill/placement/pauses.py
@@ -9,7 +9,7 @@
 
 import math
 
-from lotushill.placement.quiet_pause import QuietPause
+from lotushill.placement.baseline_pause import BaselinePause
 
 _FULL_SHARE = 1.5
 """So many times the bound must have waited, as far as is known, for a pause to be at its bound."""
@@ -33,7 +33,7 @@
     """
 
     def __init__(self) -> None:
-        self.quiet = QuietPause()
+        self.baseline = BaselinePause()
         """Pauses while nothing is read beside the stream, on an upstream like most."""
         self.bound = math.inf
         """The longest that a pause grows by readings; infinite until one was seen at its bound."""
@@ -48,10 +48,10 @@
 
         Return how many times longer than usual it was, None where readings were due.
         """
-        usual = self.quiet.at(running)
+        usual = self.baseline.at(running)
         if waiting <= 0.0:
             if pause < _LIKELY * usual:
-                self.quiet.note(running, pause / slowness)
+                self.baseline.note(running, pause / slowness)
             return pause / usual
         grown = pause / slowness - usual
         if grown > usual:
@@ -67,17 +67,19 @@
             quantile = _BOUND_QUANTILE if grown > self.bound else _BOUND_QUANTILE - 1.0
             self.bound *= 1.0 + _BOUND_STEP * quantile
 
-    def beside(self, waiting: float, running: int, slowness: float) -> float:
+    def during_prefill(self, waiting: float, running: int, slowness: float) -> float:
         """Return the pause of a stream beside readings of `waiting` seconds."""
-        return self.at(running, slowness).beside(waiting)
+        return self.on_upstream(running, slowness).during_prefill(waiting)
 
-    def missed(self, waiting: float, running: int, slowness: float, longest: float) -> float:
+    def exceed_probability(
+        self, waiting: float, running: int, slowness: float, longest: float
+    ) -> float:
         """Return how likely a pause beside readings of `waiting` seconds exceeds `longest`."""
-        return missed(self.beside(waiting, running, slowness), longest)
+        return exceed_probability(self.during_prefill(waiting, running, slowness), longest)
 
-    def at(self, running: int, slowness: float) -> UpstreamPauses:
+    def on_upstream(self, running: int, slowness: float) -> UpstreamPauses:
         """Return the pauses on one upstream, where so many requests run."""
-        return UpstreamPauses(self.quiet.at(running) * slowness, self.bound * slowness)
+        return UpstreamPauses(self.baseline.at(running) * slowness, self.bound * slowness)
 
 
 class UpstreamPauses:
@@ -90,12 +92,12 @@
         """Seconds, while nothing is read."""
         self._bound = bound
 
-    def beside(self, waiting: float) -> float:
+    def during_prefill(self, waiting: float) -> float:
         """Return the pause beside readings of `waiting` seconds."""
         return self.quiet + (waiting if waiting < self._bound else self._bound)
 
 
-def missed(likely: float, longest: float) -> float:
+def exceed_probability(likely: float, longest: float) -> float:
     """Return how likely a pause that is likely so long exceeds `longest`."""
     share = likely / max(_LEAST_ALLOWED_SECONDS, longest)
     return logistic(_MISS_STEEPNESS * (share - _MISS_MIDDLE))
--- a/src/lotushill/placement/placed.py
+++ b/src/lotushill/placement/placed_message.py
@@ -13,23 +13,23 @@
     from lotushill.placement.need import Need
 
 
-def placed(request: int, need: Need, choice: Choice, engine: bool) -> Placed:
+def placed_message(request: int, need: Need, choice: Choice, engine: bool) -> Placed:
     """Return what others have to know; `engine` says that a model engine runs it."""
     return Placed(
         request=request,
         upstream=choice.upstream.id,
-        reading=choice.reading,
+        prefill_tokens=choice.prefill_tokens,
         memory=need.prompt_tokens + need.output_tokens if engine else 0,
-        gap=need.gap,
-        seconds=choice.seconds,
+        target_gap=need.target_gap,
+        seconds=choice.answer_seconds,
         age=0.0,
         part_ids=tuple(part.id for part in need.parts),
         part_tokens=tuple(part.tokens for part in need.parts),
         route=route_number(need.route),
         tier=need.tier,
         prompt=need.prompt_tokens,
-        first=choice.first,
+        first_event_seconds=choice.first_event_seconds,
         # What is copied first says nothing of how fast prompts are read.
-        ahead=0 if choice.fetch else choice.ahead,
+        total_prefill_tokens=0 if choice.fetch else choice.total_prefill_tokens,
         team=team_number(need.team),
     )
--- a/src/lotushill/placement/precedence.py
+++ b/src/lotushill/placement/precedence.py
@@ -15,5 +15,5 @@
     """False for one that was refused and comes back when it was told to."""
     standing: float = 0.0
     """What its team has had of late beside its share of the service."""
-    since: float = 0.0
+    arrived_at: float = 0.0
     """When it came."""
--- a/src/lotushill/placement/unread_prompts.py
+++ b/src/lotushill/placement/prefill_queue.py
@@ -16,7 +16,7 @@
     tokens: int
 
 
-class UnreadPrompts:
+class PrefillQueue:
     """Prompts by request, in the order they came."""
 
     def __init__(self) -> None:
@@ -36,22 +36,22 @@
             self._in_turn = request
             self._since = since
 
-    def read(self, request: int, now: float) -> None:
+    def finish(self, request: int, now: float) -> None:
         """Count a prompt out that has been read, so that another one is in turn."""
         if self._remove(request):
             self._take_up_next(now)
 
-    def give_up(self, request: int, now: float) -> None:
+    def cancel(self, request: int, now: float) -> None:
         """Count a prompt out, if it is still counted in, that is not to be read."""
         self._remove(request)
         if request == self._in_turn:
             self._take_up_next(now)
 
-    def all(self, read_rate: float, now: float) -> float:
+    def remaining_tokens(self, read_rate: float, now: float) -> float:
         """Return the tokens still to be read, less what the one in turn has had read."""
         return sum(self._totals.values()) - self._done(read_rate, now)
 
-    def ahead(self, tier: int, read_rate: float, now: float) -> float:
+    def tokens_ahead(self, tier: int, read_rate: float, now: float) -> float:
         """Return the same of what is read before a new prompt of a tier."""
         total = sum(tokens for other, tokens in self._totals.items() if other <= tier)
         if self._in_turn is not None and self._waiting[self._in_turn].tier > tier:
@@ -59,11 +59,11 @@
         return total - self._done(read_rate, now)
 
     @property
-    def any_left(self) -> bool:
+    def is_busy(self) -> bool:
         """Return whether a prompt waits or is read."""
         return bool(self._waiting)
 
-    def idle_for(self, now: float) -> float:
+    def idle_seconds(self, now: float) -> float:
         """Return for how many seconds nothing has been read, 0 while something is."""
         return 0.0 if self._waiting else max(0.0, now - self._idle_since)
 
--- a/src/lotushill/placement/kept_parts.py
+++ b/src/lotushill/placement/prefix_cache_model.py
@@ -18,18 +18,18 @@
 _MASK = (1 << 64) - 1
 
 
-class KeptParts:
+class PrefixCacheModel:
     """Parts by their whole chain, the longest unused first to give way."""
 
     def __init__(self) -> None:
         self._tokens: OrderedDict[int, int] = OrderedDict()
         self._held = 0
 
-    def matched(self, parts: Iterable[PromptPart]) -> int:
+    def matched_tokens(self, parts: Iterable[PromptPart]) -> int:
         """Return how many leading tokens of a prompt are likely kept."""
-        return self.matched_chain(tuple(chained(parts)))
+        return self.matched_chain_tokens(tuple(chain_parts(parts)))
 
-    def matched_chain(self, chain: Chain) -> int:
+    def matched_chain_tokens(self, chain: Chain) -> int:
         """Return the same for parts that were chained before, as for many upstreams at once."""
         total = 0
         for key, part in chain:
@@ -40,7 +40,7 @@
 
     def touch(self, parts: Iterable[PromptPart], room: int) -> None:
         """Note that a prompt was read, where parts of `room` tokens in all can be kept."""
-        for key, part in chained(parts):
+        for key, part in chain_parts(parts):
             if key in self._tokens:
                 self._tokens.move_to_end(key)
                 continue
@@ -51,7 +51,7 @@
             self._held -= tokens
 
 
-def chained(parts: Iterable[PromptPart]) -> Iterator[tuple[int, PromptPart]]:
+def chain_parts(parts: Iterable[PromptPart]) -> Iterator[tuple[int, PromptPart]]:
     """Yield each part with a key that covers all parts before it as well."""
     key = _SEED
     for part in parts:
--- a/src/lotushill/placement/recent_parts.py
+++ b/src/lotushill/placement/recent_parts.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.placement.kept_parts import chained
+from lotushill.placement.prefix_cache_model import chain_parts
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from lotushill.placement.kept_parts import Chain
+    from lotushill.placement.prefix_cache_model import Chain
     from lotushill.routing.demand import PromptPart
 
 
@@ -23,14 +23,14 @@
 
     def note(self, parts: Sequence[PromptPart], now: float) -> None:
         """Note that a prompt is being read; its last part is nobody else's."""
-        for key, _ in chained(parts[:-1]):
+        for key, _ in chain_parts(parts[:-1]):
             self._used[key] = now
 
-    def again(self, parts: Sequence[PromptPart], matched: int, now: float) -> int:
+    def reread_tokens(self, parts: Sequence[PromptPart], matched: int, now: float) -> int:
         """Return the shared tokens behind the first `matched` that were read of late."""
-        return self.again_chain(tuple(chained(parts[:-1])), matched, now)
+        return self.reread_chain_tokens(tuple(chain_parts(parts[:-1])), matched, now)
 
-    def again_chain(self, shared: Chain, matched: int, now: float) -> int:
+    def reread_chain_tokens(self, shared: Chain, matched: int, now: float) -> int:
         """Return the same for the shared parts of a prompt, chained before."""
         position = 0
         total = 0
@@ -40,6 +40,6 @@
                 total += part.tokens
         return total
 
-    def forget(self, now: float) -> None:
+    def evict_old(self, now: float) -> None:
         """Drop parts that were not used of late."""
         self._used = {key: used for key, used in self._used.items() if now - used < self.seconds}
--- a/src/lotushill/placement/recent_starts.py
+++ b/src/lotushill/placement/recent_starts.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-SPAN_SECONDS = 5.0
+RECENT_STARTS_SECONDS = 5.0
 """Users hold what was refused against what began within five seconds of it."""
 _SLICE_SECONDS = 0.5
 """What began within one slice is kept as one, so that memory does not grow with traffic."""
@@ -34,7 +34,7 @@
         slices.append(_Slice(at, prompt))
         self._forget(slices, at)
 
-    def largest_after(self, service: str, tier: int, now: float) -> int:
+    def largest_less_urgent(self, service: str, tier: int, now: float) -> int:
         """Return the largest prompt of less urgent tiers that began of late, 0 without any."""
         largest = 0
         for other, slices in self._slices.get(service, {}).items():
@@ -44,5 +44,5 @@
         return largest
 
     def _forget(self, slices: deque[_Slice], now: float) -> None:
-        while slices and now - slices[0].start > SPAN_SECONDS + _SLICE_SECONDS:
+        while slices and now - slices[0].start > RECENT_STARTS_SECONDS + _SLICE_SECONDS:
             slices.popleft()
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -13,8 +13,8 @@
 from lotushill.placement.choice import Refusal
 from lotushill.placement.recent_starts import RecentStarts
 from lotushill.placement.usual_request import UsualRequests
-from lotushill.returns.promise import Asker
-from lotushill.returns.promises import Returns
+from lotushill.returns.promise import Requester
+from lotushill.returns.promises import ReturnPromises
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -43,13 +43,13 @@
     def __init__(self) -> None:
         self.usual = UsualRequests()
         self.starts = RecentStarts()
-        self.returns = Returns()
+        self.returns = ReturnPromises()
 
     def note(self, placed: Placed, service: str, now: float) -> None:
         """Learn from a request that any gateway has sent to an upstream."""
-        self.usual.note_prompt(service, placed.route, placed.prompt, placed.reading)
+        self.usual.note_prompt(service, placed.route, placed.prompt, placed.prefill_tokens)
         self.starts.note(service, placed.tier, placed.prompt, now - placed.age)
-        self.returns.room.note(service, placed.tier, now - placed.age)
+        self.returns.start_rate.note(service, placed.tier, now - placed.age)
 
     def is_long(self, need: Need) -> bool:
         """Return whether a request's route has the longest prompts of its service.
@@ -72,19 +72,21 @@
         """
         usual = self.usual.prompt(need.service, need.route) or need.prompt_tokens
         size = min(float(need.prompt_tokens), usual)
-        return self.starts.largest_after(need.service, need.tier, now) > _TIMES_LARGER * size
+        return self.starts.largest_less_urgent(need.service, need.tier, now) > _TIMES_LARGER * size
 
     def refuse(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice | None:
         """Return why a request is refused that could go to one of `choices`, None if it is not."""
-        open_ones = [choice for choice in choices if not choice.full]
-        wait = min(open_ones or choices, key=lambda choice: choice.usual_loss).wait
-        first = min(choice.first for choice in choices)
+        open_ones = [choice for choice in choices if not choice.is_full]
+        wait = min(
+            open_ones or choices, key=lambda choice: choice.typical_request_cost
+        ).wait_seconds
+        first = min(choice.first_event_seconds for choice in choices)
         late = not open_ones or wait > _LONG_WAIT * need.target
         overload = self.is_long(need) and late
-        no_room = first > need.patience
+        no_room = first > need.first_event_timeout
         if self.must_serve(need, now):
             return None
-        early = self.returns.until_due(_asker(need, now), now)
+        early = self.returns.seconds_early(_asker(need, now), now)
         if early:
             return self._refused(need, Refusal.EARLY, early, wait, first)
         if not (overload or no_room):
@@ -99,8 +101,8 @@
 
     def refuse_for_teams(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice:
         """Return the refusal of a request whose team has had its share while others want room."""
-        wait = min(choice.wait for choice in choices)
-        first = min(choice.first for choice in choices)
+        wait = min(choice.wait_seconds for choice in choices)
+        first = min(choice.first_event_seconds for choice in choices)
         return self._told(need, Refusal.SHARE, wait, first, now)
 
     def _told(
@@ -113,7 +115,7 @@
         final: bool = False,
     ) -> NoChoice:
         """Return the refusal of a request, with when it is to come back."""
-        early = self.returns.until_due(_asker(need, now), now)
+        early = self.returns.seconds_early(_asker(need, now), now)
         if early:
             return self._refused(need, Refusal.EARLY, early, wait, first)
         if self.returns.has_place(need.caller, now):
@@ -124,14 +126,14 @@
         spread = need.caller % _SPREAD_STEPS / _SPREAD_STEPS
         return self.returns.retry_after(_asker(need, now), spread, now, final)
 
-    def early(self, need: Need, now: float) -> NoChoice | None:
+    def refuse_early(self, need: Need, now: float) -> NoChoice | None:
         """Return the refusal of one that comes sooner than it was told, None for all others."""
-        seconds = self.returns.until_due(_asker(need, now), now)
+        seconds = self.returns.seconds_early(_asker(need, now), now)
         if not seconds or self.must_serve(need, now):
             return None
         return replace(self._refused(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
 
-    def give_up(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
+    def refuse_finally(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
         """Return the final refusal of a request that waits no longer, or would in vain."""
         return replace(self._told(need, refusal, wait, wait, now, final=True), final=True)
 
@@ -152,7 +154,7 @@
         )
 
 
-def _asker(need: Need, now: float) -> Asker:
+def _asker(need: Need, now: float) -> Requester:
     # Plain requests of many callers are the same to the byte.
     caller = need.caller if need.stream else 0
-    return Asker(caller, need.service, need.tier, now - need.waited, need.time_left)
+    return Requester(caller, need.service, need.tier, now - need.waited, need.time_left)
--- a/src/lotushill/placement/shortlist.py
+++ b/src/lotushill/placement/shortlist.py
@@ -12,7 +12,7 @@
     from lotushill.placement.need import Need
     from lotushill.routing.upstream import Upstream
 
-MOST_WEIGHED = 64
+MAX_WEIGHED_UPSTREAMS = 64
 
 
 def shortlist(need: Need, upstreams: Sequence[Upstream]) -> Sequence[Upstream]:
@@ -21,11 +21,11 @@
     Which of many is told by a hash of the prompt's first parts and of the upstream: requests that
     share a prompt meet the same upstreams, and those of other prompts are spread over all.
     """
-    if len(upstreams) <= MOST_WEIGHED:
+    if len(upstreams) <= MAX_WEIGHED_UPSTREAMS:
         return upstreams
     shared = need.parts[0].id if need.parts else 0
     prompt = need.parts[-2].id if len(need.parts) > 1 else shared
     order = sorted(
         upstreams, key=lambda item: xxhash.xxh32_intdigest(item.id, seed=prompt & 0xFFFFFFFF)
     )
-    return order[:MOST_WEIGHED]
+    return order[:MAX_WEIGHED_UPSTREAMS]
--- a/src/lotushill/placement/team_room.py
+++ b/src/lotushill/placement/team_reserve.py
@@ -24,7 +24,7 @@
 """Of all slots, how many such a team leaves: more than come free between two looks for room."""
 
 
-def kept_slots(slots: int) -> int:
+def reserved_slots(slots: int) -> int:
     """Return how many of so many slots a team over its share leaves to the others."""
     return int(_KEPT_SHARE * slots)
 
@@ -37,4 +37,4 @@
 def _is_free(need: Need, choice: Choice, engine: bool) -> bool:
     if not engine:
         return choice.running < choice.upstream.slots
-    return not choice.full and choice.wait <= _MOST_WAIT * need.target
+    return not choice.is_full and choice.wait_seconds <= _MOST_WAIT * need.target
--- a/src/lotushill/placement/upstream_load.py
+++ b/src/lotushill/placement/upstream_load.py
@@ -7,8 +7,8 @@
 
 from lotushill.placement.engine_pace import EnginePace
 from lotushill.placement.failure_rate import FailureRate
-from lotushill.placement.kept_parts import KeptParts
-from lotushill.placement.unread_prompts import UnreadPrompts
+from lotushill.placement.prefill_queue import PrefillQueue
+from lotushill.placement.prefix_cache_model import PrefixCacheModel
 from lotushill.routing.demand import PromptPart
 
 if TYPE_CHECKING:
@@ -27,15 +27,15 @@
         self.running: dict[int, Placed] = {}
         self._seconds = 0.0
         """How long those that run are expected to take, all together."""
-        self.memory = 0
+        self.reserved_tokens = 0
         """Tokens that the running requests may hold in the end."""
         self._answers = 0
         """Of the memory, what is not parts of prompts."""
-        self.kept = KeptParts()
+        self.prefix_cache = PrefixCacheModel()
         self.failures = FailureRate()
-        self.gaps: Counter[float] = Counter()
+        self.streams_by_target_gap: Counter[float] = Counter()
         """Streams by the longest pause that is in time for them."""
-        self.unread = UnreadPrompts()
+        self.prefill_queue = PrefillQueue()
         self._tiers: Counter[int] = Counter()
         self._begun: dict[int, int] = {}
         """Requests whose first event has come, with their tiers."""
@@ -55,20 +55,22 @@
         self.running[placed.request] = placed
         self._tiers[placed.tier] += 1
         self._seconds += placed.seconds
-        self.memory += placed.memory
-        if placed.gap > 0:
-            self.gaps[placed.gap] += 1
+        self.reserved_tokens += placed.memory
+        if placed.target_gap > 0:
+            self.streams_by_target_gap[placed.target_gap] += 1
         if placed.began:
             self._note_begun(placed)
         else:
-            self.unread.add(placed.request, placed.tier, placed.reading, now - placed.age)
+            self.prefill_queue.add(
+                placed.request, placed.tier, placed.prefill_tokens, now - placed.age
+            )
         parts = [PromptPart(*item) for item in zip(placed.part_ids, placed.part_tokens)]
         self._answers += max(0, placed.memory - sum(placed.part_tokens))
-        self.kept.touch(parts, memory_tokens - self._answers)
+        self.prefix_cache.touch(parts, memory_tokens - self._answers)
 
     def begin(self, request: int, now: float) -> None:
         """Note that the prompt of a request has been read."""
-        self.unread.read(request, now)
+        self.prefill_queue.finish(request, now)
         placed = self.running.get(request)
         if placed is not None:
             self._note_begun(placed)
@@ -78,17 +80,17 @@
         placed = self.running.pop(request, None)
         if placed is None:
             return None
-        self.unread.give_up(request, now)
+        self.prefill_queue.cancel(request, now)
         self._tiers[placed.tier] -= 1
         if self._begun.pop(request, None) is not None:
             self._begun_tiers[placed.tier] -= 1
         self._seconds -= placed.seconds
-        self.memory -= placed.memory
+        self.reserved_tokens -= placed.memory
         self._answers -= max(0, placed.memory - sum(placed.part_tokens))
-        if placed.gap > 0:
-            self.gaps[placed.gap] -= 1
-            if not self.gaps[placed.gap]:
-                del self.gaps[placed.gap]
+        if placed.target_gap > 0:
+            self.streams_by_target_gap[placed.target_gap] -= 1
+            if not self.streams_by_target_gap[placed.target_gap]:
+                del self.streams_by_target_gap[placed.target_gap]
         return placed
 
     @property
@@ -97,11 +99,11 @@
         return len(self.running) - len(self._begun)
 
     @property
-    def usual_seconds(self) -> float:
+    def mean_expected_seconds(self) -> float:
         """Return how long one of those that run is expected to take, 0 where none does."""
         return self._seconds / len(self.running) if self.running else 0.0
 
-    def before(self, tier: int) -> int:
+    def count_before(self, tier: int) -> int:
         """Return how many requests keep their slots from a new one of a tier.
 
         Whoever has begun goes on to its end, however urgent the new one is; of those that have not,
@@ -112,7 +114,7 @@
             for other, count in self._tiers.items()
         )
 
-    def more_urgent(self, tier: int) -> int:
+    def count_more_urgent(self, tier: int) -> int:
         """Return how many requests run that are more urgent than a tier."""
         return sum(count for other, count in self._tiers.items() if other < tier)
 
@@ -136,7 +138,7 @@
         self._slowness = current + _SLOWNESS_WEIGHT * (min(20.0, max(0.3, ratio)) - current)
         self._slowness_at = now
 
-    def away(self, now: float) -> bool:
+    def is_unreachable(self, now: float) -> bool:
         """Return whether the upstream cannot be reached, as far as is known."""
         return now < self._away_until
 
--- a/src/lotushill/placement/weigher.py
+++ b/src/lotushill/placement/weigher.py
@@ -7,16 +7,16 @@
 
 from lotushill.placement.backup import COPY_LOSS_PER_TOKEN
 from lotushill.placement.choice import Choice
+from lotushill.placement.pauses import exceed_probability
 from lotushill.placement.pauses import logistic
-from lotushill.placement.pauses import missed
 
 if TYPE_CHECKING:
     from lotushill.placement.fetch import Fetch
     from lotushill.placement.fetch import FetchPlanner
-    from lotushill.placement.kept_parts import Chain
     from lotushill.placement.need import Need
-    from lotushill.placement.pace import Pace
+    from lotushill.placement.pace import ServicePace
     from lotushill.placement.pauses import UpstreamPauses
+    from lotushill.placement.prefix_cache_model import Chain
     from lotushill.placement.recent_parts import RecentParts
     from lotushill.placement.upstream_load import UpstreamLoad
     from lotushill.routing.service import EngineProfile
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Place:
+class Location:
     """Where an upstream stands."""
 
     hall: str
@@ -72,7 +72,9 @@
 class PlainWeigher:
     """Weighs instances of a plain service for one request."""
 
-    def __init__(self, need: Need, pace: Pace, place: Place, differing: bool, now: float) -> None:
+    def __init__(
+        self, need: Need, pace: ServicePace, place: Location, differing: bool, now: float
+    ) -> None:
         """Take in what is the same for all; `differing` says that instances differ in pace."""
         self._need = need
         self._pace = pace
@@ -83,7 +85,9 @@
     def weigh(self, upstream: Upstream, load: UpstreamLoad, rank: float) -> Choice:
         """Return the choice of one upstream; its rank has no part in it."""
         del rank
-        usual = self._pace.answer_seconds * load.pace.lasting_reading * load.slowness(self._now)
+        usual = (
+            self._pace.answer_seconds * load.pace.long_term_read_slowness * load.slowness(self._now)
+        )
         crowd = (len(load.running) + 1) / upstream.slots
         first = usual * max(1.0, crowd)
         cost = _late(first, self._need.target) + _CROWDING_LOSS * crowd
@@ -94,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class Usual:
+class TypicalRequest:
     """What is usual for the route of a request."""
 
     reading: float
@@ -144,9 +148,9 @@
         self,
         need: Need,
         engine: EngineProfile,
-        pace: Pace,
-        usual: Usual,
-        place: Place,
+        pace: ServicePace,
+        usual: TypicalRequest,
+        place: Location,
         chain: Chain,
         recent: RecentParts,
         planner: FetchPlanner | None,
@@ -169,15 +173,15 @@
         self._differing = differing
         self._now = now
         self._events = need.output_tokens / engine.tokens_per_event
-        beside = pace.pauses.beside(pace.long_reading, _FEW_RUNNING, 1.0)
-        self._delicate = 0 < need.gap < _DELICATE_MARGIN * beside
+        beside = pace.pauses.during_prefill(pace.long_prefill_seconds, _FEW_RUNNING, 1.0)
+        self._delicate = 0 < need.target_gap < _DELICATE_MARGIN * beside
 
     def weigh(self, upstream: Upstream, load: UpstreamLoad, rank: float) -> Choice:
         """Return the choice of one upstream; `rank` is its place, 0 to 1, in the shared order."""
         seen = self._forecast(upstream, load)
         harm = self._harm(load, seen, seen.reading_seconds) + self._own_gap_loss(seen)
         read = self._need.prompt_tokens - seen.reading
-        again = self._recent.again_chain(self._shared, read, self._now)
+        again = self._recent.reread_chain_tokens(self._shared, read, self._now)
         fetched = seen.fetch.tokens if seen.fetch else 0
         # Held as if all that is due were read first: an upstream with much to read is soon late for
         # whoever comes next, also where this request would overtake it.
@@ -196,35 +200,35 @@
             seen.reading,
             int(seen.ahead + seen.reading),
             seen.seconds,
-            wait=seen.wait + seen.queue,
-            harm=harm,
-            usual_loss=self._usual_loss(load, seen, rank),
-            again=again,
+            wait_seconds=seen.wait + seen.queue,
+            interference_cost=harm,
+            typical_request_cost=self._usual_loss(load, seen, rank),
+            reread_tokens=again,
             running=len(load.running),
-            full=seen.full,
+            is_full=seen.full,
             fetch=seen.fetch,
         )
 
     def _forecast(self, upstream: Upstream, load: UpstreamLoad) -> _Forecast:
         need, pace, slots = self._need, self._pace, self._engine.slots
         slowness = load.pace.step_slowness(self._now)
-        rate = pace.read_rate / (slowness * load.pace.lasting_reading)
-        ahead = load.unread.ahead(need.tier, rate, self._now)
-        matched = load.kept.matched_chain(self._chain)
+        rate = pace.read_rate / (slowness * load.pace.long_term_read_slowness)
+        ahead = load.prefill_queue.tokens_ahead(need.tier, rate, self._now)
+        matched = load.prefix_cache.matched_chain_tokens(self._chain)
         fetch = self._planner.plan(upstream, matched, rate) if self._planner else None
         reading = max(0, need.prompt_tokens - matched - (fetch.tokens if fetch else 0))
         wait = ahead / rate
-        pauses = pace.pauses.at(len(load.running), slowness)
+        pauses = pace.pauses.on_upstream(len(load.running), slowness)
         quiet = pauses.quiet
         first = max(wait, fetch.seconds if fetch else 0.0) + reading / rate + quiet
         seconds = first + self._events * quiet
-        excess = load.before(need.tier) + 1 - slots
+        excess = load.count_before(need.tier) + 1 - slots
         # A slot comes free as fast as those who hold the slots end, however short this request is.
-        queue = max(0, excess) * load.usual_seconds / slots
+        queue = max(0, excess) * load.mean_expected_seconds / slots
         return _Forecast(
             pauses=pauses,
             rate=rate,
-            due=load.unread.all(rate, self._now) / rate,
+            due=load.prefill_queue.remaining_tokens(rate, self._now) / rate,
             ahead=ahead,
             wait=wait,
             queue=queue,
@@ -237,10 +241,10 @@
 
     def _own_gap_loss(self, seen: _Forecast) -> float:
         """Return what the request loses by readings that are due beside its own events."""
-        gap = self._need.gap
+        gap = self._need.target_gap
         if not gap:
             return 0.0
-        return _GAP_LOSS * missed(seen.pauses.beside(seen.due), gap)
+        return _GAP_LOSS * exceed_probability(seen.pauses.during_prefill(seen.due), gap)
 
     def _usual_loss(self, load: UpstreamLoad, seen: _Forecast, rank: float) -> float:
         if not self._usual.long:
@@ -259,11 +263,11 @@
         """
         harm = 0.0
         coming = min(1.0, reading / self._pace.stream_seconds)
-        before = seen.pauses.beside(seen.due)
-        after = seen.pauses.beside(seen.due + reading)
-        for gap, count in load.gaps.items():
-            misses = missed(after, gap)
-            added = misses - missed(before, gap) if after > before else 0.0
+        before = seen.pauses.during_prefill(seen.due)
+        after = seen.pauses.during_prefill(seen.due + reading)
+        for gap, count in load.streams_by_target_gap.items():
+            misses = exceed_probability(after, gap)
+            added = misses - exceed_probability(before, gap) if after > before else 0.0
             harm += count * (added + coming * misses)
         return _GAP_LOSS * harm
 
@@ -282,13 +286,13 @@
         return spread
 
     def _memory_loss(self, load: UpstreamLoad) -> float:
-        held = load.memory + self._need.prompt_tokens + self._need.output_tokens
+        held = load.reserved_tokens + self._need.prompt_tokens + self._need.output_tokens
         return _FULL_MEMORY_LOSS if held > _MEMORY_SHARE * self._engine.memory_tokens else 0.0
 
 
 def _untried_loss(load: UpstreamLoad, slots: int) -> float:
     """Return what it costs to send more to an upstream of whose pace nothing is known yet."""
-    if load.pace.tried or len(load.running) < _UNTRIED_SHARE * slots:
+    if load.pace.is_known or len(load.running) < _UNTRIED_SHARE * slots:
         return 0.0
     return _UNTRIED_LOSS
 
--- a/src/lotushill/platform/configuration.py
+++ b/src/lotushill/platform/configuration.py
@@ -74,8 +74,8 @@
 def _scaling(item: dict[str, Any]) -> ScalingProfile:
     price = item.get("spotPrice")
     return ScalingProfile(
-        least=max(0, int(item.get("min") or 0)),
-        most=int(item["max"]),
+        min_engines=max(0, int(item.get("min") or 0)),
+        max_engines=int(item["max"]),
         reclaimable_price=None if price is None else float(price),
         boot_seconds=float(item.get("bootS", ScalingProfile.boot_seconds)),
         hall_prices=tuple((str(hall), float(v)) for hall, v in item.get("zonePrices", {}).items()),
@@ -89,7 +89,7 @@
         tokens_per_event=int(item.get("stride") or 1),
         token_bytes=int(item.get("kvTokenBytes") or 0),
         link_rate=_link_rate(item),
-        backups=bool(item.get("backups")),
+        can_back_up_memory=bool(item.get("backups")),
     )
 
 
--- a/src/lotushill/platform/request_head.py
+++ b/src/lotushill/platform/request_head.py
@@ -89,8 +89,8 @@
         out.append((names.KV_FETCH.encode(), copies.fetch_from.encode()))
     if copies.backup_to:
         out.append((names.KV_BACKUP.encode(), copies.backup_to.encode()))
-    if copies.memory:
-        out.append((names.KV_FROM.encode(), copies.memory.encode("latin-1")))
+    if copies.memory_label:
+        out.append((names.KV_FROM.encode(), copies.memory_label.encode("latin-1")))
     if last_event_id:
         out.append((names.LAST_EVENT_ID.encode(), last_event_id.encode("latin-1")))
     return out
@@ -98,7 +98,7 @@
 
 def _engine_priority(urgency: Urgency) -> int:
     """Return the tier and the team as one of the few levels that engines tell apart."""
-    team = min(_TEAM_LEVELS - 1, max(0, urgency.team))
+    team = min(_TEAM_LEVELS - 1, max(0, urgency.team_rank))
     return min(_LAST_PRIORITY, max(0, _TEAM_LEVELS * urgency.tier + team))
 
 
--- a/src/lotushill/platform/upstream_answer.py
+++ b/src/lotushill/platform/upstream_answer.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from lotushill.availability.statement import Statement
-from lotushill.availability.statement import read_limit
-from lotushill.availability.statement import read_rest
+from lotushill.availability.statement import parse_cooldown
+from lotushill.availability.statement import parse_limit
 from lotushill.platform import names
 
 Headers = list[tuple[bytes, bytes]]
@@ -21,9 +21,9 @@
 def read_statement(status: int, headers: Headers) -> Statement:
     """Return what an answer says of its upstream."""
     refused = status == _UNAVAILABLE
-    rest = read_rest([value for name, value in headers if refused and name == _RETRY_AFTER])
+    rest = parse_cooldown([value for name, value in headers if refused and name == _RETRY_AFTER])
     ran_not = any(name == _NOT_EXECUTED and value for name, value in headers)
     leaving = any(name == _SERVER_LEAVING and value.strip() == _YES for name, value in headers)
-    limit = read_limit([value for name, value in headers if name == _SERVER_LIMIT])
+    limit = parse_limit([value for name, value in headers if name == _SERVER_LIMIT])
     said = (rest.seconds, leaving, rest.unreadable, limit.rate, limit.unreadable)
     return Statement(ran_not or status == _MISDIRECTED, *said)
--- a/src/lotushill/quarantine/whole_memory.py
+++ b/src/lotushill/quarantine/completed_requests.py
@@ -13,7 +13,7 @@
 _SECONDS = 600.0
 
 
-class WholeMemory:
+class CompletedRequests:
     """Stores the identities of requests that completed; the time is an argument."""
 
     def __init__(self) -> None:
--- a/src/lotushill/quarantine/end_watch.py
+++ b/src/lotushill/quarantine/failure_watch.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Cut:
+class InterruptedRequest:
     """One request that lost the connection to its upstream."""
 
     identity: bytes
@@ -43,18 +43,20 @@
     """
 
 
-class EndWatch:
+class FailureWatch:
     """Stores interrupted requests for a bounded time, until their upstream is no longer listed."""
 
     def __init__(self) -> None:
-        self._cuts: list[tuple[Cut, float]] = []
+        self._cuts: list[tuple[InterruptedRequest, float]] = []
 
-    def note(self, cut: Cut, now: float) -> None:
+    def add(self, cut: InterruptedRequest, now: float) -> None:
         """Store a request that was interrupted by an upstream that may have failed."""
         self._cuts.append((cut, now + _SECONDS))
         del self._cuts[:-_MOST]
 
-    def take_ended(self, state_of: Callable[[str], Listing], now: float) -> list[Cut]:
+    def pop_failed(
+        self, state_of: Callable[[str], Listing], now: float
+    ) -> list[InterruptedRequest]:
         """Remove and return the requests whose upstream failed unannounced.
 
         Requests interrupted by a planned shutdown are dropped.
--- a/src/lotushill/quarantine/hold_store.py
+++ b/src/lotushill/quarantine/hold_store.py
@@ -85,13 +85,13 @@
         self._written: set[bytes] = set()
         """Holds written by this gateway that the view does not contain yet."""
 
-    async def look(self) -> None:
+    async def reconcile(self) -> None:
         """Write holds that are due and delete those that were cleared; retry after an outage."""
         now = self._clock()
         if now < self._away_until:
             return
         due = self._settled(now)
-        vain = self._quarantine.stored_in_vain()
+        vain = self._quarantine.stored_but_cleared()
         try:
             for identity in due[:_MOST_CALLS]:
                 await self._write(identity)
@@ -118,9 +118,11 @@
         if suspect is None:
             return
         await self._make_room(suspect.team)
-        hold = StoredHold(suspect.team, suspect.path, tuple(suspect.ends), round(self._wall(), 3))
+        hold = StoredHold(
+            suspect.team, suspect.path, tuple(suspect.failed_upstreams), round(self._wall(), 3)
+        )
         try:
-            await self._store.create(KIND, identity.hex(), hold.spec())
+            await self._store.create(KIND, identity.hex(), hold.to_spec())
         except RevisionConflictError:
             # Another gateway that observed the same failures has written the hold.
             pass
--- a/src/lotushill/quarantine/isolation.py
+++ b/src/lotushill/quarantine/isolation.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True)
-class Term:
+class IsolationTerm:
     """The remaining isolation time of a group and the pause after its next failure, in seconds."""
 
     left: float
@@ -127,27 +127,29 @@
         self._whole: RecentCounts[Group] = RecentCounts(_WINDOW_SECONDS, _MOST_GROUPS)
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether there is no evidence against any group."""
         return not self._evidence
 
-    def note_whole(self, groups: Iterable[Group], now: float) -> None:
+    def record_completion(self, groups: Iterable[Group], now: float) -> None:
         """Record that a request of these groups completed at this gateway."""
         for group in groups:
             self._whole.note(group, now)
 
-    def whole(self, group: Group, now: float) -> int:
+    def completion_count(self, group: Group, now: float) -> int:
         """Return the number of recent completions of a group at this gateway."""
         return self._whole.count(group, now)
 
-    def note_end(self, group: Group, upstream: str, teller: str, whole: int, now: float) -> bool:
+    def record_upstream_failure(
+        self, group: Group, upstream: str, reporter: str, completions: int, now: float
+    ) -> bool:
         """Record that an upstream failed before a request of a group had its first event.
 
         `teller` is the gateway that observed the failure, and `whole` the number of recent
         completions of the group there. Return whether the group is isolated from now on.
         """
         evidence = self._of(group, now)
-        self.take_whole(group, teller, whole, now)
+        self.record_peer_completions(group, reporter, completions, now)
         if upstream in evidence.ends:
             return False
         evidence.ends[upstream] = now
@@ -163,12 +165,14 @@
         evidence.until = now + _TERM_SECONDS
         return True
 
-    def take_whole(self, group: Group, teller: str, whole: int, now: float) -> None:
+    def record_peer_completions(
+        self, group: Group, reporter: str, completions: int, now: float
+    ) -> None:
         """Store the number of recent completions of a group that a gateway reports."""
         evidence = self._evidence.get(group)
         if evidence is None:
             return
-        evidence.whole[teller] = _Told(whole, now)
+        evidence.whole[reporter] = _Told(completions, now)
         if not evidence.shown and evidence.is_mostly_whole(now):
             evidence.until = float("-inf")
 
@@ -185,15 +189,15 @@
         evidence.pause = max(evidence.pause, min(_LONGEST_PAUSE_SECONDS, pause))
         return not was_apart
 
-    def terms(self, now: float) -> dict[Group, Term]:
+    def isolation_terms(self, now: float) -> dict[Group, IsolationTerm]:
         """Return all isolated groups with the remaining time of their isolation."""
         return {
-            group: Term(item.until - now, item.pause)
+            group: IsolationTerm(item.until - now, item.pause)
             for group, item in self._evidence.items()
             if now < item.until
         }
 
-    def needs_proof(self, group: Group, now: float) -> bool:
+    def needs_completion_reports(self, group: Group, now: float) -> bool:
         """Return whether completions that were not reported yet could clear a group."""
         evidence = self._evidence.get(group)
         return evidence is not None and evidence.whole_of_late(now) < _WHOLE_TOLD
@@ -208,20 +212,20 @@
             if other.is_within(group)
         )
 
-    def isolates(self, groups: Iterable[Group], now: float) -> bool:
+    def is_isolated(self, groups: Iterable[Group], now: float) -> bool:
         """Return whether a request of these groups is isolated."""
         return any(now < self._until(group) for group in groups)
 
-    def wait(self, groups: Iterable[Group], now: float) -> float:
+    def retry_delay(self, groups: Iterable[Group], now: float) -> float:
         """Return the seconds until a request of these groups may be tried again."""
         found = (self._evidence[group] for group in groups if group in self._evidence)
         return max([0.0, *(item.tried_after - now for item in found if now < item.until)])
 
-    def services(self, now: float) -> frozenset[str]:
+    def isolated_services(self, now: float) -> frozenset[str]:
         """Return the services that have an isolated group."""
-        return frozenset(group.service for group in self.groups(now))
+        return frozenset(group.service for group in self.isolated_groups(now))
 
-    def groups(self, now: float) -> list[Group]:
+    def isolated_groups(self, now: float) -> list[Group]:
         """Return all isolated groups."""
         return [group for group, item in self._evidence.items() if now < item.until]
 
