--- a/src/lotushill/quarantine/quarantine.py
+++ b/src/lotushill/quarantine/quarantine.py
@@ -6,8 +6,8 @@
 from collections import OrderedDict
 from typing import TYPE_CHECKING
 
+from lotushill.quarantine.completed_requests import CompletedRequests
 from lotushill.quarantine.suspect import Suspect
-from lotushill.quarantine.whole_memory import WholeMemory
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -32,49 +32,51 @@
         self._suspects: OrderedDict[bytes, Suspect] = OrderedDict()
         self._of_team: Counter[str] = Counter()
         self._stored: dict[bytes, StoredHold] = {}
-        self._whole = WholeMemory()
+        self._whole = CompletedRequests()
 
     def __len__(self) -> int:
         return len(self._suspects)
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether nothing is suspected, so that no identity has to be computed."""
         return not self._suspects and not self._stored
 
-    def holds(self, identity: bytes, now: float) -> bool:
+    def is_held(self, identity: bytes, now: float) -> bool:
         """Return whether a request must not reach any upstream."""
         suspect = self._suspects.get(identity)
         if suspect is not None and suspect.held(now):
             return True
         return identity in self._stored and (suspect is None or not suspect.proven)
 
-    def ends_under(self, identity: bytes) -> int:
+    def failure_count(self, identity: bytes) -> int:
         """Return the number of upstreams that failed during a request since it was last cleared."""
         suspect = self._suspects.get(identity)
-        return len(suspect.ends) if suspect is not None else 0
+        return len(suspect.failed_upstreams) if suspect is not None else 0
 
     def find(self, identity: bytes) -> Suspect | None:
         """Return the suspect with an identity, or None if there is none."""
         return self._suspects.get(identity)
 
-    def held(self, now: float) -> list[bytes]:
+    def held_identities(self, now: float) -> list[bytes]:
         """Return the identities of all requests that are held."""
-        return [item for item in {*self._suspects, *self._stored} if self.holds(item, now)]
+        return [item for item in {*self._suspects, *self._stored} if self.is_held(item, now)]
 
-    def note_end(self, identity: bytes, team: str, path: str, upstream: str, now: float) -> bool:
+    def record_upstream_failure(
+        self, identity: bytes, team: str, path: str, upstream: str, now: float
+    ) -> bool:
         """Record that an upstream failed while it had the request; return whether that is new."""
         suspect = self._suspect(identity, team, path, now)
         suspect.seen_here = True
         return suspect.add(upstream, now)
 
-    def take(self, state: SuspectState, now: float) -> bool:
+    def merge_peer_state(self, state: SuspectState, now: float) -> bool:
         """Merge the evidence of a peer against a request; return whether any of it is new."""
         suspect = self._suspect(state.identity, state.team, state.path, now)
         news = [suspect.add(upstream, now) for upstream in state.upstreams]
         return any(news)
 
-    def note_whole(self, identity: bytes, now: float) -> bool:
+    def record_completion(self, identity: bytes, now: float) -> bool:
         """Record that a request completed; return whether this clears a suspect."""
         self._whole.note(identity, now)
         return self.clear(identity)
@@ -82,22 +84,22 @@
     def clear(self, identity: bytes) -> bool:
         """Record that a request completed after its failures; return whether it was suspected."""
         suspect = self._suspects.get(identity)
-        if suspect is None or not suspect.ends:
+        if suspect is None or not suspect.failed_upstreams:
             return False
         suspect.clear()
         return True
 
-    def prove(self, identity: bytes, now: float) -> None:
+    def mark_known_good(self, identity: bytes, now: float) -> None:
         """Record that a request completed before any upstream failed during it."""
         suspect = self._suspects.get(identity)
         if suspect is not None:
             suspect.prove(now)
 
-    def knows_whole(self, identity: bytes, now: float) -> bool:
+    def has_completed(self, identity: bytes, now: float) -> bool:
         """Return whether a request completed at this gateway, which peers may not know."""
         return self._whole.knows(identity, now)
 
-    def take_stored(self, holds: Mapping[bytes, StoredHold]) -> list[bytes]:
+    def replace_stored(self, holds: Mapping[bytes, StoredHold]) -> list[bytes]:
         """Replace the stored holds; return the identities released in the store since then."""
         released = [identity for identity in self._stored if identity not in holds]
         for identity in released:
@@ -115,7 +117,7 @@
             if suspect.held_for_good and identity not in self._stored
         ]
 
-    def stored_in_vain(self) -> list[bytes]:
+    def stored_but_cleared(self) -> list[bytes]:
         """Return the identities that are in the store although the request completed."""
         return [
             identity
--- a/src/lotushill/quarantine/repeat_plan.py
+++ b/src/lotushill/quarantine/repeat_schedule.py
@@ -15,7 +15,7 @@
 """
 
 
-class RepeatPlan(Generic[Item]):
+class RepeatSchedule(Generic[Item]):
     """Items that are each sent at several times."""
 
     def __init__(self) -> None:
@@ -29,19 +29,19 @@
         """Return the time at which the next item is due, or infinity if there is none."""
         return min((times[0] for times in self._times.values()), default=math.inf)
 
-    def tell(self, item: Item, now: float) -> None:
+    def schedule_repeats(self, item: Item, now: float) -> None:
         """Schedule an item for now and for several repetitions."""
         self._times[item] = [now + after for after in _REPEAT_SECONDS]
 
-    def tell_at(self, item: Item, when: float) -> None:
+    def schedule_once(self, item: Item, when: float) -> None:
         """Schedule an item once, at a given time."""
         self._times[item] = [when]
 
-    def forget(self, item: Item) -> None:
+    def cancel(self, item: Item) -> None:
         """Cancel all remaining sends of an item."""
         self._times.pop(item, None)
 
-    def take(self, now: float) -> list[Item]:
+    def pop_due(self, now: float) -> list[Item]:
         """Return the items that are due, and remove the times that have passed."""
         due = [item for item, times in self._times.items() if times[0] <= now]
         for item in due:
--- a/src/lotushill/quarantine/stored_hold.py
+++ b/src/lotushill/quarantine/stored_hold.py
@@ -24,7 +24,7 @@
     since: float
     """Time of the hold in seconds since 1970, by the clock of the gateway that wrote it."""
 
-    def spec(self) -> dict[str, object]:
+    def to_spec(self) -> dict[str, object]:
         """Return the spec of the stored object."""
         return {
             "team": self.team,
--- a/src/lotushill/quarantine/suspect.py
+++ b/src/lotushill/quarantine/suspect.py
@@ -36,7 +36,7 @@
 
     team: str
     path: str
-    ends: dict[str, float] = field(default_factory=dict)
+    failed_upstreams: dict[str, float] = field(default_factory=dict)
     """Upstreams that failed since the request was last cleared, with the time of the report."""
     cleared: dict[str, None] = field(default_factory=dict)
     """Upstreams that no longer count, though late updates may name them again; the newest last."""
@@ -52,10 +52,14 @@
 
     def add(self, upstream: str, now: float) -> bool:
         """Record that an upstream failed during the request; return whether that is new."""
-        if upstream in self.ends or upstream in self.cleared or len(self.ends) >= _MOST_ENDS:
+        if (
+            upstream in self.failed_upstreams
+            or upstream in self.cleared
+            or len(self.failed_upstreams) >= _MOST_ENDS
+        ):
             return False
         self.heard_at = now
-        self.ends[upstream] = now
+        self.failed_upstreams[upstream] = now
         self._hold_proven(now)
         return True
 
@@ -81,17 +85,17 @@
         """Return whether the request must not reach any upstream."""
         if self.proven:
             return now < self.held_until
-        return len(self.ends) >= ENDS_TO_HOLD
+        return len(self.failed_upstreams) >= ENDS_TO_HOLD
 
     def is_clear(self, now: float) -> bool:
         """Return whether there is no evidence against the request, now and in recent time."""
         quiet = now - max(self.heard_at, self.held_until) > _CLEAR_SECONDS
-        return not self.ends and not self.terms and quiet
+        return not self.failed_upstreams and not self.terms and quiet
 
     @property
     def held_for_good(self) -> bool:
         """Return whether the request is held until it is released."""
-        return not self.proven and len(self.ends) >= ENDS_TO_HOLD
+        return not self.proven and len(self.failed_upstreams) >= ENDS_TO_HOLD
 
     def _hold_proven(self, now: float) -> None:
         needed = 1 if self.terms else ENDS_TO_HOLD
@@ -103,14 +107,14 @@
         self._forget_ends()
 
     def _forget_ends(self) -> None:
-        self.cleared.update(dict.fromkeys(self.ends))
-        self.ends.clear()
+        self.cleared.update(dict.fromkeys(self.failed_upstreams))
+        self.failed_upstreams.clear()
         while len(self.cleared) > _MOST_CLEARED:
             del self.cleared[next(iter(self.cleared))]
 
     def _rounds(self) -> int:
         rounds, last = 0, float("-inf")
-        for at in sorted(self.ends.values()):
+        for at in sorted(self.failed_upstreams.values()):
             if at - last >= _ROUND_SECONDS:
                 rounds, last = rounds + 1, at
         return rounds
--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from lotushill.moves.stalls import latest
+from lotushill.moves.stalls import max_threshold
 from lotushill.platform.upstream_answer import read_statement
 from lotushill.requests.attempt_end import AttemptEnd
 from lotushill.requests.attempt_end import EndKind
@@ -15,13 +15,13 @@
 from lotushill.requests.exceptions import SilentUpstreamError
 from lotushill.requests.exceptions import UpstreamError
 from lotushill.requests.handover import Phase
-from lotushill.requests.moving_run import MovingRun
-from lotushill.requests.wire import on_the_wire
+from lotushill.requests.movable_run import MovableRun
+from lotushill.requests.wire import encode_request
 from lotushill.routing.route import RouteKind
 
 if TYPE_CHECKING:
     from lotushill.placement.choice import Choice
-    from lotushill.requests.attempt_news import AttemptNews
+    from lotushill.requests.attempt_reporter import AttemptReporter
     from lotushill.requests.client_answer import ClientAnswer
     from lotushill.requests.event_stream import EventSplitter
     from lotushill.requests.parts import GatewayParts
@@ -46,7 +46,7 @@
         choice: Choice,
         answer: ClientAnswer,
         splitter: EventSplitter,
-        news: AttemptNews,
+        news: AttemptReporter,
         permit: Permit,
     ) -> None:
         self._parts = parts
@@ -60,13 +60,13 @@
         self._wakes = parts.suspension.wakes
         self.sent_at = 0.0
         self._head_at = 0.0
-        self.first_at = 0.0
-        self.last_at = 0.0
+        self.first_event_at = 0.0
+        self.last_event_at = 0.0
         self._pauses = AttemptPauses(parts, request, choice.upstream, news)
         engine = request.service.engine
-        self._movable = engine is not None and engine.moves
+        self._movable = engine is not None and engine.can_move_memory
         """Whether runs of its service can be moved."""
-        self._moving: MovingRun | None = None
+        self._moving: MovableRun | None = None
         """The run once its first event has come, where it can be moved."""
 
     async def run(self) -> AttemptEnd:
@@ -74,7 +74,7 @@
         upstream = self._choice.upstream
         load = self._parts.fleet.load(upstream.id)
         try:
-            connection = await self._parts.pool.take(upstream)
+            connection = await self._parts.pool.acquire(upstream)
         except NotSentError as error:
             load.note_unreachable(self._clock())
             return AttemptEnd(EndKind.NOT_SENT, str(error))
@@ -82,12 +82,12 @@
             connection.close()
             return AttemptEnd(EndKind.NOT_SENT, "the host was suspended")
         # Whoever chose it may not have known that it wants none, or chose before it said so.
-        if not self._parts.gate.pass_on(self._permit):
+        if not self._parts.gate.authorize_send(self._permit):
             connection.close()
             return AttemptEnd(EndKind.BARRED)
         try:
             end = await self._exchange(connection)
-            self._parts.pool.give_back(upstream, connection)
+            self._parts.pool.release(upstream, connection)
         except UpstreamError as error:
             connection.close()
             end = self._broken(error)
@@ -102,14 +102,22 @@
         """Return the end of an answer that was cut off: by a move, or by a fault."""
         handover = self._moving.handover if self._moving is not None else None
         if handover is not None:
-            handover.part()
-            if handover.stops:
-                return AttemptEnd(EndKind.MOVED, repr(error), begun=True, handover=handover)
+            handover.note_stream_ended()
+            if handover.run_stopped:
+                return AttemptEnd(
+                    EndKind.MOVED, repr(error), answer_started=True, handover=handover
+                )
             if handover.phase is Phase.GIVEN_UP:
                 handover = None
         lost = isinstance(error, LostConnectionError)
-        begun = bool(self.first_at)
-        return AttemptEnd(EndKind.BROKEN, repr(error), lost=lost, begun=begun, handover=handover)
+        begun = bool(self.first_event_at)
+        return AttemptEnd(
+            EndKind.BROKEN,
+            repr(error),
+            connection_lost=lost,
+            answer_started=begun,
+            handover=handover,
+        )
 
     def _leave(self) -> None:
         """Let nobody move the run any longer."""
@@ -117,9 +125,9 @@
         if run is None:
             return
         run.ended = True
-        self._parts.mover.leave(run)
-        if run.handover is not None and not run.handover.parted:
-            self._parts.mover.drop(run.handover)
+        self._parts.mover.remove_run(run)
+        if run.handover is not None and not run.handover.stream_ended:
+            self._parts.mover.release_handover(run.handover)
 
     def _was_suspended(self) -> bool:
         """Return whether the host was, since the upstream was chosen: it may have left."""
@@ -128,17 +136,17 @@
 
     async def _exchange(self, connection: UpstreamConnection) -> AttemptEnd:
         self.sent_at = self._clock()
-        last_event_id = self._splitter.last_id if self._splitter.events else ""
-        data = on_the_wire(self._request, self._choice, last_event_id, self.sent_at)
+        last_event_id = self._splitter.last_id if self._splitter.event_count else ""
+        data = encode_request(self._request, self._choice, last_event_id, self.sent_at)
         connection.send(self._request.demand.request_id, self._request.method, data)
         head = await self._read_head(connection)
         self._head_at = self._clock()
         self._parts.fleet.load(self._choice.upstream.id).note_reached()
         said = read_statement(head.status, head.headers)
-        self._parts.gate.hear(self._choice.upstream.id, said, self.sent_at)
+        self._parts.gate.record_statement(self._choice.upstream.id, said, self.sent_at)
         if said.not_executed:
             await self._read_all(connection)
-            return AttemptEnd(EndKind.REJECTED, str(head.status), said=said)
+            return AttemptEnd(EndKind.REJECTED, str(head.status), statement=said)
         if head.status not in _SUCCESS:
             body = await self._read_all(connection)
             return AttemptEnd(EndKind.FAILED, str(head.status), head, body, said)
@@ -147,18 +155,18 @@
             return AttemptEnd(EndKind.BROKEN, "content-encoding")
         if self._request.route.kind is not RouteKind.STREAM:
             return await self._pass_whole(connection, head)
-        if self._has_a_way_on() or self._choice.continues or self._movable:
+        if self._has_a_way_on() or self._choice.resumes_from_copy or self._movable:
             return await self._pass_events(connection, head)
         return await self._pass_stream(connection, head)
 
     async def _read_head(self, connection: UpstreamConnection) -> AnswerHead:
         """Return the head; a repeatable request does not wait for a silent upstream."""
-        patience = max(_SILENCE_SECONDS, _SILENCE_PREDICTED * self._choice.first)
+        patience = max(_SILENCE_SECONDS, _SILENCE_PREDICTED * self._choice.first_event_seconds)
         try:
             async with asyncio.timeout(patience):
                 return await connection.read_head()
         except TimeoutError as error:
-            self._news.silent()
+            self._news.report_silence()
             if self._request.route.repeatable:
                 raise SilentUpstreamError("no head") from error
         return await connection.read_head()
@@ -195,15 +203,15 @@
 
     def _patience(self) -> float | None:
         """Return after which pause the run is given up here, None where that helps nobody."""
-        if not self.first_at:
+        if not self.first_event_at:
             return self._first_patience()
         gap = self._request.route.target_gap
         if not self._movable:
-            given_up = self._has_a_way_on() or self._choice.continues
-            return latest(gap) if given_up else None
+            given_up = self._has_a_way_on() or self._choice.resumes_from_copy
+            return max_threshold(gap) if given_up else None
         if not self._has_a_way_on():
             return None
-        return self._parts.mover.stalls.after(self._request.service.name, gap)
+        return self._parts.mover.stalls.threshold(self._request.service.name, gap)
 
     async def _pass_events(self, connection: UpstreamConnection, head: AnswerHead) -> AttemptEnd:
         """Pass whole events on, so that another upstream can go on after any of them."""
@@ -216,7 +224,7 @@
             await self._start_chunked(head)
             await self._answer.write(whole)
             if self._moving is not None:
-                self._moving.note_passed_on(self._clock())
+                self._moving.note_delivered(self._clock())
         await self._start_chunked(head)
         await self._answer.finish(self._splitter.partial)
         return AttemptEnd(EndKind.WHOLE)
@@ -225,22 +233,22 @@
         """Return how long the first event is waited for after the head."""
         if not self._movable or not self._request.route.repeatable:
             return None
-        return self._parts.mover.first_waits.after_if_known(self._request.service.name)
+        return self._parts.mover.first_event_waits.threshold_if_known(self._request.service.name)
 
     def _follow_run(self, connection: UpstreamConnection) -> None:
         if not self._movable or _came_back(self._choice):
             return
         if self._moving is None:
-            self._moving = MovingRun(
+            self._moving = MovableRun(
                 self._request,
                 self._choice.upstream,
                 self._splitter,
                 self._choice.backup is not None,
                 connection.close,
-                self.last_at,
+                self.last_event_at,
             )
-            self._parts.mover.enter(self._moving)
-        self._moving.note_event(self.last_at)
+            self._parts.mover.add_run(self._moving)
+        self._moving.note_event(self.last_event_at)
 
     async def _start_chunked(self, head: AnswerHead) -> None:
         """Start without a length: what another upstream adds is not known."""
@@ -252,19 +260,23 @@
 
     def _note_event(self) -> None:
         now = self._clock()
-        if not self.first_at:
-            self.first_at = now
+        if not self.first_event_at:
+            self.first_event_at = now
             self._note_first(now)
             if self._movable:
-                self._parts.mover.first_waits.note(self._request.service.name, now - self._head_at)
+                self._parts.mover.first_event_waits.note(
+                    self._request.service.name, now - self._head_at
+                )
         if self._request.route.kind is RouteKind.STREAM:
             self._pauses.note(now)
-        self.last_at = now
+        self.last_event_at = now
 
     def _note_first(self, now: float) -> None:
         taken = now - self.sent_at
-        self._news.began(taken)
-        self._parts.metrics.note_first(self._request.service.name, taken, self._choice.first)
+        self._news.report_first_event(taken)
+        self._parts.metrics.note_first(
+            self._request.service.name, taken, self._choice.first_event_seconds
+        )
 
 
 def _came_back(choice: Choice) -> bool:
--- a/src/lotushill/requests/attempt_end.py
+++ b/src/lotushill/requests/attempt_end.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from lotushill.availability.statement import NOTHING_SAID
+from lotushill.availability.statement import EMPTY_STATEMENT
 from lotushill.availability.statement import Statement
 
 if TYPE_CHECKING:
@@ -41,11 +41,11 @@
     detail: str = ""
     head: AnswerHead | None = None
     body: bytes = b""
-    said: Statement = NOTHING_SAID
+    statement: Statement = EMPTY_STATEMENT
     """What the upstream said of itself."""
-    lost: bool = False
+    connection_lost: bool = False
     """Whether the connection ended under a request that had been sent."""
-    begun: bool = False
+    answer_started: bool = False
     """Whether anything of the answer had come."""
     handover: Handover | None = None
     """The move that was under way, from which the run may go on."""
--- a/src/lotushill/requests/attempt_pauses.py
+++ b/src/lotushill/requests/attempt_pauses.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from lotushill.requests.attempt_news import AttemptNews
+    from lotushill.requests.attempt_reporter import AttemptReporter
     from lotushill.requests.parts import GatewayParts
     from lotushill.routing.upstream import Upstream
     from lotushill.scheduling.request import Request
@@ -15,13 +15,13 @@
     """Learns from the events of one stream."""
 
     def __init__(
-        self, parts: GatewayParts, request: Request, upstream: Upstream, news: AttemptNews
+        self, parts: GatewayParts, request: Request, upstream: Upstream, news: AttemptReporter
     ) -> None:
         self._parts = parts
         self._service = request.service.name
         self._upstream = upstream
         self._news = news
-        self._models_all = parts.placer.models_all()
+        self._models_all = parts.placer.has_full_model()
         """Whether all that runs at the upstream is known, so that its pauses can be explained."""
         self._last_at = 0.0
         self._waiting = 0.0
@@ -31,7 +31,7 @@
         """Note that events have come."""
         if self._last_at:
             pause = now - self._last_at
-            self._news.paused(pause)
+            self._news.report_pause(pause)
             self._parts.mover.stalls.note(self._service, pause)
         if self._models_all:
             due = self._due_reading(now)
@@ -47,10 +47,10 @@
         slowness = load.pace.step_slowness(now)
         ratio = pauses.note(now - self._last_at, self._waiting, len(load.running), slowness)
         if ratio is not None and not due:
-            load.pace.note_step(ratio, now)
+            load.pace.note_pause_ratio(ratio, now)
 
     def _due_reading(self, now: float) -> float:
         """Return the seconds of reading that are due at the upstream."""
         load = self._parts.fleet.load(self._upstream.id)
         rate = self._parts.fleet.pace(self._service).read_rate
-        return load.unread.all(rate, now) / rate
+        return load.prefill_queue.remaining_tokens(rate, now) / rate
--- a/src/lotushill/requests/attempt_news.py
+++ b/src/lotushill/requests/attempt_reporter.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.placement.learning import PACED_EVENTS
+from lotushill.placement.learning import PACE_SAMPLE_PAUSES
 from lotushill.placement.messages import Outcome
 from lotushill.requests.attempt_end import EndKind
 
@@ -26,7 +26,7 @@
 }
 
 
-class AttemptNews:
+class AttemptReporter:
     """Tells of one attempt by its number."""
 
     def __init__(self, shared_load: SharedLoad, request: int, on_ran: Callable[[], None]) -> None:
@@ -37,25 +37,25 @@
         self._pauses: list[float] = []
         self._began = False
 
-    def began(self, seconds: float) -> None:
+    def report_first_event(self, seconds: float) -> None:
         """Tell of the first event, so long after the request was sent."""
         self._began = True
         self._on_ran()
         self._shared_load.begin(self._request, seconds)
 
-    def paused(self, seconds: float) -> None:
+    def report_pause(self, seconds: float) -> None:
         """Take in a pause between two events; the first ones tell the pace of the upstream."""
-        if len(self._pauses) == PACED_EVENTS:
+        if len(self._pauses) == PACE_SAMPLE_PAUSES:
             return
         self._pauses.append(seconds)
-        if len(self._pauses) == PACED_EVENTS:
+        if len(self._pauses) == PACE_SAMPLE_PAUSES:
             self._shared_load.note_paced(self._request, sorted(self._pauses)[_PACE_RANK])
 
-    def silent(self) -> None:
+    def report_silence(self) -> None:
         """Tell that the upstream is silent, though an answer may still come."""
         self._shared_load.end(self._request, Outcome.FAILED)
 
-    def ended(self, kind: EndKind | None, seconds: float) -> None:
+    def report_end(self, kind: EndKind | None, seconds: float) -> None:
         """Tell the end of an attempt that ran for so long; None where it was given up."""
         if kind is None:
             outcome = Outcome.UNKNOWN
--- a/src/lotushill/requests/caller_number.py
+++ b/src/lotushill/requests/caller_hash.py
@@ -5,7 +5,7 @@
 import xxhash
 
 
-def caller_number(team: str, target: bytes, body: bytes) -> int:
+def caller_hash(team: str, target: bytes, body: bytes) -> int:
     """Return a number that stays the same when a caller sends its request again; never 0."""
     digest = xxhash.xxh64()
     for part in (team.encode(), target, body):
--- a/src/lotushill/requests/client_answer.py
+++ b/src/lotushill/requests/client_answer.py
@@ -31,13 +31,13 @@
         self._send = send
         self._request_id = request_id
         self.started = False
-        self.closing = False
+        self.close_after = False
 
     async def start(self, status: int, headers: Headers) -> None:
         """Send the head of an upstream's answer."""
         self.started = True
         out = relayed(list(headers))
-        if self.closing:
+        if self.close_after:
             out.append((b"connection", b"close"))
         await self._send({"type": "http.response.start", "status": status, "headers": out})
 
@@ -49,7 +49,7 @@
         """End the answer as whole."""
         await self._send({"type": "http.response.body", "body": data})
 
-    async def give(self, status: int, retry_after: float | None = None) -> None:
+    async def send_own_answer(self, status: int, retry_after: float | None = None) -> None:
         """Send an answer of this system's own."""
         if self.started:
             return
@@ -60,7 +60,7 @@
         headers.append((b"content-type", b"text/plain"))
         if retry_after is not None:
             headers.append(request_head.retry_after(min(_LATEST_RETRY, retry_after)))
-        if self.closing:
+        if self.close_after:
             headers.append((b"connection", b"close"))
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
         await self.finish(body)
--- a/src/lotushill/requests/front.py
+++ b/src/lotushill/requests/client_application.py
@@ -16,16 +16,16 @@
 from lotushill.links.asgi import read_body
 from lotushill.placement.need import Need
 from lotushill.platform import request_head
-from lotushill.requests.caller_number import caller_number
+from lotushill.requests.caller_hash import caller_hash
 from lotushill.requests.client_answer import ClientAnswer
 from lotushill.requests.client_protocol import CONNECTION
 from lotushill.requests.client_protocol import TARGET
 from lotushill.requests.exchange import Exchange
 from lotushill.routing.route import RouteKind
 from lotushill.scheduling.request import Request
-from lotushill.starting.patience import MOST_WAITING
-from lotushill.starting.patience import ready_retry
-from lotushill.starting.patience import ready_wait
+from lotushill.starting.ready_wait import MAX_WAITING_REQUESTS
+from lotushill.starting.ready_wait import ready_retry_after_seconds
+from lotushill.starting.ready_wait import ready_wait_seconds
 
 if TYPE_CHECKING:
     from lotushill.links.asgi import Receive
@@ -65,7 +65,7 @@
         self._scope.cancel()
 
 
-class Front:
+class ClientApplication:
     """Takes in requests."""
 
     def __init__(self, parts: GatewayParts) -> None:
@@ -74,11 +74,11 @@
         self._scopes: set[anyio.CancelScope] = set()
         """Of the requests in progress."""
         self.in_progress = 0
-        self.closing = False
+        self.closes_connections = False
         """Whether connections end after their answer, since the process is stopping."""
-        self.waiting = 0
+        self.waiting_until_ready = 0
         """Requests that wait until this gateway is ready."""
-        self.open = True
+        self.accepts_requests = True
         """False when new requests are turned away, since they could not be finished."""
 
     def note_suspension(self, seconds: float) -> None:
@@ -101,7 +101,7 @@
         arrived = self._parts.clock()
         demand = request_head.read_demand(scope["headers"])
         answer = ClientAnswer(send, demand.request_id)
-        answer.closing = self.closing
+        answer.close_after = self.closes_connections
         try:
             request = await self._check(scope, receive, demand, arrived)
         except CallerGoneError:
@@ -116,7 +116,7 @@
                 target=scope[TARGET].decode("latin-1")[:80],
                 configuration=self._parts.configuration.revision,
             )
-            await answer.give(error.status, error.retry_after)
+            await answer.send_own_answer(error.status, error.retry_after)
             return
         await self._bring_to_answer(scope, request, answer)
 
@@ -124,7 +124,7 @@
         clock = self._parts.clock
         connection = cast("ClientProtocol", scope[CONNECTION])
         exchange = Exchange(self._parts, request, answer)
-        self._parts.work.enter(request.service.name)
+        self._parts.work.increment_running(request.service.name)
         left = request.ends - clock()
         with anyio.CancelScope(deadline=asyncio.get_running_loop().time() + left) as cancel:
             lost = _Lost(cancel)
@@ -140,7 +140,7 @@
                     request=request.demand.request_id,
                     trace="".join(traceback.format_exception(error)),
                 )
-                await answer.give(502 if exchange.runs else 503, self._retry_seconds())
+                await answer.send_own_answer(502 if exchange.runs else 503, self._retry_seconds())
         self._scopes.discard(cancel)
         connection.on_lost = None
         if cancel.cancelled_caught:
@@ -149,7 +149,7 @@
             else:
                 await exchange.time_out()
         took = clock() - request.arrived
-        self._parts.work.leave(request.service.name)
+        self._parts.work.decrement_running(request.service.name)
         self._parts.metrics.note_request(request.service.name, exchange.outcome, took)
         self._parts.log.note(
             "request.ended",
@@ -171,7 +171,7 @@
     ) -> Request:
         await self._await_ready(demand, arrived)
         table = self._parts.configuration.table
-        if table is None or not self.open or not self._parts.knows_holds():
+        if table is None or not self.accepts_requests or not self._parts.knows_holds():
             raise _TurnedAwayError(503, self._retry_seconds())
         headers = list(scope["headers"])
         if sum(len(name) + len(value) + 4 for name, value in headers) > table.limits.header_bytes:
@@ -183,7 +183,7 @@
         service = table.services[route.service_for(self._parts.rng.random())]
         route = self._parts.settings.route_for(route, team, service.name)
         limit = min(demand.time_left or route.timeout, route.timeout)
-        caller = caller_number(team.name if team else "", scope[TARGET], body)
+        caller = caller_hash(team.name if team else "", scope[TARGET], body)
         return Request(
             key=f"{self._parts.name}/{next(self._numbers)}",
             demand=demand,
@@ -204,22 +204,22 @@
 
     async def _await_ready(self, demand: Demand, arrived: float) -> None:
         """Wait for what is missing since the start, as long as that can still help the client."""
-        ends = arrived + ready_wait(demand.time_left or 0.0)
-        if self._is_ready() or self.waiting >= MOST_WAITING:
+        ends = arrived + ready_wait_seconds(demand.time_left or 0.0)
+        if self._is_ready() or self.waiting_until_ready >= MAX_WAITING_REQUESTS:
             return
-        self.waiting += 1
+        self.waiting_until_ready += 1
         try:
-            while self.open and not self._is_ready() and self._parts.clock() < ends:
+            while self.accepts_requests and not self._is_ready() and self._parts.clock() < ends:
                 await anyio.sleep(_READY_POLL_SECONDS)
         finally:
-            self.waiting -= 1
+            self.waiting_until_ready -= 1
 
     def _retry_seconds(self) -> float:
-        return ready_retry(self._parts.rng.random())
+        return ready_retry_after_seconds(self._parts.rng.random())
 
     def _route(self, table: RoutingTable, demand: Demand, scope: Scope) -> Route:
         path = scope[TARGET].partition(b"?")[0].decode("latin-1")
-        route = table.find(demand.host, path)
+        route = table.find_route(demand.host, path)
         if route is None:
             raise self._unknown(404)
         return route
@@ -254,7 +254,7 @@
         service=service,
         route=route.name,
         target=route.target,
-        gap=route.target_gap,
+        target_gap=route.target_gap,
         time_left=limit,
         stream=route.kind is RouteKind.STREAM,
         prompt_tokens=demand.prompt_tokens,
--- a/src/lotushill/requests/continuation.py
+++ b/src/lotushill/requests/continuation.py
@@ -21,7 +21,7 @@
     from lotushill.requests.attempt_end import AttemptEnd
     from lotushill.requests.event_stream import EventSplitter
     from lotushill.requests.handover import Handover
-    from lotushill.requests.handover import HeldMemory
+    from lotushill.requests.handover import RunMemory
     from lotushill.requests.parts import GatewayParts
     from lotushill.routing.upstream import Upstream
     from lotushill.scheduling.placement import Placement
@@ -52,7 +52,7 @@
 
     # From a copy that grew with the run
 
-    async def from_backup(self, backup: Upstream, cut: AttemptEnd) -> AttemptEnd:
+    async def continue_from_backup(self, backup: Upstream, cut: AttemptEnd) -> AttemptEnd:
         """Go on at the upstream to which the run's memory was copied as it grew."""
         if not self._may_go_on_at(backup):
             return cut
@@ -72,20 +72,20 @@
         known = any(item.id == backup.id for item in self._parts.upstreams.of(service))
         failures = self._parts.fleet.load(backup.id).failures
         sound = failures.rate(self._clock()) < _SOUND_RATE
-        wanted = self._parts.gate.wants(backup.id)
-        return known and sound and wanted and self._splitter.events > 0
+        wanted = self._parts.gate.accepts_requests(backup.id)
+        return known and sound and wanted and self._splitter.event_count > 0
 
     # From a handover
 
-    async def from_handover(self, handover: Handover, cut: AttemptEnd) -> AttemptEnd:
+    async def continue_from_handover(self, handover: Handover, cut: AttemptEnd) -> AttemptEnd:
         """Go on where a move has brought the run's memory, or where it was kept.
 
         Return the end of the run there, which may have been moved once more, or that it was cut.
         """
         used = False
         try:
-            paid = handover.paid
-            for held in await handover.settle():
+            paid = handover.retry_spent
+            for held in await handover.wait_for_memory():
                 if not paid and not self._spend():
                     break
                 paid = False
@@ -97,11 +97,11 @@
             if used:
                 handover.note_used()
             else:
-                self._parts.mover.drop(handover)
+                self._parts.mover.release_handover(handover)
         return self._after(None, cut)
 
-    async def _go_on_from(self, held: HeldMemory) -> AttemptEnd:
-        permit = Permit(held.upstream.id, returns=held.upstream.id == held.source.id)
+    async def _go_on_from(self, held: RunMemory) -> AttemptEnd:
+        permit = Permit(held.upstream.id, returns_to_source=held.upstream.id == held.source.id)
         choice = self._choice(held.upstream)
         moved = MovedMemory(held.source.address, held.handle)
         return await self._go_on(replace(choice, moved=moved), permit)
@@ -119,11 +119,13 @@
 
     async def _go_on(self, choice: Choice, permit: Permit) -> AttemptEnd:
         self._splitter.drop_partial()
-        return await self._attempt(self._parts.placer.continued(self._request, choice), permit)
+        return await self._attempt(
+            self._parts.placer.continuation_placement(self._request, choice), permit
+        )
 
     def _choice(self, upstream: Upstream) -> Choice:
         seconds = self._parts.fleet.pace(self._request.service.name).stream_seconds
-        return Choice(upstream, 0.0, _CONTINUE_SECONDS, 0, 0, seconds, continues=True)
+        return Choice(upstream, 0.0, _CONTINUE_SECONDS, 0, 0, seconds, resumes_from_copy=True)
 
     def _spend(self) -> bool:
         return self._parts.budgets.spend(self._request.service.name, self._clock())
--- a/src/lotushill/requests/engine_memory.py
+++ b/src/lotushill/requests/engine_memory_client.py
@@ -18,14 +18,14 @@
 _FREE_SECONDS = 0.5
 
 
-class EngineMemory:
+class EngineMemoryClient:
     """Client of the memory calls of all engines, by their addresses (IP:PORT)."""
 
     def __init__(self) -> None:
         self._clients: dict[str, JsonClient] = {}
 
     async def copy(
-        self, source: str, run: str, target: str, last: bool, patience: float
+        self, source: str, run: str, target: str, last: bool, timeout_seconds: float
     ) -> Copied | NotCopied:
         """Copy what a run at `source` holds to `target`, after stopping it where it is `last`.
 
@@ -33,7 +33,7 @@
         """
         content = memory_calls.move_content(run, target, last)
         client = self._client(source)
-        answer = await client.call("POST", memory_calls.MOVE_PATH, content, patience)
+        answer = await client.call("POST", memory_calls.MOVE_PATH, content, timeout_seconds)
         return memory_calls.read_move(answer)
 
     async def free(self, source: str, handle: str) -> None:
--- a/src/lotushill/requests/event_stream.py
+++ b/src/lotushill/requests/event_stream.py
@@ -12,7 +12,7 @@
         self._rest = b""
         self.last_id = ""
         """Id of the last whole event, as text."""
-        self.events = 0
+        self.event_count = 0
 
     def feed(self, data: bytes) -> bytes:
         """Return the bytes of the events that are whole by now."""
@@ -38,4 +38,4 @@
         for line in whole.splitlines():
             if line.startswith(_ID):
                 self.last_id = line[len(_ID) :].strip().decode("latin-1")
-                self.events += 1
+                self.event_count += 1
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -6,10 +6,10 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from lotushill.availability.stated_limits import finite
+from lotushill.availability.stated_limits import finite_or_none
 from lotushill.requests.attempt import Attempt
 from lotushill.requests.attempt_end import EndKind
-from lotushill.requests.attempt_news import AttemptNews
+from lotushill.requests.attempt_reporter import AttemptReporter
 from lotushill.requests.continuation import Continuation
 from lotushill.requests.event_stream import EventSplitter
 from lotushill.requests.upstream_search import UpstreamSearch
@@ -96,9 +96,9 @@
         """Answer a request whose time is up."""
         self.outcome = "timed-out"
         if self.runs:
-            await self._answer.give(_TIMED_OUT)
+            await self._answer.send_own_answer(_TIMED_OUT)
         else:
-            await self._answer.give(_UNAVAILABLE, _RETRY_SECONDS)
+            await self._answer.send_own_answer(_UNAVAILABLE, _RETRY_SECONDS)
 
     async def _keep_back(self) -> None:
         """Answer a request under which upstreams end, without sending it to one more."""
@@ -112,9 +112,9 @@
 
     def _check_upstream(self, upstream: Upstream, end: AttemptEnd) -> asyncio.Task[None] | None:
         """Find out whether the upstream ended under the request, where its connection did."""
-        if not end.lost:
+        if not end.connection_lost:
             return None
-        begun = end.begun or self._splitter.events > 0
+        begun = end.answer_started or self._splitter.event_count > 0
         return self._parts.quarantine.note_cut(self._request, upstream, begun)
 
     async def _may_go_on(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
@@ -134,19 +134,21 @@
         """Go on with a run that was moved, or cut, from a copy of its memory."""
         while end.handover is not None:
             if end.kind is EndKind.BROKEN and not await self._may_go_on(end, check):
-                self._parts.mover.drop(end.handover)
+                self._parts.mover.release_handover(end.handover)
                 return replace(end, handover=None)
-            end = await self._continuation.from_handover(end.handover, end)
+            end = await self._continuation.continue_from_handover(end.handover, end)
         if choice.backup is not None and await self._may_go_on(end, check):
-            end = await self._continuation.from_backup(choice.backup, end)
+            end = await self._continuation.continue_from_backup(choice.backup, end)
         return end
 
     def _put_off(self, placement: Placement) -> None:
         """Look for another upstream, as there is no permit for this one now."""
         upstream = placement.choice.upstream
-        self._search.put_off(upstream.id)
+        self._search.defer(upstream.id)
         rate = self._parts.limits.stated.rate(upstream.id)
-        self._note("placement.put_off", upstream=upstream.id, why="no permit", limit=finite(rate))
+        self._note(
+            "placement.put_off", upstream=upstream.id, why="no permit", limit=finite_or_none(rate)
+        )
         if placement.scheduler:
             self._parts.shared_load.give_up(placement.placed.request)
 
@@ -155,10 +157,10 @@
         self.upstream = choice.upstream.id
         self._note_choice(placement)
         self._parts.shared_load.start(
-            placement.placed, self._request.service, told=bool(placement.scheduler)
+            placement.placed, self._request.service, announced=bool(placement.scheduler)
         )
         self.runs += 1
-        news = AttemptNews(self._parts.shared_load, number, self._note_ran)
+        news = AttemptReporter(self._parts.shared_load, number, self._note_ran)
         attempt = Attempt(
             self._parts, self._request, choice, self._answer, self._splitter, news, permit
         )
@@ -173,8 +175,8 @@
             raise
         finally:
             ran = self._clock() - attempt.sent_at if attempt.sent_at else 0.0
-            news.ended(kind, ran)
-            self.first_ms = round((attempt.first_at - attempt.sent_at) * 1000, 1)
+            news.report_end(kind, ran)
+            self.first_ms = round((attempt.first_event_at - attempt.sent_at) * 1000, 1)
         self._parts.metrics.note_attempt(
             self._request.service.name, self._request.need.tier, end.kind.value
         )
@@ -187,10 +189,10 @@
                 kind=end.kind.value,
                 why=end.detail,
                 identity=self._identity(end),
-                rest=end.said.rest,
-                leaving=end.said.leaving,
-                unreadable=end.said.unreadable,
-                limit=finite(end.said.limit),
+                rest=end.statement.cooldown,
+                leaving=end.statement.leaving,
+                unreadable=end.statement.unreadable_cooldown,
+                limit=finite_or_none(end.statement.limit),
             )
         return end
 
@@ -201,7 +203,7 @@
     def _note_ran(self) -> None:
         if not self._counted:
             self._counted = True
-            self._parts.work.note_began(self._request.team)
+            self._parts.work.record_start(self._request.team)
 
     def _note_choice(self, placement: Placement) -> None:
         choice = placement.choice
@@ -210,21 +212,21 @@
             upstream=choice.upstream.id,
             service=self._request.service.name,
             cost=round(choice.cost, 4),
-            first_ms=round(choice.first * 1000, 1),
-            wait_ms=round(choice.wait * 1000, 1),
+            first_ms=round(choice.first_event_seconds * 1000, 1),
+            wait_ms=round(choice.wait_seconds * 1000, 1),
             waited_ms=round((self._clock() - self._request.arrived) * 1000, 1),
-            harm=round(choice.harm, 3),
+            harm=round(choice.interference_cost, 3),
             prompt=self._request.need.prompt_tokens,
-            reading=choice.reading,
-            again=choice.again,
+            reading=choice.prefill_tokens,
+            again=choice.reread_tokens,
             fetch=choice.fetch.source.id if choice.fetch else "",
             fetched=choice.fetch.tokens if choice.fetch else 0,
             backup=choice.backup.id if choice.backup else "",
-            continues=choice.continues,
+            continues=choice.resumes_from_copy,
             returned=choice.returned,
             tier=self._request.need.tier,
-            team_rank=self._request.route.urgency.team,
-            ahead=choice.ahead,
+            team_rank=self._request.route.urgency.team_rank,
+            ahead=choice.total_prefill_tokens,
             running=choice.running,
             memory=placement.memory,
             scheduler=placement.scheduler,
@@ -256,7 +258,7 @@
         route = self._request.route
         if not route.repeatable or self.runs >= route.max_attempts:
             return False
-        if self._answer.started and not self._splitter.events:
+        if self._answer.started and not self._splitter.event_count:
             return False
         if end.kind is EndKind.BROKEN and not await self._may_go_on(end, check):
             return False
@@ -272,9 +274,9 @@
             await self._answer.start(end.head.status, end.head.headers_for(end.body))
             await self._answer.finish(end.body)
         elif self.runs:
-            await self._answer.give(_BAD_GATEWAY)
+            await self._answer.send_own_answer(_BAD_GATEWAY)
         else:
-            await self._answer.give(_UNAVAILABLE, self._retry_after)
+            await self._answer.send_own_answer(_UNAVAILABLE, self._retry_after)
 
     def _note(self, event: str, **fields: object) -> None:
         self._parts.log.note(event, request=self._request.demand.request_id, **fields)
--- a/src/lotushill/requests/handover.py
+++ b/src/lotushill/requests/handover.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lotushill.requests.engine_memory import EngineMemory
+    from lotushill.requests.engine_memory_client import EngineMemoryClient
     from lotushill.routing.upstream import Upstream
 
 NO_ANSWER = "no answer"
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class HeldMemory:
+class RunMemory:
     """What a run goes on from."""
 
     upstream: Upstream
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        memory: EngineMemory,
+        memory: EngineMemoryClient,
         run: str,
         source: Upstream,
         target: Upstream,
@@ -93,13 +93,13 @@
         self._at_target = False
         self._left = False
         """Whether nobody is left for whom the run could go on."""
-        self.parted = False
+        self.stream_ended = False
         """Whether the stream from the source has ended."""
         self._settled = asyncio.Event()
-        self.paid = False
+        self.retry_spent = False
         """Whether a repeat was spent for the run to go on."""
         self.phase = Phase.COPYING
-        self.why = ""
+        self.reason = ""
         """Why it was given up, or what went wrong."""
 
     @property
@@ -108,7 +108,7 @@
         return self._target
 
     @property
-    def stops(self) -> bool:
+    def run_stopped(self) -> bool:
         """Return whether the run was stopped by this, as far as is known."""
         return self.phase in (Phase.STOPPING, Phase.STOPPED)
 
@@ -118,14 +118,14 @@
             if await self._copy(last=False):
                 await self._stop()
         except NoAnswerError as error:
-            self.why = f"{NO_ANSWER}: {error}"
+            self.reason = f"{NO_ANSWER}: {error}"
             if self.phase is Phase.COPYING:
                 self.phase = Phase.GIVEN_UP
         finally:
             self._settled.set()
         if self._left or self.phase is Phase.GIVEN_UP:
             await self.free()
-        elif self.stops:
+        elif self.run_stopped:
             wait = _CLOSING_SECONDS if self.phase is Phase.STOPPED else _UNSURE_SECONDS
             loop = asyncio.get_running_loop()
             loop.call_later(wait, self._close_open_stream, self._events())
@@ -133,16 +133,16 @@
     def _close_open_stream(self, events: int) -> None:
         """End a stream that was stopped, as far as is known, and whose end has not come."""
         silent = self.phase is Phase.STOPPED or self._events() == events
-        if silent and not self._left and not self.parted:
+        if silent and not self._left and not self.stream_ended:
             self._close_stream()
 
     async def _stop(self) -> None:
-        if self._left or self.parted:
+        if self._left or self.stream_ended:
             return
         if not self._may_stop():
             self._give_up("no repeat left")
             return
-        self.paid = True
+        self.retry_spent = True
         self.phase = Phase.STOPPING
         if await self._copy(last=True):
             self.phase = Phase.STOPPED
@@ -177,35 +177,35 @@
             # It has stopped, and goes on at its source from what is kept there.
             self._handle = answer.handle or self._handle
             self._at_target = False
-            self.why = answer.reason.value
+            self.reason = answer.reason.value
             return True
         self._give_up(answer.reason.value)
         return False
 
     def _give_up(self, why: str) -> None:
         self.phase = Phase.GIVEN_UP
-        self.why = why
+        self.reason = why
 
     # For whoever holds the stream
 
-    def part(self) -> None:
+    def note_stream_ended(self) -> None:
         """Note that the stream from the source has ended before its answer was whole."""
-        self.parted = True
+        self.stream_ended = True
 
-    async def settle(self) -> tuple[HeldMemory, ...]:
+    async def wait_for_memory(self) -> tuple[RunMemory, ...]:
         """Return from what the run can go on, the best first, once its stream has ended."""
         try:
-            async with asyncio.timeout(_STOP_SECONDS if self.stops else _COPY_SECONDS):
+            async with asyncio.timeout(_STOP_SECONDS if self.run_stopped else _COPY_SECONDS):
                 await self._settled.wait()
         except TimeoutError:
-            self.why = self.why or "not settled"
+            self.reason = self.reason or "not settled"
         if not self._handle or self.phase is Phase.GIVEN_UP:
             return ()
-        at_source = HeldMemory(self._source, self._source, self._handle)
-        at_target = HeldMemory(self._target, self._source, self._handle)
+        at_source = RunMemory(self._source, self._source, self._handle)
+        at_target = RunMemory(self._target, self._source, self._handle)
         if not self._at_target:
             return (at_source,)
-        return (at_target, at_source) if self.stops else (at_target,)
+        return (at_target, at_source) if self.run_stopped else (at_target,)
 
     def note_used(self) -> None:
         """Note that the run has gone on, so that nothing is held for it any longer."""
@@ -218,7 +218,7 @@
         if handle:
             await self._memory.free(self._source.address, handle)
 
-    def leave(self) -> bool:
+    def abandon(self) -> bool:
         """Note that the run has ended or its client has left; return whether to free at once."""
         self._left = True
         return self._settled.is_set() and bool(self._handle)
--- a/src/lotushill/requests/idle_connections.py
+++ b/src/lotushill/requests/idle_connections.py
@@ -13,12 +13,14 @@
 _WHOLE = 2**32
 
 
-def idle_connections(most: int, gateways: int, upstream_id: str, gateway: str) -> int:
+def idle_connection_limit(
+    max_connections: int, gateways: int, upstream_id: str, gateway: str
+) -> int:
     """Return this gateway's part of the connections that may rest at an upstream.
 
     `most` is how many the upstream takes in all. Where the part is less than one, as many gateways
     as there are connections keep one, drawn by a hash that each works out alone.
     """
-    part = _IDLE_SHARE * most / max(1, gateways)
+    part = _IDLE_SHARE * max_connections / max(1, gateways)
     drawn = xxhash.xxh32_intdigest(f"{upstream_id}/{gateway}") / _WHOLE
     return int(part) if part >= 1.0 else int(drawn < part)
--- a/src/lotushill/requests/ward.py
+++ b/src/lotushill/requests/isolation_policy.py
@@ -18,7 +18,7 @@
 _NOBODY: frozenset[str] = frozenset()
 
 
-class Ward:
+class IsolationPolicy:
     """Keeps groups that are isolated at one upstream of their service, and all others from it.
 
     Whatever ends there takes nothing with it that is not suspected itself, and since nothing else
@@ -33,32 +33,32 @@
         self._upstreams = upstreams
         self._clock = clock
 
-    def barred(self, request: Request) -> frozenset[str]:
+    def excluded_upstreams(self, request: Request) -> frozenset[str]:
         """Return the upstreams of its service that a request is to be kept from."""
-        if self._isolation.empty:
+        if self._isolation.is_empty:
             return _NOBODY
         now = self._clock()
         service = request.service.name
         ward = self._ward_of(service)
-        if ward is None or service not in self._isolation.services(now):
+        if ward is None or service not in self._isolation.isolated_services(now):
             return _NOBODY
-        if self._isolation.isolates(request.groups, now):
+        if self._isolation.is_isolated(request.groups, now):
             return frozenset(item.id for item in self._upstreams.of(service)) - {ward}
         return frozenset((ward,))
 
-    def wait(self, request: Request) -> float:
+    def retry_delay(self, request: Request) -> float:
         """Return for how many seconds a request is not to be tried at all."""
-        if self._isolation.empty:
+        if self._isolation.is_empty:
             return 0.0
-        return self._isolation.wait(request.groups, self._clock())
+        return self._isolation.retry_delay(request.groups, self._clock())
 
     def admits(self, request: Request, choice: Choice) -> bool:
         """Return whether a request may run beside what runs at its upstream."""
-        if self._isolation.empty or not choice.running:
+        if self._isolation.is_empty or not choice.running:
             return True
         if self._ward_of(request.service.name) is None:
             return True
-        return not self._isolation.isolates(request.groups, self._clock())
+        return not self._isolation.is_isolated(request.groups, self._clock())
 
     def _ward_of(self, service: str) -> str | None:
         """Return the upstream for those kept apart, None where there is no other one."""
--- a/src/lotushill/requests/moving_run.py
+++ b/src/lotushill/requests/movable_run.py
@@ -22,7 +22,7 @@
 """Below it the pauses of the run itself say nothing of its pace."""
 
 
-class MovingRun:
+class MovableRun:
     """One run at one upstream, from its first event to the end of its stream."""
 
     def __init__(
@@ -48,7 +48,7 @@
         self.ended = False
         """Whether its stream has ended, in whatever way."""
         self._splitter = splitter
-        self._first_events = splitter.events
+        self._first_events = splitter.event_count
         self._first_at = now
         self._last_at = now
         self._waits_since = math.inf
@@ -59,11 +59,11 @@
         self._last_at = now
         self._waits_since = math.inf
 
-    def note_passed_on(self, now: float) -> None:
+    def note_delivered(self, now: float) -> None:
         """Note that its client has taken all events, so that a pause is its upstream's."""
         self._waits_since = now
 
-    def stands_still(self, now: float, patience: float) -> bool:
+    def is_stalled(self, now: float, patience: float) -> bool:
         """Return whether nothing has come for so long, and moving it is the only way on."""
         if self._copied or self.request.route.resumable:
             return False
@@ -71,9 +71,9 @@
 
     def may_move(self, now: float) -> bool:
         """Return whether a handover can be tried now: one at a time, each a while apart."""
-        if now < self._not_before or self._splitter.events == 0:
+        if now < self._not_before or self._splitter.event_count == 0:
             return False
-        return self.handover is None or not self.handover.stops
+        return self.handover is None or not self.handover.run_stopped
 
     def begin_handover(self) -> None:
         """Note that a handover is tried."""
@@ -84,14 +84,14 @@
         self._not_before = now + self._pause
         self._pause = min(_LONGEST_AGAIN_SECONDS, 2 * self._pause)
 
-    def events(self) -> int:
+    def event_count(self) -> int:
         """Return how many events of its answer have come."""
-        return self._splitter.events
+        return self._splitter.event_count
 
     @property
     def tokens(self) -> int:
         """Return the tokens in its memory."""
-        return self.request.need.prompt_tokens + self._splitter.events * self._stride
+        return self.request.need.prompt_tokens + self._splitter.event_count * self._stride
 
     @property
     def _stride(self) -> int:
@@ -103,18 +103,18 @@
     ) -> RunState:
         """Return what decides whether it is moved."""
         request = self.request
-        events = self._splitter.events - self._first_events
+        events = self._splitter.event_count - self._first_events
         pause = usual_pause
         if events >= _LEAST_EVENTS or pause is None:
             pause = (self._last_at - self._first_at) / max(1, events)
         return RunState(
             tokens=self.tokens,
-            made=self._splitter.events,
+            made=self._splitter.event_count,
             expected=request.need.output_tokens / self._stride,
             pause=pause,
             usual_pause=pause if usual_pause is None else usual_pause,
             time_left=request.ends - now,
-            gap=request.need.gap,
+            gap=request.need.target_gap,
             repeatable=request.route.repeatable,
             copied=self._copied,
             leaves_in=leaves_in,
--- a/src/lotushill/requests/parts.py
+++ b/src/lotushill/requests/parts.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable
 
     from lotushill.contracts.settings_view import SettingsView
-    from lotushill.duties.work_counts import WorkCounts
+    from lotushill.duties.request_counter import RequestCounter
     from lotushill.event_log import EventLog
     from lotushill.limits.fleet_limits import FleetLimits
     from lotushill.limits.team_limits import TeamLimits
@@ -18,11 +18,11 @@
     from lotushill.placement.fleet import Fleet
     from lotushill.process.metrics import Metrics
     from lotushill.process.suspension import SuspensionWatch
+    from lotushill.requests.isolation_policy import IsolationPolicy
     from lotushill.requests.mover import Mover
     from lotushill.requests.retry_budgets import RetryBudgets
     from lotushill.requests.upstream_gate import UpstreamGate
     from lotushill.requests.upstream_pool import UpstreamPool
-    from lotushill.requests.ward import Ward
     from lotushill.scheduling.placer import Placer
     from lotushill.scheduling.shared_load import SharedLoad
     from lotushill.views.configuration_view import ConfigurationView
@@ -44,11 +44,11 @@
     gate: UpstreamGate
     limits: FleetLimits
     team_limits: TeamLimits
-    ward: Ward
+    isolation_policy: IsolationPolicy
     mover: Mover
     budgets: RetryBudgets
     quarantine: QuarantineKeeper
-    work: WorkCounts
+    work: RequestCounter
     log: EventLog
     metrics: Metrics
     rng: random.Random
--- a/src/lotushill/requests/retry_budgets.py
+++ b/src/lotushill/requests/retry_budgets.py
@@ -31,7 +31,7 @@
         """Use other settings from now on; what was counted so far stays."""
         self._settings = settings
         for budget in self._budgets.values():
-            budget.change(settings.ratio, settings.slack, settings.window_seconds)
+            budget.set_bounds(settings.ratio, settings.slack, settings.window_seconds)
 
     def note_request(self, service: str, now: float) -> None:
         """Note a client's request for a service."""
@@ -39,7 +39,7 @@
 
     def spend(self, service: str, now: float) -> bool:
         """Take one repeat if there is one left."""
-        return self._of(service).spend(self._gateways(), now)
+        return self._of(service).try_spend(self._gateways(), now)
 
     def _of(self, service: str) -> RetryBudget:
         found = self._budgets.get(service)
--- a/src/lotushill/requests/upstream_connection.py
+++ b/src/lotushill/requests/upstream_connection.py
@@ -76,16 +76,16 @@
     # Requests
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Return whether the connection can carry a request."""
         transport = self._transport
         return transport is not None and not transport.is_closing() and self._error is None
 
     @property
-    def reusable(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the answer was whole and nothing stands against another request."""
         written = self._transport is not None and not self._transport.get_write_buffer_size()
-        return self.open and self._complete and self._keep_alive and written
+        return self.is_open and self._complete and self._keep_alive and written
 
     def send(self, request_id: str, method: bytes, data: bytes) -> None:
         """Write one request, head and body."""
@@ -105,13 +105,13 @@
             await self._wait(None)
         return self._head
 
-    async def read(self, patience: float | None = None) -> bytes:
+    async def read(self, timeout_seconds: float | None = None) -> bytes:
         """Return what came of the body, b"" at its end; raise when it is cut off or silent."""
         while not self._chunks:
             if self._complete:
                 return b""
             self._raise_if_broken()
-            await self._wait(patience)
+            await self._wait(timeout_seconds)
         data = b"".join(self._chunks) if len(self._chunks) > 1 else self._chunks[0]
         self._chunks.clear()
         self._buffered = 0
@@ -120,7 +120,7 @@
             self._transport.resume_reading()
         return data
 
-    def rest(self, now: float) -> None:
+    def mark_idle(self, now: float) -> None:
         """Note that the connection is idle from now on."""
         self._idle = True
         self.idle_since = now
--- a/src/lotushill/requests/upstream_gate.py
+++ b/src/lotushill/requests/upstream_gate.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from lotushill.availability.stated_limits import Word
+from lotushill.availability.stated_limits import LimitReport
 from lotushill.limits.permit_request import permit_request
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lotushill.availability.rests import Rests
+    from lotushill.availability.cooldowns import Cooldowns
     from lotushill.availability.statement import Statement
     from lotushill.event_log import EventLog
     from lotushill.limits.fleet_limits import FleetLimits
@@ -25,7 +25,7 @@
     """Lets one request be written to one upstream: without it none is."""
 
     upstream_id: str
-    returns: bool = False
+    returns_to_source: bool = False
     """Whether a run goes back to the upstream that stopped it, which may be leaving."""
 
 
@@ -40,7 +40,7 @@
     def __init__(
         self,
         upstreams: UpstreamView,
-        rests: Rests,
+        rests: Cooldowns,
         limits: FleetLimits,
         on_leaving: Callable[[str], None],
         log: EventLog,
@@ -53,25 +53,25 @@
         self._on_leaving = on_leaving
         self._log = log
         self._clock = clock
-        self.barred = 0
+        self.blocked_sends = 0
         """Sends that were kept back so far, after the upstream had been chosen."""
-        self.unreadable = 0
+        self.unreadable_cooldowns = 0
         """Wishes for rest that could not be read so far."""
-        self.unpermitted = 0
+        self.requests_without_permit = 0
         """Requests for which there was no permit at the upstream that was chosen, so far."""
         self.unreadable_limits = 0
         """Limits that could not be read so far."""
 
-    def hear(self, upstream_id: str, said: Statement, asked: float) -> None:
+    def record_statement(self, upstream_id: str, said: Statement, asked: float) -> None:
         """Take in what the answer to a request that was sent at `asked` says of its upstream."""
         now = self._clock()
-        if said.unreadable:
-            self.unreadable += 1
-        if said.rest:
-            self._rests.note_asked(upstream_id, said.rest, now)
-            self._log.note("upstream.rests", upstream=upstream_id, seconds=said.rest)
+        if said.unreadable_cooldown:
+            self.unreadable_cooldowns += 1
+        if said.cooldown:
+            self._rests.note_requested(upstream_id, said.cooldown, now)
+            self._log.note("upstream.rests", upstream=upstream_id, seconds=said.cooldown)
         else:
-            self._rests.note_taken(upstream_id, now)
+            self._rests.note_accepted(upstream_id, now)
         if said.leaving:
             self._on_leaving(upstream_id)
         if said.unreadable_limit:
@@ -80,14 +80,14 @@
                 "upstream.limit_unreadable", upstream=upstream_id, value=said.unreadable_limit
             )
         if said.limit is not None:
-            self._limits.keeper.hear(upstream_id, Word(said.limit, asked, now))
+            self._limits.gossip.note_answer(upstream_id, LimitReport(said.limit, asked, now))
 
-    def wants(self, upstream_id: str) -> bool:
+    def accepts_requests(self, upstream_id: str) -> bool:
         """Return whether an upstream takes new requests of this gateway now, as far as is known."""
         known = self._upstreams.find(upstream_id)
         if known is None or known.draining:
             return False
-        return not self._rests.bars(upstream_id, self._clock())
+        return not self._rests.is_barred(upstream_id, self._clock())
 
     async def admit(self, upstream: Upstream, need: Need) -> Permit | None:
         """Return the permit for one request, None if it has to go elsewhere.
@@ -99,13 +99,13 @@
             return Permit(upstream.id)
         if await self._limits.admit(permit_request(upstream, need)):
             return Permit(upstream.id)
-        self.unpermitted += 1
+        self.requests_without_permit += 1
         return None
 
-    def pass_on(self, permit: Permit) -> bool:
+    def authorize_send(self, permit: Permit) -> bool:
         """Return whether a request may be written now, and count it if so."""
-        if not permit.returns and not self.wants(permit.upstream_id):
-            self.barred += 1
+        if not permit.returns_to_source and not self.accepts_requests(permit.upstream_id):
+            self.blocked_sends += 1
             return False
         self._rests.note_sent(permit.upstream_id, self._clock())
         return True
--- a/src/lotushill/requests/upstream_pool.py
+++ b/src/lotushill/requests/upstream_pool.py
@@ -38,39 +38,42 @@
         self.opened = 0
         """Connections opened so far."""
 
-    async def take(self, upstream: Upstream) -> UpstreamConnection:
+    async def acquire(self, upstream: Upstream) -> UpstreamConnection:
         """Return a connection that carries nothing; raise NotSentError if none can be had."""
         kept = self._idle.get(upstream.id, [])
         while kept:
             connection = kept.pop()
-            if connection.open and self._clock() - connection.idle_since < connection.idle_seconds:
+            if (
+                connection.is_open
+                and self._clock() - connection.idle_since < connection.idle_seconds
+            ):
                 return connection
             connection.close()
         return await self._open(upstream)
 
-    def give_back(self, upstream: Upstream, connection: UpstreamConnection) -> None:
+    def release(self, upstream: Upstream, connection: UpstreamConnection) -> None:
         """Keep a connection whose answer was whole, or end it."""
         kept = self._idle.setdefault(upstream.id, [])
-        if not connection.reusable or len(kept) >= min(_MOST_IDLE, self._most_idle(upstream)):
+        if not connection.is_reusable or len(kept) >= min(_MOST_IDLE, self._most_idle(upstream)):
             connection.close()
             return
-        connection.rest(self._clock())
+        connection.mark_idle(self._clock())
         kept.append(connection)
 
-    def drop_idle(self) -> None:
+    def close_idle(self) -> None:
         """Close all connections that rest."""
         for kept in self._idle.values():
             for connection in kept:
                 connection.close()
         self._idle.clear()
 
-    def sweep(self, known: set[str]) -> None:
+    def close_expired(self, known: set[str]) -> None:
         """Close connections that rested too long or lead to upstreams that are gone."""
         now = self._clock()
         for upstream_id, kept in list(self._idle.items()):
             for connection in list(kept):
                 fresh = now - connection.idle_since < connection.idle_seconds
-                if upstream_id in known and connection.open and fresh:
+                if upstream_id in known and connection.is_open and fresh:
                     continue
                 connection.close()
                 kept.remove(connection)
--- a/src/lotushill/requests/upstream_search.py
+++ b/src/lotushill/requests/upstream_search.py
@@ -7,9 +7,9 @@
 
 import anyio
 
-from lotushill.availability.patience import limited_retry
-from lotushill.availability.patience import rest_pause
-from lotushill.availability.patience import return_pause
+from lotushill.availability.wait_policy import cooldown_wait
+from lotushill.availability.wait_policy import limited_retry_after_seconds
+from lotushill.availability.wait_policy import returned_request_wait
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.scheduling.placement import Placement
@@ -48,7 +48,7 @@
         """Look at an upstream no more: it had the request, or did not take it."""
         self._excluded.add(upstream_id)
 
-    def put_off(self, upstream_id: str) -> None:
+    def defer(self, upstream_id: str) -> None:
         """Look at an upstream no more for as long as there is no permit for it."""
         self._put_off.add(upstream_id)
 
@@ -61,21 +61,23 @@
             pause = self._pause(found)
             if pause is None:
                 if found.refusal in (Refusal.LIMITED, Refusal.TEAM_LIMIT):
-                    found = replace(found, retry_after=limited_retry(found.retry_after))
+                    found = replace(
+                        found, retry_after=limited_retry_after_seconds(found.retry_after)
+                    )
                 self._note_refusal(found)
                 return found
             await anyio.sleep(pause)
 
     async def _look(self) -> Placement | NoChoice:
         """Look for an upstream once."""
-        request, ward = self._request, self._parts.ward
-        wait = ward.wait(request)
+        request, ward = self._request, self._parts.isolation_policy
+        wait = ward.retry_delay(request)
         if wait > 0:
             return NoChoice(Refusal.ISOLATED, wait)
         wait = await self._limit_wait()
         if wait > 0:
             return NoChoice(Refusal.TEAM_LIMIT, wait)
-        barred = ward.barred(request) | self._excluded | self._without_permit()
+        barred = ward.excluded_upstreams(request) | self._excluded | self._without_permit()
         found = await self._parts.placer.place(request, barred, self._asked)
         self._asked = True
         if isinstance(found, Placement) and not ward.admits(request, found.choice):
@@ -88,7 +90,7 @@
         limit = self._request.route.limit
         if limit is None or self._within_limit:
             return 0.0
-        wait = await self._parts.team_limits.wait(limit, self._request.need.tier)
+        wait = await self._parts.team_limits.request_permit(limit, self._request.need.tier)
         self._within_limit = wait <= 0.0
         return wait
 
@@ -96,18 +98,18 @@
         """Return what was put off and still is, whether or not those who choose know of it."""
         route, denials = self._request.need.route, self._parts.limits.denials
         now = self._clock()
-        return {name for name in self._put_off if denials.bars(name, route, now)}
+        return {name for name in self._put_off if denials.is_barred(name, route, now)}
 
     def _pause(self, found: NoChoice) -> float | None:
         """Return after how many seconds to look again, None to refuse now."""
         request, now = self._request, self._clock()
         if found.refusal in (Refusal.RESTING, Refusal.LIMITED, Refusal.TEAM_LIMIT):
-            pause = rest_pause(found.retry_after, now - request.arrived, request.need)
+            pause = cooldown_wait(found.retry_after, now - request.arrived, request.need)
             return pause if pause is not None and now + pause < request.ends else None
         if found.refusal is Refusal.EARLY:
             return None
         if found.refusal is Refusal.RETURNED:
-            pause = return_pause(now - request.arrived, request.need)
+            pause = returned_request_wait(now - request.arrived, request.need)
             return pause if pause is not None and now + pause < request.ends else None
         pause = _POLL_SECONDS * self._parts.rng.uniform(0.7, 1.3)
         if found.final:
@@ -130,8 +132,8 @@
             service=request.service.name,
             tier=request.need.tier,
             prompt=request.need.prompt_tokens,
-            wait_ms=round(found.wait * 1000, 1),
-            first_ms=round(found.first * 1000, 1),
+            wait_ms=round(found.wait_seconds * 1000, 1),
+            first_ms=round(found.first_event_seconds * 1000, 1),
             usual_prompt=round(found.usual_prompt),
             longest_prompt=round(found.longest_prompt),
             team=request.team,
--- a/src/lotushill/requests/wire.py
+++ b/src/lotushill/requests/wire.py
@@ -12,7 +12,7 @@
     from lotushill.scheduling.request import Request
 
 
-def on_the_wire(request: Request, choice: Choice, last_event_id: str, now: float) -> bytes:
+def encode_request(request: Request, choice: Choice, last_event_id: str, now: float) -> bytes:
     """Return head and body of one attempt; the stream goes on after `last_event_id`, if any."""
     headers = request.headers
     if last_event_id:
@@ -34,10 +34,10 @@
 
 def _copies(request: Request, choice: Choice) -> MemoryCopies:
     if choice.moved is not None:
-        return MemoryCopies(continues_at=choice.moved.source, run=choice.moved.handle)
+        return MemoryCopies(resume_from=choice.moved.source, run=choice.moved.handle)
     return MemoryCopies(
         fetch_from=choice.fetch.source.address if choice.fetch else "",
         backup_to=choice.backup.address if choice.backup else "",
-        continues_at=choice.upstream.address if choice.continues else "",
+        resume_from=choice.upstream.address if choice.resumes_from_copy else "",
         run=request.demand.request_id,
     )
--- a/src/lotushill/returns/promise.py
+++ b/src/lotushill/returns/promise.py
@@ -4,12 +4,12 @@
 
 from dataclasses import dataclass
 
-KEPT_SECONDS = 2.0
+GRACE_SECONDS = 2.0
 """After its time, how long a place is kept: a client may first try a host that is gone."""
 
 
 @dataclass(frozen=True)
-class Asker:
+class Requester:
     """A request that looks for room; times are seconds."""
 
     caller: int
@@ -27,21 +27,21 @@
 
     service: str
     tier: int
-    due: float
+    due_at: float
     refused_at: float
     """When the caller was last refused."""
-    first: bool
+    prioritized: bool
     """Whether it then goes before newcomers; without, it was told a time and nothing else."""
     own: bool
     """Whether this gateway is to tell the others."""
     used: bool = False
-    tell_at: float = 0.0
-    tellings: int = 0
+    send_at: float = 0.0
+    times_sent: int = 0
 
     @property
     def ends(self) -> float:
         """Return until when it is kept."""
-        return self.due + KEPT_SECONDS
+        return self.due_at + GRACE_SECONDS
 
 
 @dataclass(frozen=True)
--- a/src/lotushill/returns/promises.py
+++ b/src/lotushill/returns/promises.py
@@ -12,21 +12,21 @@
 
 from lotushill.returns.promise import Promise
 from lotushill.returns.promise import PromiseState
-from lotushill.returns.room_rate import RoomRate
-from lotushill.returns.schedule import LEAST_SECONDS
-from lotushill.returns.schedule import RESERVED_SHARE
-from lotushill.returns.schedule import moment
+from lotushill.returns.schedule import MIN_RETRY_AFTER_SECONDS
+from lotushill.returns.schedule import RESERVED_FRACTION
+from lotushill.returns.schedule import return_time
+from lotushill.returns.start_rate import StartRate
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from lotushill.returns.promise import Asker
+    from lotushill.returns.promise import Requester
 
-EARLY_SECONDS = 0.05
+EARLY_TOLERANCE_SECONDS = 0.05
 """So much before its time a return still counts: clocks and ways differ by less."""
-MOST_PROMISES = 4096
+MAX_PROMISES = 4096
 """At one time, some two megabytes. Whoever is refused beyond that is promised nothing."""
-MOST_TOLD = 90
+MAX_STATES_PER_ROUND = 90
 """At one time, so that three datagrams hold them."""
 _LONGEST_SECONDS = 60.0
 """No promise that is heard lies further ahead: no client waits so long."""
@@ -48,11 +48,11 @@
 """Between two looks for promises that are over."""
 
 
-class Returns:
+class ReturnPromises:
     """The promises that are open."""
 
     def __init__(self) -> None:
-        self.room = RoomRate()
+        self.start_rate = StartRate()
         self._promises: dict[int, Promise] = {}
         self._open: Counter[tuple[str, int]] = Counter()
         """Places that are kept and not used, by service and tier."""
@@ -77,7 +77,9 @@
 
     # Refusing
 
-    def retry_after(self, asker: Asker, spread: float, now: float, final: bool = False) -> float:
+    def retry_after(
+        self, asker: Requester, spread: float, now: float, final: bool = False
+    ) -> float:
         """Return after how many seconds a request that is refused is to come back.
 
         A place that was promised stays, however often its caller is refused. `spread`, from 0 to 1,
@@ -87,22 +89,22 @@
         self._forget(now)
         self._refused[asker.service, asker.tier] = now
         known = self._promises.get(asker.caller)
-        if known is not None and known.first and not known.used and now <= known.ends:
+        if known is not None and known.prioritized and not known.used and now <= known.ends:
             known.refused_at = now
             if final:
-                known.tell_at = min(known.tell_at, now)
-            return max(LEAST_SECONDS, known.due - now)
-        rate = self.room.rate(asker.service, asker.tier, now)
-        found = moment(self._backlog(asker), rate, asker.time_left, spread)
-        if asker.caller and len(self._promises) < MOST_PROMISES:
+                known.send_at = min(known.send_at, now)
+            return max(MIN_RETRY_AFTER_SECONDS, known.due_at - now)
+        rate = self.start_rate.rate(asker.service, asker.tier, now)
+        found = return_time(self._backlog(asker), rate, asker.time_left, spread)
+        if asker.caller and len(self._promises) < MAX_PROMISES:
             self.made += found.promised
             due = now + found.seconds
             promise = Promise(asker.service, asker.tier, due, now, found.promised, own=True)
-            promise.tell_at = now if final else now + _SETTLED_SECONDS
+            promise.send_at = now if final else now + _SETTLED_SECONDS
             self._keep(asker.caller, promise)
         return found.seconds
 
-    def _backlog(self, asker: Asker) -> int:
+    def _backlog(self, asker: Requester) -> int:
         return sum(
             count
             for (service, tier), count in self._open.items()
@@ -118,9 +120,9 @@
     def has_place(self, caller: int, now: float) -> bool:
         """Return whether a caller comes as it was promised."""
         known = self._promises.get(caller)
-        if known is None or known.used or not known.first:
+        if known is None or known.used or not known.prioritized:
             return False
-        return known.due - EARLY_SECONDS <= now <= known.ends
+        return known.due_at - EARLY_TOLERANCE_SECONDS <= now <= known.ends
 
     def is_due(self, caller: int, now: float) -> bool:
         """Return whether a caller comes as it was promised, and the reserve lasts."""
@@ -131,8 +133,8 @@
             return False
         served = self._served.get((known.service, known.tier), ())
         lately = sum(now - at < _RESERVE_SECONDS for at in served)
-        rate = self.room.rate(known.service, known.tier, now)
-        return lately < max(1.0, RESERVED_SHARE * rate * _RESERVE_SECONDS)
+        rate = self.start_rate.rate(known.service, known.tier, now)
+        return lately < max(1.0, RESERVED_FRACTION * rate * _RESERVE_SECONDS)
 
     def _more_urgent_refused(self, promise: Promise, now: float) -> bool:
         return any(
@@ -140,7 +142,7 @@
             for (service, tier), at in self._refused.items()
         )
 
-    def until_due(self, asker: Asker, now: float) -> float:
+    def seconds_early(self, asker: Requester, now: float) -> float:
         """Return how many seconds too early another try of a caller comes, 0 if it does not.
 
         While nobody else is refused it is welcome at any time.
@@ -148,14 +150,14 @@
         known = self._promises.get(asker.caller)
         if known is None or known.used or asker.arrived <= known.refused_at:
             return 0.0
-        if asker.arrived >= known.due - EARLY_SECONDS:
+        if asker.arrived >= known.due_at - EARLY_TOLERANCE_SECONDS:
             return 0.0
         key = asker.service, asker.tier
         never = float("-inf")
         if now - max(self._refused.get(key, never), self._scarce.get(key, never)) > _SCARCE_SECONDS:
             return 0.0
         self.early += 1
-        return max(0.0, known.due - now)
+        return max(0.0, known.due_at - now)
 
     def note_placed(self, caller: int, now: float) -> bool:
         """Note that a caller's request goes to an upstream; return whether that was promised."""
@@ -167,43 +169,43 @@
             self.kept += 1
             key = known.service, known.tier
             self._served.setdefault(key, deque(maxlen=_MOST_COUNTED)).append(now)
-        if known.first:
+        if known.prioritized:
             self._open[known.service, known.tier] -= 1
         known.used = True
-        known.tellings, known.tell_at = _TELLINGS - 1, now
+        known.times_sent, known.send_at = _TELLINGS - 1, now
         self._to_tell[caller] = None
         return promised
 
     # Telling others
 
-    def due_news(self, now: float) -> list[PromiseState]:
+    def due_states(self, now: float) -> list[PromiseState]:
         """Return what is to be told now to the other gateways that place requests."""
         self._forget(now)
         told = []
         for caller in list(self._to_tell):
             item = self._promises.get(caller)
-            if item is None or item.tellings >= _TELLINGS:
+            if item is None or item.times_sent >= _TELLINGS:
                 del self._to_tell[caller]
-            elif item.tell_at <= now:
-                item.tellings += 1
-                item.tell_at = now + max(_SETTLED_SECONDS, (item.due - now) / 2)
+            elif item.send_at <= now:
+                item.times_sent += 1
+                item.send_at = now + max(_SETTLED_SECONDS, (item.due_at - now) / 2)
                 told.append(_state(caller, item, now))
-                if len(told) == MOST_TOLD:
+                if len(told) == MAX_STATES_PER_ROUND:
                     break
         return told
 
-    def hear(self, states: Iterable[PromiseState], now: float) -> None:
+    def merge(self, states: Iterable[PromiseState], now: float) -> None:
         """Take what another gateway tells."""
         for state in states:
             known = self._promises.get(state.caller)
-            if known is None and len(self._promises) >= MOST_PROMISES:
+            if known is None and len(self._promises) >= MAX_PROMISES:
                 continue
             if not state.due_in < _LONGEST_SECONDS:
                 continue
             due, used = now + state.due_in, state.used
             if known is not None:
                 # A request that waits asks several gateways; it was told one of their times.
-                due, used = min(due, known.due), used or known.used
+                due, used = min(due, known.due_at), used or known.used
             promise = Promise(
                 state.service, state.tier, due, now, state.first, own=False, used=used
             )
@@ -212,14 +214,14 @@
     def _keep(self, caller: int, promise: Promise) -> None:
         self._drop(caller)
         self._promises[caller] = promise
-        if promise.first and not promise.used:
+        if promise.prioritized and not promise.used:
             self._open[promise.service, promise.tier] += 1
         if promise.own:
             self._to_tell[caller] = None
 
     def _drop(self, caller: int) -> None:
         former = self._promises.pop(caller, None)
-        if former is not None and former.first and not former.used:
+        if former is not None and former.prioritized and not former.used:
             self._open[former.service, former.tier] -= 1
 
     def _forget(self, now: float) -> None:
@@ -232,4 +234,6 @@
 
 
 def _state(caller: int, item: Promise, now: float) -> PromiseState:
-    return PromiseState(caller, item.service, item.tier, item.due - now, item.first, item.used)
+    return PromiseState(
+        caller, item.service, item.tier, item.due_at - now, item.prioritized, item.used
+    )
--- a/src/lotushill/returns/room_rate.py
+++ b/src/lotushill/returns/start_rate.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-SPAN_SECONDS = 2.0
+WINDOW_SECONDS = 2.0
 """Long enough to see the ends of usual streams, short enough to follow a loss of upstreams."""
 _SLICE_SECONDS = 0.25
 """What began within one slice is kept as one count, so that memory does not grow with traffic."""
@@ -17,7 +17,7 @@
     count: int
 
 
-class RoomRate:
+class StartRate:
     """Counts what began by service and tier, at all gateways that are heard."""
 
     def __init__(self) -> None:
@@ -38,8 +38,8 @@
         if not slices:
             return 0.0
         self._forget(slices, now)
-        return sum(item.count for item in slices) / SPAN_SECONDS
+        return sum(item.count for item in slices) / WINDOW_SECONDS
 
     def _forget(self, slices: deque[_Slice], now: float) -> None:
-        while slices and now - slices[0].start > SPAN_SECONDS:
+        while slices and now - slices[0].start > WINDOW_SECONDS:
             slices.popleft()
--- a/src/lotushill/routing/service.py
+++ b/src/lotushill/routing/service.py
@@ -19,11 +19,11 @@
     """Bytes of memory that one token takes."""
     link_rate: float = 0.0
     """Bytes a second that go from one engine to another; 0 where memory cannot be moved."""
-    backups: bool = False
+    can_back_up_memory: bool = False
     """Whether an engine can copy a run's memory to another one while it grows."""
 
     @property
-    def moves(self) -> bool:
+    def can_move_memory(self) -> bool:
         """Return whether the memory of a run can be moved to another engine."""
         return self.link_rate > 0.0
 
@@ -32,9 +32,9 @@
 class ScalingProfile:
     """Within what bounds engines of a service may be ordered."""
 
-    least: int
+    min_engines: int
     """Engines in one hall, of both kinds together."""
-    most: int
+    max_engines: int
     reclaimable_price: float | None
     """Price of an engine that may be taken away, as a share of an ordinary one; None for none."""
     boot_seconds: float = 5.0
--- a/src/lotushill/routing/table.py
+++ b/src/lotushill/routing/table.py
@@ -36,7 +36,7 @@
             self._add(route)
         self._by_key = {key: team for team in self.teams for key in team.api_keys}
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route of a host with the longest prefix of a path, None without one."""
         routes = self._by_host.get(host.lower())
         if routes is None:
--- a/src/lotushill/routing/urgency.py
+++ b/src/lotushill/routing/urgency.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-USUAL_TEAM = 1
+DEFAULT_TEAM_RANK = 1
 """Of a team of which nothing is said: between those that go first and those that go last."""
 
 
@@ -14,5 +14,5 @@
 
     tier: int
     """Rank of the route, or what the settings tree puts in its place."""
-    team: int = USUAL_TEAM
+    team_rank: int = DEFAULT_TEAM_RANK
     """Rank of the team among others."""
--- a/src/lotushill/scheduling/hall_contact.py
+++ b/src/lotushill/scheduling/hall_contact.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from lotushill.membership.schedulers import Schedulers
 
-SILENT_SECONDS = 0.8
+SILENCE_TIMEOUT_SECONDS = 0.8
 """Three batches that did not come, and some jitter. Members of a large hall are probed one by one,
 so that it takes many seconds until the last of a hall that was cut off is taken for lost."""
 
@@ -20,11 +20,11 @@
         self._heard: dict[str, float] = {}
         self._listens_since: float | None = None
 
-    def hear(self, scheduler: str, now: float) -> None:
+    def note_batch(self, scheduler: str, now: float) -> None:
         """Note a batch of a scheduler."""
         self._heard[scheduler] = now
 
-    def look(self, now: float) -> None:
+    def update_listening(self, now: float) -> None:
         """Note whether this gateway is told batches at all."""
         told = self._schedulers.schedules() and not self._schedulers.small_fleet()
         if not told:
@@ -35,9 +35,9 @@
     def is_silent(self, hall: str, now: float) -> bool:
         """Return whether a hall has schedulers, and none of them is heard."""
         since = self._listens_since
-        if since is None or now - since < SILENT_SECONDS:
+        if since is None or now - since < SILENCE_TIMEOUT_SECONDS:
             return False
         names = self._schedulers.halls().get(hall, ())
         return bool(names) and all(
-            now - self._heard.get(name, since) >= SILENT_SECONDS for name in names
+            now - self._heard.get(name, since) >= SILENCE_TIMEOUT_SECONDS for name in names
         )
--- a/src/lotushill/scheduling/load_relay.py
+++ b/src/lotushill/scheduling/load_relay.py
@@ -18,7 +18,7 @@
 
     from lotushill.membership.schedulers import Schedulers
 
-BATCH_SECONDS = 0.01
+BATCH_INTERVAL_SECONDS = 0.01
 """Between two batches in a small fleet."""
 _LARGE_BATCH_SECONDS = 0.02
 """In a large one: about the time between two requests of a scheduler, and half the frames."""
@@ -47,11 +47,11 @@
         self._flushed_at = float("-inf")
         self._something = asyncio.Event()
 
-    async def waits(self) -> None:
+    async def wait_for_pending(self) -> None:
         """Return when something waits to be passed on."""
         await self._something.wait()
 
-    def tell(self, records: bytes, turn: int, now: float) -> None:
+    def publish(self, records: bytes, turn: int, now: float) -> None:
         """Tell all schedulers, through one of them where this gateway is none.
 
         `turn` is the number of the request: its news go to the scheduler that was asked for it.
@@ -77,7 +77,7 @@
         if self._held and now >= self._next_flush:
             self._flush(now)
 
-    def tell_of_life(self, now: float) -> None:
+    def send_keepalive(self, now: float) -> None:
         """Send an empty batch if this gateway schedules for a hall and has long told nothing."""
         schedulers = self._schedulers
         if schedulers.small_fleet() or not schedulers.schedules():
@@ -91,7 +91,7 @@
         self._held_bytes = 0
         self._something.clear()
         small = self._schedulers.small_fleet()
-        self._next_flush = now + (BATCH_SECONDS if small else _LARGE_BATCH_SECONDS)
+        self._next_flush = now + (BATCH_INTERVAL_SECONDS if small else _LARGE_BATCH_SECONDS)
         self._flushed_at = now
         for scheduler in self._schedulers.others():
             self._send(batch, scheduler.address)
--- a/src/lotushill/scheduling/model_sync.py
+++ b/src/lotushill/scheduling/model_sync.py
@@ -26,11 +26,11 @@
         self._filled = False
         self._had_role = False
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether this gateway may place for others."""
         return self._filled and self._schedulers.schedules()
 
-    def pull_from(self, now: float) -> str | None:
+    def next_source(self, now: float) -> str | None:
         """Return the scheduler to pull the model from now, None if there is no need."""
         if not self._schedulers.schedules():
             self._had_role = self._filled = False
--- a/src/lotushill/scheduling/placement_client.py
+++ b/src/lotushill/scheduling/placement_client.py
@@ -17,10 +17,10 @@
     from lotushill.links.messages import PlacementAsk
     from lotushill.membership.schedulers import Schedulers
 
-ANSWER_SECONDS = 0.05
+ANSWER_TIMEOUT_SECONDS = 0.05
 """A scheduler of the own hall answers in a few milliseconds; one that takes ten times as long is
 frozen, lost or overloaded, and the next one is asked. A fifth of the shortest target."""
-MOST_ASKED = 3
+MAX_SCHEDULERS_ASKED = 3
 """Schedulers for one request: both of the own hall and one of another."""
 _RENEWALS = 2
 """Times that one is asked again with whom a request waits: one datagram may be lost."""
@@ -60,7 +60,9 @@
         that a scheduler loses is brought to the next with the time that it has waited.
         """
         ask = make()
-        for scheduler in self._schedulers.in_order(self._clock(), ask.request)[:MOST_ASKED]:
+        for scheduler in self._schedulers.in_order(self._clock(), ask.request)[
+            :MAX_SCHEDULERS_ASKED
+        ]:
             answer = await self._ask_one(ask, make, scheduler)
             if answer is not None and answer.refusal != UNREADY:
                 return answer
@@ -83,7 +85,7 @@
         answer: PlacementAnswer | None = None
         try:
             self._send(ask, scheduler.address)
-            answer = await _next(inbox, ANSWER_SECONDS)
+            answer = await _next(inbox, ANSWER_TIMEOUT_SECONDS)
             if answer is not None and answer.refusal == HELD:
                 answer = await self._wait(ask, make, scheduler, inbox, answer.retry_after)
         finally:
@@ -112,7 +114,7 @@
                     if answer is not None:
                         break
                     self._send(replace(make(), request=ask.request), scheduler.address)
-                    answer = await _next(inbox, ANSWER_SECONDS)
+                    answer = await _next(inbox, ANSWER_TIMEOUT_SECONDS)
                 if answer is None or answer.refusal != HELD:
                     return answer
         finally:
--- a/src/lotushill/scheduling/desk.py
+++ b/src/lotushill/scheduling/placement_responder.py
@@ -12,10 +12,10 @@
 from lotushill.placement.choice import Choice
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.need import Need
-from lotushill.placement.placed import placed
+from lotushill.placement.placed_message import placed_message
 from lotushill.routing.demand import PromptPart
-from lotushill.waiting.entry import Held
-from lotushill.waiting.entry import Waiting
+from lotushill.waiting.entry import Queued
+from lotushill.waiting.entry import QueueEntry
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,14 +25,14 @@
     from lotushill.placement.fleet import Fleet
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
-    from lotushill.scheduling.line_keeper import LineKeeper
+    from lotushill.scheduling.queue_runner import QueueRunner
     from lotushill.scheduling.shared_load import SharedLoad
 
 _KEPT_SECONDS = 1.0
 """How long an answer is kept that came after waiting: it may be lost, and is asked for again."""
 
 
-class PlacementDesk:
+class PlacementResponder:
     """Answers asks from the model of all upstreams; pure, with the clock passed in."""
 
     def __init__(
@@ -44,7 +44,7 @@
         upstreams_of: Callable[[str], list[Upstream]],
         is_ready: Callable[[], bool],
         limits: StatedLimits,
-        keeper: LineKeeper | None = None,
+        queue_runner: QueueRunner | None = None,
         send: Callable[[PlacementAnswer, str], None] = lambda *_: None,
     ) -> None:
         """Answer for the gateway `name`; `is_ready` tells whether the model is filled.
@@ -58,7 +58,7 @@
         self._upstreams_of = upstreams_of
         self._is_ready = is_ready
         self._limits = limits
-        self._keeper = keeper
+        self._keeper = queue_runner
         self._send = send
         self._kept: dict[int, tuple[PlacementAnswer, float]] = {}
         """Answers that came after waiting, by the number of the ask, and when."""
@@ -76,23 +76,27 @@
         if kept is not None:
             return kept[0]
         need = _need(ask)
-        waits = self._keeper is not None and self._keeper.line.room.find(ask.request) is not None
+        waits = (
+            self._keeper is not None and self._keeper.queue.requests.find(ask.request) is not None
+        )
         if not (ask.again or waits):
             self._fleet.note_arrival(need, now)
         found = self._find(ask, need, service, now)
-        if isinstance(found, Held):
-            return PlacementAnswer(self._name, ask.request, refusal=HELD, retry_after=found.renew)
+        if isinstance(found, Queued):
+            return PlacementAnswer(
+                self._name, ask.request, refusal=HELD, retry_after=found.renew_seconds
+            )
         return self._answer(ask, need, service, found, now)
 
     def _find(
         self, ask: PlacementAsk, need: Need, service: Service, now: float
-    ) -> Choice | NoChoice | Held:
+    ) -> Choice | NoChoice | Queued:
         upstreams, excluded = self._upstreams_of(service.name), frozenset(ask.excluded)
         if self._keeper is None or not ask.waits:
             return self._fleet.choose(need, service, upstreams, excluded, now)
-        entry = Waiting(ask.request, need, ask.sender, now - need.waited, now, excluded)
+        entry = QueueEntry(ask.request, need, ask.sender, now - need.waited, now, excluded)
 
-        def answer_later(entry: Waiting, found: Choice | NoChoice, now: float) -> None:
+        def answer_later(entry: QueueEntry, found: Choice | NoChoice, now: float) -> None:
             answer = self._answer(ask, entry.need_at(now), service, found, now)
             self._keep(answer, now)
             self._send(answer, ask.sender)
@@ -115,15 +119,17 @@
         """Return the answer, with a request that goes somewhere counted in."""
         if isinstance(found, NoChoice):
             return self._refused(ask, found)
-        self._fleet.note_taken(need, now)
+        self._fleet.note_choice_used(need, now)
         upstreams = self._upstreams_of(service.name)
         if ask.copied:
             targets = [item for item in upstreams if self._limits.rate(item.id) == NO_LIMIT]
             backup = self._fleet.backup(need, service, found, targets, now)
             found = replace(found, backup=backup)
-        memory = self._fleet.load(found.upstream.id).memory
+        memory = self._fleet.load(found.upstream.id).reserved_tokens
         engine = service.engine is not None
-        self._shared_load.start_for(ask.sender, placed(ask.request, need, found, engine), service)
+        self._shared_load.start_for(
+            ask.sender, placed_message(ask.request, need, found, engine), service
+        )
         return self._chosen(ask, found, memory)
 
     def _refused(self, ask: PlacementAsk, found: NoChoice) -> PlacementAnswer:
@@ -132,8 +138,8 @@
             ask.request,
             refusal=found.refusal.value,
             retry_after=found.retry_after,
-            wait=found.wait,
-            first=found.first,
+            wait=found.wait_seconds,
+            first=found.first_event_seconds,
             usual_prompt=found.usual_prompt,
             longest_prompt=found.longest_prompt,
             standing=found.standing,
@@ -147,13 +153,13 @@
             ask.request,
             upstream=choice.upstream.id,
             cost=choice.cost,
-            first=choice.first,
-            seconds=choice.seconds,
-            wait=choice.wait,
-            harm=choice.harm,
-            reading=choice.reading,
-            ahead=choice.ahead,
-            again=choice.again,
+            first=choice.first_event_seconds,
+            seconds=choice.answer_seconds,
+            wait=choice.wait_seconds,
+            harm=choice.interference_cost,
+            reading=choice.prefill_tokens,
+            ahead=choice.total_prefill_tokens,
+            again=choice.reread_tokens,
             running=choice.running,
             memory=memory,
             fetch_from=fetch.source.id if fetch else "",
@@ -169,7 +175,7 @@
         service=ask.service,
         route=ask.route,
         target=ask.target,
-        gap=ask.gap,
+        target_gap=ask.gap,
         time_left=ask.time_left,
         stream=ask.stream,
         prompt_tokens=ask.prompt_tokens,
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -16,14 +16,14 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.fetch import Fetch
-from lotushill.placement.fleet import NO_UPSTREAM_RETRY
-from lotushill.placement.placed import placed
+from lotushill.placement.fleet import NO_UPSTREAM_RETRY_AFTER_SECONDS
+from lotushill.placement.placed_message import placed_message
 from lotushill.routing.route import RouteKind
 from lotushill.scheduling.placement import Placement
-from lotushill.starting.draw import Seen
-from lotushill.starting.draw import draw
-from lotushill.waiting.entry import Held
-from lotushill.waiting.entry import Waiting
+from lotushill.starting.draw import UpstreamCredit
+from lotushill.starting.draw import draw_upstream
+from lotushill.waiting.entry import Queued
+from lotushill.waiting.entry import QueueEntry
 
 if TYPE_CHECKING:
     import random
@@ -37,8 +37,8 @@
     from lotushill.placement.messages import Placed
     from lotushill.placement.need import Need
     from lotushill.routing.upstream import Upstream
-    from lotushill.scheduling.line_keeper import LineKeeper
     from lotushill.scheduling.placement_client import PlacementClient
+    from lotushill.scheduling.queue_runner import QueueRunner
     from lotushill.scheduling.request import Request
     from lotushill.scheduling.shared_load import SharedLoad
     from lotushill.views.upstream_view import UpstreamView
@@ -69,7 +69,7 @@
         schedulers: Schedulers | None = None,
         client: PlacementClient | None = None,
         knows_fleet: Callable[[], bool] = lambda: True,
-        keeper: LineKeeper | None = None,
+        queue_runner: QueueRunner | None = None,
     ) -> None:
         """Place for the gateway `name`; without schedulers, always by the own model.
 
@@ -90,15 +90,15 @@
         self._schedulers = schedulers
         self._client = client
         self._knows_fleet = knows_fleet
-        self._keeper = keeper
+        self._keeper = queue_runner
         self._salt = rng.getrandbits(64)
         self._numbers = itertools.count()
 
-    def number(self) -> int:
+    def new_attempt_number(self) -> int:
         """Return a number for an attempt that is hardly ever that of another, of any gateway."""
         return xxhash.xxh64_intdigest(f"{self._name}/{self._salt}/{next(self._numbers)}")
 
-    def models_all(self) -> bool:
+    def has_full_model(self) -> bool:
         """Return whether this gateway hears of what all others run."""
         return self._schedulers is None or self._schedulers.schedules()
 
@@ -114,7 +114,7 @@
             if self._none_is_open(request, excluded | barred):
                 return self._all_barred(request, barred)
             excluded |= barred
-        if self._client is None or self.models_all():
+        if self._client is None or self.has_full_model():
             if not again:
                 self._note_size(request.need)
             candidates = self._upstreams.of(request.service.name)
@@ -124,7 +124,7 @@
                 return self._by_own_model(request, excluded, candidates)
             found = await self._in_line(self._keeper, request, excluded, candidates)
             if found is not None or self._client is None:
-                return found or NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY)
+                return found or NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
         return await self._by_scheduler(self._client, request, excluded, again, waits)
 
     async def _by_scheduler(
@@ -159,11 +159,11 @@
         known = [item.id for item in self._upstreams.of(request.service.name)]
         closed = [name for name in known if name in barred]
         if not closed:
-            return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY)
+            return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
         now, route = self._clock(), request.need.route
         limited = self._barred.any_limited(closed, route, now)
         refusal = Refusal.LIMITED if limited else Refusal.RESTING
-        return NoChoice(refusal, self._barred.first_end(closed, route, now))
+        return NoChoice(refusal, self._barred.seconds_to_first_end(closed, route, now))
 
     def _note_size(self, need: Need) -> None:
         self._fleet.note_arrival(need, self._clock())
@@ -185,7 +185,7 @@
 
     async def _in_line(
         self,
-        keeper: LineKeeper,
+        keeper: QueueRunner,
         request: Request,
         excluded: frozenset[str],
         candidates: list[Upstream],
@@ -194,7 +194,7 @@
 
         None where this gateway has come to ask schedulers meanwhile.
         """
-        key = self.number()
+        key = self.new_attempt_number()
         try:
             while True:
                 found = await self._ask_line(keeper, request, excluded, candidates, key)
@@ -202,7 +202,7 @@
                     return found
                 if isinstance(found, Choice):
                     return self._own_placement(request, found, candidates)
-                if self._client is not None and not self.models_all():
+                if self._client is not None and not self.has_full_model():
                     return None
                 candidates = self._upstreams.of(request.service.name)
                 excluded |= self._barred.names(request.need.route, self._clock())
@@ -211,16 +211,16 @@
 
     async def _ask_line(
         self,
-        keeper: LineKeeper,
+        keeper: QueueRunner,
         request: Request,
         excluded: frozenset[str],
         candidates: list[Upstream],
         key: int,
-    ) -> Choice | NoChoice | Held:
+    ) -> Choice | NoChoice | Queued:
         """Return the answer that comes before a request is to be asked for again."""
         later: asyncio.Future[Choice | NoChoice] = asyncio.get_running_loop().create_future()
 
-        def answer(entry: Waiting, found: Choice | NoChoice, now: float) -> None:
+        def answer(entry: QueueEntry, found: Choice | NoChoice, now: float) -> None:
             del entry, now
             if not later.done():
                 later.set_result(found)
@@ -231,24 +231,24 @@
             time_left=max(0.0, request.ends - now),
             waited=now - request.arrived,
         )
-        entry = Waiting(key, need, "", request.arrived, now, excluded)
+        entry = QueueEntry(key, need, "", request.arrived, now, excluded)
         found = keeper.place(entry, request.service, candidates, answer)
-        if not isinstance(found, Held):
+        if not isinstance(found, Queued):
             return found
-        done, _ = await asyncio.wait((later,), timeout=found.renew)
+        done, _ = await asyncio.wait((later,), timeout=found.renew_seconds)
         return later.result() if done else found
 
     def _own_placement(
         self, request: Request, found: Choice, candidates: list[Upstream]
     ) -> Placement:
         now, service = self._clock(), request.service
-        self._fleet.note_taken(request.need, now)
+        self._fleet.note_choice_used(request.need, now)
         if _may_be_copied(request):
             targets = [item for item in candidates if self._limits.rate(item.id) == NO_LIMIT]
             backup = self._fleet.backup(request.need, service, found, targets, now)
             found = replace(found, backup=backup)
-        memory = self._fleet.load(found.upstream.id).memory
-        return Placement(found, self._placed(self.number(), request, found), memory)
+        memory = self._fleet.load(found.upstream.id).reserved_tokens
+        return Placement(found, self._placed(self.new_attempt_number(), request, found), memory)
 
     def _drawn(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
         """Place a request while nothing is known of what others run."""
@@ -258,9 +258,13 @@
             for item in self._upstreams.of(request.service.name)
             if item.id not in excluded
         }
-        reachable = {item: load for item, load in loads.items() if not load.away(now)} or loads
-        seen = [Seen(item, load.unanswered, load.answered) for item, load in reachable.items()]
-        found = self._by_own_model(request, excluded, draw(seen, self._rng))
+        reachable = {
+            item: load for item, load in loads.items() if not load.is_unreachable(now)
+        } or loads
+        seen = [
+            UpstreamCredit(item, load.unanswered, load.answered) for item, load in reachable.items()
+        ]
+        found = self._by_own_model(request, excluded, draw_upstream(seen, self._rng))
         return replace(found, drawn=True) if isinstance(found, Placement) else found
 
     def _alone(self, request: Request, excluded: frozenset[str]) -> Placement | NoChoice:
@@ -275,11 +279,11 @@
         return self._rng.sample(fit, min(count, len(fit)))
 
     def _placed(self, number: int, request: Request, choice: Choice) -> Placed:
-        return placed(number, request.need, choice, request.service.engine is not None)
+        return placed_message(number, request.need, choice, request.service.engine is not None)
 
-    def continued(self, request: Request, choice: Choice) -> Placement:
+    def continuation_placement(self, request: Request, choice: Choice) -> Placement:
         """Return the placement of a run that goes on at an upstream that is known."""
-        return Placement(choice, self._placed(self.number(), request, choice))
+        return Placement(choice, self._placed(self.new_attempt_number(), request, choice))
 
     # By a scheduler
 
@@ -289,11 +293,11 @@
         need = request.need
         return PlacementAsk(
             sender=self._name,
-            request=self.number(),
+            request=self.new_attempt_number(),
             service=need.service,
             route=need.route,
             target=need.target,
-            gap=need.gap,
+            gap=need.target_gap,
             time_left=max(0.0, request.ends - self._clock()),
             stream=need.stream,
             copied=_may_be_copied(request),
@@ -317,7 +321,7 @@
         return [
             item.id
             for item in self._upstreams.of(request.service.name)
-            if item.id not in excluded and self._fleet.load(item.id).away(now)
+            if item.id not in excluded and self._fleet.load(item.id).is_unreachable(now)
         ]
 
     def _from_answer(self, request: Request, answer: PlacementAnswer) -> Placement | None:
@@ -331,9 +335,9 @@
             answer.reading,
             answer.ahead,
             answer.seconds,
-            wait=answer.wait,
-            harm=answer.harm,
-            again=answer.again,
+            wait_seconds=answer.wait,
+            interference_cost=answer.harm,
+            reread_tokens=answer.again,
             running=answer.running,
             returned=answer.returned,
             fetch=self._fetch(answer),
--- a/src/lotushill/scheduling/line_keeper.py
+++ b/src/lotushill/scheduling/queue_runner.py
@@ -9,8 +9,8 @@
 
 from lotushill.links.messages import WaitingNews
 from lotushill.placement.choice import Choice
-from lotushill.waiting.entry import Held
-from lotushill.waiting.turns import NEWS_SECONDS
+from lotushill.waiting.entry import Queued
+from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -20,12 +20,12 @@
     from lotushill.placement.choice import NoChoice
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
-    from lotushill.waiting.entry import Waiting
-    from lotushill.waiting.line import WaitingLine
+    from lotushill.waiting.admission_queue import AdmissionQueue
+    from lotushill.waiting.entry import QueueEntry
 
-    Answer = Callable[[Waiting, Choice | NoChoice, float], None]
+    Answer = Callable[[QueueEntry, Choice | NoChoice, float], None]
 
-LOOK_SECONDS = 0.01
+POLL_INTERVAL_SECONDS = 0.01
 """Between two looks while requests wait: an engine of 16 slots frees one in ten times as long."""
 _SOON_SECONDS = 0.001
 """After one of this gateway's own was placed, which counts itself in as it is sent."""
@@ -35,25 +35,25 @@
 """What is less urgent is told as this tier."""
 
 
-class LineKeeper:
+class QueueRunner:
     """Joins the line to the clock, to other schedulers and to those who wait."""
 
     def __init__(
         self,
         name: str,
-        line: WaitingLine,
+        queue: AdmissionQueue,
         service_named: Callable[[str], Service | None],
         upstreams_of: Callable[[str], Sequence[Upstream]],
-        tell: Callable[[WaitingNews], None],
+        broadcast: Callable[[WaitingNews], None],
         clock: Callable[[], float],
         log: EventLog | None = None,
     ) -> None:
         """Keep the line of the gateway `name`; `tell` tells the other schedulers."""
         self._name = name
-        self.line = line
+        self.queue = queue
         self._service_named = service_named
         self._upstreams_of = upstreams_of
-        self._tell = tell
+        self._tell = broadcast
         self._clock = clock
         self._log = log
         self._answers: dict[int, Answer] = {}
@@ -63,14 +63,14 @@
         self._logged: dict[str, float] = {}
 
     def place(
-        self, entry: Waiting, service: Service, upstreams: Sequence[Upstream], answer: Answer
-    ) -> Choice | NoChoice | Held:
+        self, entry: QueueEntry, service: Service, upstreams: Sequence[Upstream], answer: Answer
+    ) -> Choice | NoChoice | Queued:
         """Return where a request goes, that it waits, or why it does neither.
 
         One that waits is answered later through `answer`, which counts it in where it is placed.
         """
-        found = self.line.place(entry, service, upstreams, self._clock())
-        if isinstance(found, Held):
+        found = self.queue.place(entry, service, upstreams, self._clock())
+        if isinstance(found, Queued):
             self._answers[entry.key] = answer
             self._something.set()
         else:
@@ -79,31 +79,31 @@
 
     def drop(self, key: int) -> None:
         """Forget a request that waits no longer."""
-        self.line.room.drop(key)
+        self.queue.requests.drop(key)
         self._answers.pop(key, None)
 
-    def drop_asker(self, name: str) -> None:
+    def drop_gateway(self, name: str) -> None:
         """Forget what a gateway asked for that is gone."""
-        self.line.rivals.drop(name)
-        for key in [entry.key for entry in self.line.room if entry.asker == name]:
+        self.queue.remote_queues.drop(name)
+        for key in [entry.key for entry in self.queue.requests if entry.gateway == name]:
             self.drop(key)
 
     async def run(self) -> None:
         """Look for room for ever, while requests wait."""
         while True:
             await self._something.wait()
-            pause = self.look()
-            if not len(self.line.room):
+            pause = self.process_due()
+            if not len(self.queue.requests):
                 self._something.clear()
             await anyio.sleep(pause)
 
-    def look(self) -> float:
+    def process_due(self) -> float:
         """Place and refuse what is due, and return after how long to look again."""
         now = self._clock()
-        for key in self.line.room.expire(now):
+        for key in self.queue.requests.expire(now):
             self._answers.pop(key, None)
-        pause = LOOK_SECONDS
-        for name in self.line.room.services():
+        pause = POLL_INTERVAL_SECONDS
+        for name in self.queue.requests.services():
             service = self._service_named(name)
             if service is not None:
                 pause = min(pause, self._look_at(service, now))
@@ -111,22 +111,25 @@
         return pause
 
     def _look_at(self, service: Service, now: float) -> float:
-        for entry, found in self.line.due(service, self._upstreams_of(service.name), now):
+        for entry, found in self.queue.due(service, self._upstreams_of(service.name), now):
             answer = self._answers.pop(entry.key, None)
             if answer is None:
                 continue
             answer(entry, found, now)
-            if not entry.asker and isinstance(found, Choice):
+            if not entry.gateway and isinstance(found, Choice):
                 return _SOON_SECONDS
-        return LOOK_SECONDS
+        return POLL_INTERVAL_SECONDS
 
     def _tell_due(self, now: float) -> None:
         """Tell other schedulers how many wait, and once that none does any longer."""
-        waiting = self.line.room.services()
+        waiting = self.queue.requests.services()
         for name in {*waiting, *self._told}:
-            if now - self._told.get(name, float("-inf")) < NEWS_SECONDS and name in waiting:
+            if (
+                now - self._told.get(name, float("-inf")) < QUEUE_REPORT_INTERVAL_SECONDS
+                and name in waiting
+            ):
                 continue
-            tiers = self.line.room.tiers(name)
+            tiers = self.queue.requests.tiers(name)
             told = tuple(min(_LAST_TIER, tier) for tier in tiers)
             self._tell(WaitingNews(self._name, name, told, tuple(tiers.values())))
             self._note(name, now)
@@ -138,7 +141,7 @@
     def receive(self, news: WaitingNews) -> None:
         """Take in how many wait at another scheduler."""
         tiers = {tier: count for tier, count in zip(news.tiers, news.counts) if count}
-        self.line.rivals.note(news.sender, news.service, tiers, self._clock())
+        self.queue.remote_queues.set_counts(news.sender, news.service, tiers, self._clock())
 
     def _note(self, service: str, now: float) -> None:
         if self._log is None or now - self._logged.get(service, float("-inf")) < _LOG_SECONDS:
@@ -147,10 +150,10 @@
         self._log.note(
             "waiting.line",
             service=service,
-            waiting=self.line.room.count(service),
-            tiers=self.line.room.tiers(service),
-            bytes=self.line.room.bytes,
-            held=self.line.held,
-            placed=self.line.placed,
-            given_up=self.line.given_up,
+            waiting=self.queue.requests.count(service),
+            tiers=self.queue.requests.tiers(service),
+            bytes=self.queue.requests.bytes,
+            held=self.queue.held,
+            placed=self.queue.placed,
+            given_up=self.queue.given_up,
         )
--- a/src/lotushill/scheduling/shared_load.py
+++ b/src/lotushill/scheduling/shared_load.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    from lotushill.placement.engine_pace import LastingPace
+    from lotushill.placement.engine_pace import LongTermPace
     from lotushill.placement.fleet import Fleet
     from lotushill.placement.messages import Placed
     from lotushill.routing.service import Service
@@ -49,8 +49,8 @@
         fleet: Fleet,
         clock: Callable[[], float],
         service_of: Callable[[str], Service | None],
-        tell: Callable[[Load], None],
-        is_near: Callable[[str], bool] = lambda _: True,
+        publish: Callable[[Load], None],
+        is_same_hall: Callable[[str], bool] = lambda _: True,
     ) -> None:
         """Follow the load of `fleet`; `service_of` finds an upstream's service by its id.
 
@@ -60,8 +60,8 @@
         self._fleet = fleet
         self._clock = clock
         self._service_of = service_of
-        self._tell = tell
-        self._is_near = is_near
+        self._tell = publish
+        self._is_near = is_same_hall
         self._own: dict[int, tuple[Placed, float]] = {}
         self._others: dict[str, dict[int, float]] = {}
         self._lists = 0
@@ -72,15 +72,15 @@
         self._empty_lists = 0
         self._ends_by: dict[int, float] = {}
 
-    def start(self, placed: Placed, service: Service, told: bool = False) -> None:
+    def start(self, placed: Placed, service: Service, announced: bool = False) -> None:
         """Count in a request of this gateway; tell of it, unless whoever placed it has."""
         if placed.request in self._own:
             return
         now = self._clock()
         self._own[placed.request] = (placed, now)
         self._fleet.start(placed, service, now)
-        self._fleet.pace(service.name).note_reading(placed.reading)
-        if not told:
+        self._fleet.pace(service.name).note_prefill(placed.prefill_tokens)
+        if not announced:
             self._tell(Load(self._name, False, placed=(placed,)))
 
     def start_for(self, sender: str, placed: Placed, service: Service) -> None:
@@ -113,15 +113,15 @@
         """Tell that a request was placed for this gateway and is not sent."""
         self._tell(Load(self._name, False, ended=(Ended(request),)))
 
-    def due_lists(self, gateways: int) -> list[Load]:
+    def due_snapshots(self, gateways: int) -> list[Load]:
         """Return the list that is due now in a fleet of so many gateways, if one is."""
         now = self._clock()
         if now < self._list_due:
             return []
         self._list_due = now + max(_LIST_SECONDS, gateways / _LISTS_A_SECOND)
-        return self.whole()
+        return self.snapshot()
 
-    def everything(self) -> list[Load]:
+    def all_running(self) -> list[Load]:
         """Return all that is held to run, for a gateway that becomes a scheduler."""
         now = self._clock()
         loads = [_started(self._name, [(item, since) for item, since in self._own.values()], now)]
@@ -129,23 +129,23 @@
             running = [
                 (placed, since)
                 for request, since in held.items()
-                if (placed := self._fleet.find(request)) is not None
+                if (placed := self._fleet.running_request(request)) is not None
             ]
             loads.append(_started(sender, running, now))
         return [load for load in loads if load.placed]
 
-    def paces(self) -> list[LastingPace]:
+    def paces(self) -> list[LongTermPace]:
         """Return what is known of the pace of upstreams, for the same."""
-        return self._fleet.engine_paces.known()
+        return self._fleet.engine_paces.known_paces()
 
-    def take_paces(self, paces: Sequence[LastingPace]) -> None:
+    def merge_paces(self, paces: Sequence[LongTermPace]) -> None:
         """Take in what another scheduler has found of upstreams of which nothing is known here."""
         for told in paces:
             service = self._service_of(told.upstream)
             if service is not None:
-                self._fleet.presume_pace(told, service.name)
+                self._fleet.adopt_reported_pace(told, service.name)
 
-    def whole(self) -> list[Load]:
+    def snapshot(self) -> list[Load]:
         """Return what repairs whatever others have missed: all that this gateway runs.
 
         The numbers of all its requests end those that others still count; the ones that began
@@ -223,7 +223,7 @@
         self._ends_by[placed.request] = now + 2 * placed.seconds + _SILENT_SECONDS
         self._fleet.start(placed, service, now)
         if not placed.age:
-            self._fleet.pace(service.name).note_reading(placed.reading)
+            self._fleet.pace(service.name).note_prefill(placed.prefill_tokens)
 
     def _count_out(self, ended: Ended, held: dict[int, float], near: bool = True) -> None:
         held.pop(ended.request, None)
--- a/src/lotushill/shares/ledger.py
+++ b/src/lotushill/shares/ledger.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from lotushill.shares.served import ServedCounts
+from lotushill.shares.served_counts import ServedCounts
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self.share = 1.0
         """Its weight beside other teams."""
-        self.asked_at = -math.inf
+        self.last_request_at = -math.inf
         self.served = ServedCounts()
         self._running = 0.0
         self._count = 0
@@ -69,19 +69,19 @@
         """Return its work beside its weight; who has the least goes first."""
         return self.work(now) / self.share
 
-    def asks(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Return whether the team has asked of late."""
-        return now - self.asked_at < _ASKED_SECONDS
+        return now - self.last_request_at < _ASKED_SECONDS
 
     def is_idle(self, now: float) -> bool:
         """Return whether the account may be forgotten."""
-        return not self._count and now - max(self.asked_at, self._recent_at) > _IDLE_SECONDS
+        return not self._count and now - max(self.last_request_at, self._recent_at) > _IDLE_SECONDS
 
     def start(self, work: float, at: float) -> None:
         """Count a request in that started then."""
         self._running += work
         self._count += 1
-        self.asked_at = max(self.asked_at, at)
+        self.last_request_at = max(self.last_request_at, at)
 
     def end(self, work: float, done: float, now: float) -> None:
         """Count a request out of which so much was done."""
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True)
-class Part:
+class TeamWork:
     """What one team had, and its weight."""
 
     work: float
@@ -104,11 +104,11 @@
 
 
 @dataclass(frozen=True)
-class Asking:
+class ActiveTeams:
     """The teams of one tier of a service that asked of late, as they stood at one moment."""
 
-    at: float
-    teams: dict[int, Part]
+    computed_at: float
+    teams: dict[int, TeamWork]
     work: float
     """Of all of them."""
     share: float
@@ -120,7 +120,7 @@
     def __init__(self) -> None:
         self._accounts: dict[tuple[str, int], dict[int, Account]] = {}
         self._running: dict[int, _Running] = {}
-        self._asking: dict[tuple[str, int], Asking] = {}
+        self._asking: dict[tuple[str, int], ActiveTeams] = {}
         self._served: dict[tuple[str, int], ServedCounts] = {}
 
     def account(self, key: AccountKey) -> Account:
@@ -135,22 +135,22 @@
         """Return how all teams of the tier were served."""
         return self._served.setdefault((key.service, key.tier), ServedCounts())
 
-    def asking(self, key: AccountKey, now: float) -> Asking:
+    def active_teams(self, key: AccountKey, now: float) -> ActiveTeams:
         """Return the teams of the tier that ask, as of some hundredths of a second ago."""
         place = (key.service, key.tier)
         found = self._asking.get(place)
-        if found is None or not 0.0 <= now - found.at < _LOOK_SECONDS:
+        if found is None or not 0.0 <= now - found.computed_at < _LOOK_SECONDS:
             found = self._asking[place] = _look(self._accounts.get(place, {}), now)
         return found
 
-    def largest(self, now: float) -> list[AccountKey]:
+    def highest_standings(self, now: float) -> list[AccountKey]:
         """Return the team with the most work beside its weight, for each service and tier."""
         return [
             AccountKey(service, tier, max(teams, key=lambda team: teams[team].standing(now)))
             for (service, tier), teams in self._accounts.items()
         ]
 
-    def of_team(self, service: str, team: int) -> Iterator[Account]:
+    def accounts_of_team(self, service: str, team: int) -> Iterator[Account]:
         """Yield the accounts of one team in all tiers of a service."""
         for (name, _), teams in self._accounts.items():
             if name == service and team in teams:
@@ -182,11 +182,11 @@
                 del self._accounts[held]
 
 
-def _look(accounts: dict[int, Account], now: float) -> Asking:
+def _look(accounts: dict[int, Account], now: float) -> ActiveTeams:
     teams = {
-        team: Part(account.work(now), account.share)
+        team: TeamWork(account.work(now), account.share)
         for team, account in accounts.items()
-        if account.asks(now)
+        if account.is_active(now)
     }
     work = sum(part.work for part in teams.values())
-    return Asking(now, teams, work, sum(part.share for part in teams.values()))
+    return ActiveTeams(now, teams, work, sum(part.share for part in teams.values()))
--- a/src/lotushill/shares/served.py
+++ b/src/lotushill/shares/served_counts.py
@@ -22,7 +22,7 @@
         self._placed = 0.0
         self._at = 0.0
 
-    def note_asked(self, now: float) -> None:
+    def note_request(self, now: float) -> None:
         """Count a request that came; not again when it is looked for again."""
         self._fade(now)
         self._asked += 1.0
@@ -32,7 +32,7 @@
         self._fade(now)
         self._placed += 1.0
 
-    def part(self, now: float) -> float | None:
+    def placed_fraction(self, now: float) -> float | None:
         """Return which part of the requests was placed, None where too few came."""
         self._fade(now)
         return self._placed / self._asked if self._asked >= _LEAST_ASKED else None
--- a/src/lotushill/shares/shares.py
+++ b/src/lotushill/shares/shares.py
@@ -20,12 +20,12 @@
 from lotushill.routing.team import team_number
 from lotushill.shares.ledger import AccountKey
 from lotushill.shares.ledger import Ledger
-from lotushill.shares.ledger import Part
+from lotushill.shares.ledger import TeamWork
 from lotushill.shares.work import predicted_work
 
 if TYPE_CHECKING:
     from lotushill.routing.service import Service
-    from lotushill.shares.work import Placed
+    from lotushill.shares.work import SentRequest
 
 _NEAR = 0.9
 """Of its share, from which a team counts as over it: sums waver with each request."""
@@ -41,10 +41,10 @@
 _LEAST_SHARE = 1e-3
 _MOST_TIMES = 1000.0
 """Told of a team beside others that have had nothing."""
-_NOTHING = Part(0.0, 0.0)
+_NOTHING = TeamWork(0.0, 0.0)
 
 
-class Asked(Protocol):
+class ShareRequest(Protocol):
     """What is known of a request in search of an upstream."""
 
     @property
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Ahead:
+class TeamOverShare:
     """A team that others of its tier go before while a service has too little room."""
 
     service: str
@@ -76,31 +76,31 @@
     """Its standing, times the mean of the others."""
 
 
-class Shares:
+class TeamShares:
     """What teams have had, and who has had too much of it."""
 
     def __init__(self) -> None:
         self._ledger = Ledger()
 
-    def note_ask(self, need: Asked, now: float) -> None:
+    def note_demand(self, need: ShareRequest, now: float) -> None:
         """Learn that a team asks, and its weight."""
         account = self._ledger.account(_key(need))
-        account.asked_at = now
+        account.last_request_at = now
         account.share = max(_LEAST_SHARE, need.share)
 
-    def note_arrival(self, need: Asked, now: float) -> None:
+    def note_arrival(self, need: ShareRequest, now: float) -> None:
         """Count a request that has come, once however often an upstream is looked for."""
         key = _key(need)
-        self._ledger.account(key).served.note_asked(now)
-        self._ledger.served(key).note_asked(now)
+        self._ledger.account(key).served.note_request(now)
+        self._ledger.served(key).note_request(now)
 
-    def note_placed(self, need: Asked, now: float) -> None:
+    def note_placed(self, need: ShareRequest, now: float) -> None:
         """Count a request for which an upstream was chosen."""
         key = _key(need)
         self._ledger.account(key).served.note_placed(now)
         self._ledger.served(key).note_placed(now)
 
-    def note_start(self, placed: Placed, service: Service, now: float) -> None:
+    def note_start(self, placed: SentRequest, service: Service, now: float) -> None:
         """Count in a request that any gateway has sent to an upstream."""
         key = AccountKey(service.name, placed.tier, placed.team)
         work = predicted_work(placed, service)
@@ -112,10 +112,12 @@
 
     def standing(self, service: str, team: str, share: float, now: float) -> float:
         """Return a team's work of a service beside its weight; who has the least goes first."""
-        work = sum(item.work(now) for item in self._ledger.of_team(service, team_number(team)))
+        work = sum(
+            item.work(now) for item in self._ledger.accounts_of_team(service, team_number(team))
+        )
         return work / max(_LEAST_SHARE, share)
 
-    def over_share(self, need: Asked, now: float) -> bool:
+    def is_over_share(self, need: ShareRequest, now: float) -> bool:
         """Return whether another team that asks has to go before this one's request.
 
         True for a team near or over its share that has clearly had more than others that ask, as
@@ -124,25 +126,25 @@
         key = _key(need)
         return self._is_ahead(key, now) and not self._is_starved(key, now)
 
-    def beside_others(self, need: Asked, now: float) -> float:
+    def relative_standing(self, need: ShareRequest, now: float) -> float:
         """Return a team's standing times the mean of the others that ask, 0 where none does."""
         return self._times(_key(need), now)
 
-    def ahead_by(self, need: Asked, now: float) -> float:
+    def excess_standing(self, need: ShareRequest, now: float) -> float:
         """Return how many times the others' standing a team has that is ahead of them, else 0.
 
         For those who wait for the same room: whoever goes first keeps nobody from going at all.
         """
-        times = self.beside_others(need, now)
+        times = self.relative_standing(need, now)
         if times < _AHEAD or self._is_starved(_key(need), now):
             return 0.0
         return times
 
-    def ahead(self, now: float) -> list[Ahead]:
+    def teams_over_share(self, now: float) -> list[TeamOverShare]:
         """Return the team of each service and tier that others go before while room is short."""
         return [
-            Ahead(key.service, key.tier, key.team, self._times(key, now))
-            for key in self._ledger.largest(now)
+            TeamOverShare(key.service, key.tier, key.team, self._times(key, now))
+            for key in self._ledger.highest_standings(now)
             if self._is_ahead(key, now)
         ]
 
@@ -157,20 +159,20 @@
             return False
         level = standing / _NEAR
         # With `level` for everybody, less could be taken from others than this team lacks to it.
-        teams = self._ledger.asking(key, now).teams
+        teams = self._ledger.active_teams(key, now).teams
         above = sum(_over(part, level) for team, part in teams.items() if team != key.team)
         return above <= level * own.share - own.work(now)
 
     def _mean_of_others(self, key: AccountKey, now: float) -> float:
         """Return the mean standing of the others that ask, by weight; endless without any."""
-        asking = self._ledger.asking(key, now)
+        asking = self._ledger.active_teams(key, now)
         own = asking.teams.get(key.team, _NOTHING)
         share = asking.share - own.share
         return max(0.0, asking.work - own.work) / share if share > _LEAST_SHARE / 2 else math.inf
 
     def _is_starved(self, key: AccountKey, now: float) -> bool:
-        own = self._ledger.account(key).served.part(now)
-        all_teams = self._ledger.served(key).part(now)
+        own = self._ledger.account(key).served.placed_fraction(now)
+        all_teams = self._ledger.served(key).placed_fraction(now)
         if own is None or all_teams is None:
             return False
         return own < _LEAST_SERVED * all_teams
@@ -180,10 +182,10 @@
         return self._ledger.account(key).standing(now) / mean if mean > 0.0 else _MOST_TIMES
 
 
-def _over(part: Part, level: float) -> float:
+def _over(part: TeamWork, level: float) -> float:
     """Return the work that a team has had over a level beside its weight."""
     return max(0.0, part.work - level * part.share)
 
 
-def _key(need: Asked) -> AccountKey:
+def _key(need: ShareRequest) -> AccountKey:
     return AccountKey(need.service, need.tier, team_number(need.team))
--- a/src/lotushill/shares/work.py
+++ b/src/lotushill/shares/work.py
@@ -14,7 +14,7 @@
 """So that no request is free."""
 
 
-class Placed(Protocol):
+class SentRequest(Protocol):
     """What is known of a request that was sent to an upstream."""
 
     @property
@@ -30,7 +30,7 @@
         """0 is the most urgent."""
 
     @property
-    def reading(self) -> int:
+    def prefill_tokens(self) -> int:
         """Prompt tokens that have to be read."""
 
     @property
@@ -50,7 +50,7 @@
         """How long it has run already, in seconds."""
 
 
-def predicted_work(placed: Placed, service: Service) -> float:
+def predicted_work(placed: SentRequest, service: Service) -> float:
     """Return what a request is expected to cost: tokens at an engine, seconds at plain services.
 
     Only requests of one service are compared with each other.
@@ -58,4 +58,4 @@
     if service.engine is None:
         return max(_LEAST_WORK, placed.seconds)
     made = max(0, placed.memory - placed.prompt)
-    return max(_LEAST_WORK, placed.reading + _OUTPUT_WORTH * made)
+    return max(_LEAST_WORK, placed.prefill_tokens + _OUTPUT_WORTH * made)
--- a/src/lotushill/standin/engine_app.py
+++ b/src/lotushill/standin/engine_app.py
@@ -7,7 +7,7 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from lotushill.placement.kept_parts import KeptParts
+from lotushill.placement.prefix_cache_model import PrefixCacheModel
 from lotushill.platform import names
 from lotushill.platform.request_head import read_demand
 from lotushill.standin.batch import Batch
@@ -39,7 +39,7 @@
         super().__init__(settings.name)
         self._settings = settings
         self._batch = Batch(settings.slots, settings.prefill_per_step)
-        self._kept = KeptParts()
+        self._kept = PrefixCacheModel()
         self._jobs: dict[str, _Job] = {}
         self.read_tokens = 0
         """Prompt tokens that were read, those found kept not counted."""
@@ -80,7 +80,7 @@
             del self._jobs[demand.request_id]
 
     def _let_in(self, demand: Demand, headers: dict[str, str], length: int) -> None:
-        unread = max(0, demand.prompt_tokens - self._kept.matched(demand.parts))
+        unread = max(0, demand.prompt_tokens - self._kept.matched_tokens(demand.parts))
         self._kept.touch(demand.parts, self._settings.memory_tokens)
         self.read_tokens += unread
         priority = int(headers.get(names.PRIORITY, _USUAL_PRIORITY))
--- a/src/lotushill/starting/draw.py
+++ b/src/lotushill/starting/draw.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class UpstreamCredit:
     """What this gateway has seen of an upstream since its start."""
 
     upstream: Upstream
@@ -35,7 +35,7 @@
         return _FIRST_CREDIT + self.answered - self.unanswered
 
 
-def draw(seen: Sequence[Seen], rng: random.Random) -> list[Upstream]:
+def draw_upstream(seen: Sequence[UpstreamCredit], rng: random.Random) -> list[Upstream]:
     """Return the one to take, none of none.
 
     Without credit anywhere it is one of those with the most: no request is refused since too
--- a/src/lotushill/starting/patience.py
+++ b/src/lotushill/starting/ready_wait.py
@@ -7,23 +7,27 @@
 
 from __future__ import annotations
 
-LONGEST_WAIT = 0.6
+MAX_READY_WAIT_SECONDS = 0.6
 """Seconds that a request waits for readiness: what is missing comes within some tenths, and clients
 leave a host that does not read their request within a second."""
 _WAIT_SHARE = 0.2
 """Of the time that its client has left; clients leave after a third."""
-MOST_WAITING = 256
+MAX_WAITING_REQUESTS = 256
 """Requests that wait at one gateway, with their heads only."""
 _SHORTEST_RETRY = 0.25
 _LONGEST_RETRY = 1.0
 """Seconds between which those who are turned away come back."""
 
 
-def ready_wait(time_left: float) -> float:
+def ready_wait_seconds(time_left: float) -> float:
     """Return how many seconds a request may wait; `time_left` is 0 where its client tells none."""
-    return min(LONGEST_WAIT, _WAIT_SHARE * time_left) if time_left > 0.0 else LONGEST_WAIT
+    return (
+        min(MAX_READY_WAIT_SECONDS, _WAIT_SHARE * time_left)
+        if time_left > 0.0
+        else MAX_READY_WAIT_SECONDS
+    )
 
 
-def ready_retry(spread: float) -> float:
+def ready_retry_after_seconds(spread: float) -> float:
     """Return after how many seconds to come back; `spread`, from 0 to 1, is drawn for each."""
     return _SHORTEST_RETRY + (_LONGEST_RETRY - _SHORTEST_RETRY) * spread
--- a/src/lotushill/starting/knowledge.py
+++ b/src/lotushill/starting/startup_phase.py
@@ -8,14 +8,14 @@
 
 from __future__ import annotations
 
-START_SECONDS = 5.0
+STARTUP_SECONDS = 5.0
 """After its start a gateway counts as new for so long: members find each other within a second, a
 model is pulled within 1.5 s more. Later, few members are a cut, and its side is known."""
 _KNOWN_SHARE = 0.5
 """Of the gateways that are registered: with more of them heard, their news tell what runs."""
 
 
-class Start:
+class StartupPhase:
     """The start of one gateway."""
 
     def __init__(self, small_fleet: int, started_at: float) -> None:
@@ -25,7 +25,7 @@
 
     def is_new(self, now: float) -> bool:
         """Return whether the start is so lately that little may be known."""
-        return now - self._started_at < START_SECONDS
+        return now - self._started_at < STARTUP_SECONDS
 
     def knows_fleet(self, heard: int, registered: int, has_model: bool, now: float) -> bool:
         """Return whether to choose by the own model.
--- a/src/lotushill/waiting/line.py
+++ b/src/lotushill/waiting/admission_queue.py
@@ -16,14 +16,14 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.precedence import Precedence
-from lotushill.waiting.entry import Held
+from lotushill.waiting.entry import Queued
 from lotushill.waiting.open_engines import OpenEngines
+from lotushill.waiting.ordering_inputs import EqualShares
+from lotushill.waiting.ordering_inputs import NoReturns
 from lotushill.waiting.pressure import Pressure
+from lotushill.waiting.queued_requests import QueuedRequests
 from lotushill.waiting.release_rate import ReleaseRate
-from lotushill.waiting.room import WaitingRoom
-from lotushill.waiting.standing import EqualShares
-from lotushill.waiting.standing import NobodyReturns
-from lotushill.waiting.time_left import TimeLeft
+from lotushill.waiting.wait_limits import WaitLimits
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -32,10 +32,10 @@
     from lotushill.placement.fleet import Fleet
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
-    from lotushill.waiting.entry import Waiting
-    from lotushill.waiting.standing import Returning
-    from lotushill.waiting.standing import Standing
-    from lotushill.waiting.turns import Rivals
+    from lotushill.waiting.entry import QueueEntry
+    from lotushill.waiting.ordering_inputs import PromisedReturns
+    from lotushill.waiting.ordering_inputs import TeamStandings
+    from lotushill.waiting.slot_turns import RemoteQueues
 
     Order = tuple[int, bool, bool, float, float]
 
@@ -53,26 +53,26 @@
 """When to come back is told with the final answer alone."""
 
 
-class WaitingLine:
+class AdmissionQueue:
     """Decides for one gateway that places requests, its own and those of others."""
 
     def __init__(
         self,
         fleet: Fleet,
-        rivals: Rivals,
-        shares: Standing | None = None,
-        returns: Returning | None = None,
+        remote_queues: RemoteQueues,
+        shares: TeamStandings | None = None,
+        returns: PromisedReturns | None = None,
     ) -> None:
         self._fleet = fleet
-        self.rivals = rivals
-        self.engines = OpenEngines(fleet, rivals)
-        self.room = WaitingRoom()
-        self._time = TimeLeft(fleet)
+        self.remote_queues = remote_queues
+        self.engines = OpenEngines(fleet, remote_queues)
+        self.requests = QueuedRequests()
+        self._time = WaitLimits(fleet)
         self._pressure = Pressure()
         self._rates: dict[str, ReleaseRate] = {}
         self._next_sweep: dict[str, float] = {}
         self._shares = shares or EqualShares()
-        self._returns = returns or NobodyReturns()
+        self._returns = returns or NoReturns()
         self._standings: dict[tuple[str, int, str], float] = {}
         self._standings_at = float("-inf")
         self.held = 0
@@ -86,18 +86,18 @@
 
     def place(
         self,
-        entry: Waiting,
+        entry: QueueEntry,
         service: Service,
         upstreams: Sequence[Upstream],
         now: float,
-    ) -> Choice | NoChoice | Held:
+    ) -> Choice | NoChoice | Queued:
         """Return where a request goes, that it waits, or why it does neither."""
         if service.engine is None:
             need = entry.need_at(now)
             return self._fleet.choose(need, service, upstreams, entry.excluded, now)
-        if self.room.find(entry.key) is not None:
+        if self.requests.find(entry.key) is not None:
             return self._renew(entry, now)
-        early = self._fleet.shedding.early(entry.need_at(now), now)
+        early = self._fleet.shedding.refuse_early(entry.need_at(now), now)
         if early is not None:
             return early
         found = self._look(entry, service, upstreams, now, new=True)
@@ -110,14 +110,14 @@
             return found
         if not self._time.is_worth_waiting(entry, self._likely_wait(entry, now), now):
             return self._give_up(entry, found, now)
-        if not self.room.add(entry):
+        if not self.requests.add(entry):
             return self._give_up(entry, found, now)
         self.held += 1
         self._fleet.shedding.returns.note_scarce(entry.need.service, entry.need.tier, now)
-        return Held()
+        return Queued()
 
     def _queued(
-        self, entry: Waiting, service: Service, upstreams: Sequence[Upstream], now: float
+        self, entry: QueueEntry, service: Service, upstreams: Sequence[Upstream], now: float
     ) -> Choice | None:
         """Return an engine in whose queue a short request is still in time, None without one.
 
@@ -128,23 +128,23 @@
         if self._fleet.shedding.is_long(need) or self._stands_behind(entry, now):
             return None
         found = self._fleet.choose(need, service, upstreams, entry.excluded, now)
-        if isinstance(found, Choice) and found.first <= need.target - need.waited:
+        if isinstance(found, Choice) and found.first_event_seconds <= need.target - need.waited:
             return found
         return None
 
-    def _renew(self, entry: Waiting, now: float) -> Held | NoChoice:
+    def _renew(self, entry: QueueEntry, now: float) -> Queued | NoChoice:
         """Note that a request is still asked for, and what of it has changed."""
-        if not self._time.is_overdue(entry, now) and self.room.add(entry):
-            return Held()
+        if not self._time.is_overdue(entry, now) and self.requests.add(entry):
+            return Queued()
         self.given_up += 1
         return self._give_up(entry, _NO_ROOM, now)
 
-    def _is_pressed(self, entry: Waiting, now: float) -> bool:
-        return self._pressure.bears_on(entry.need.service, entry.need.tier, now)
+    def _is_pressed(self, entry: QueueEntry, now: float) -> bool:
+        return self._pressure.applies_to(entry.need.service, entry.need.tier, now)
 
     def _look(
         self,
-        entry: Waiting,
+        entry: QueueEntry,
         service: Service,
         upstreams: Sequence[Upstream],
         now: float,
@@ -162,18 +162,18 @@
             return _NO_ROOM
         return self._fleet.choose(need, service, upstreams, entry.excluded, now, closed)
 
-    def _give_up(self, entry: Waiting, found: NoChoice, now: float) -> NoChoice:
+    def _give_up(self, entry: QueueEntry, found: NoChoice, now: float) -> NoChoice:
         """Return the final answer of one that waits no longer, or not at all."""
-        self.room.drop(entry.key)
-        wait = max(found.wait, self._likely_wait(entry, now))
-        refused = self._fleet.shedding.give_up(entry.need_at(now), found.refusal, wait, now)
+        self.requests.drop(entry.key)
+        wait = max(found.wait_seconds, self._likely_wait(entry, now))
+        refused = self._fleet.shedding.refuse_finally(entry.need_at(now), found.refusal, wait, now)
         return replace(refused, standing=found.standing)
 
     # What waits
 
     def due(
         self, service: Service, upstreams: Sequence[Upstream], now: float
-    ) -> Iterator[tuple[Waiting, Choice | NoChoice]]:
+    ) -> Iterator[tuple[QueueEntry, Choice | NoChoice]]:
         """Yield what is placed or given up now, in order.
 
         Whoever is placed has to be counted in before the next one is asked for.
@@ -181,7 +181,9 @@
         if not self._any_open(service, upstreams, now):
             yield from self._overdue(service, now)
             return
-        entries = sorted(self.room.of(service.name), key=lambda entry: self._order(entry, now))
+        entries = sorted(
+            self.requests.for_service(service.name), key=lambda entry: self._order(entry, now)
+        )
         passed_over: set[tuple[int, str]] = set()
         looks = 0
         for entry in entries:
@@ -194,8 +196,8 @@
             found = self._look(entry, service, upstreams, now)
             if isinstance(found, Choice) and self._keeps_more(entry, found, service, upstreams):
                 passed_over.add(kind)
-            elif isinstance(found, Choice) and not self._time.comes_too_late(entry, found, now):
-                self.room.drop(entry.key)
+            elif isinstance(found, Choice) and not self._time.is_too_late(entry, found, now):
+                self.requests.drop(entry.key)
                 self.placed += 1
                 self._pressure.note(entry, now)
                 self._note_placed(entry, found, now)
@@ -205,14 +207,14 @@
         yield from self._overdue(service, now)
 
     def _keeps_more(
-        self, entry: Waiting, choice: Choice, service: Service, upstreams: Sequence[Upstream]
+        self, entry: QueueEntry, choice: Choice, service: Service, upstreams: Sequence[Upstream]
     ) -> bool:
         """Return whether more slots than usual are kept from a long request that has waited.
 
         Those that wait are ready at each moment, and fill what is left up to the reserve, where
         newcomers leave some of it to chance. What they take is gone for as long as they run.
         """
-        if service.engine is None or choice.seconds < _LONG_RUN_SECONDS:
+        if service.engine is None or choice.answer_seconds < _LONG_RUN_SECONDS:
             return False
         if not self._fleet.shedding.is_long(entry.need):
             return False
@@ -222,29 +224,29 @@
 
     def _any_open(self, service: Service, upstreams: Sequence[Upstream], now: float) -> bool:
         """Return whether an engine has room for the most urgent that wait."""
-        most_urgent = min(self.room.tiers(service.name), default=None)
+        most_urgent = min(self.requests.tiers(service.name), default=None)
         if most_urgent is None:
             return False
         return len(self.engines.closed(service, most_urgent, upstreams, now)) < len(upstreams)
 
-    def _overdue(self, service: Service, now: float) -> Iterator[tuple[Waiting, NoChoice]]:
+    def _overdue(self, service: Service, now: float) -> Iterator[tuple[QueueEntry, NoChoice]]:
         """Yield those for which waiting on is of no use."""
         if now < self._next_sweep.get(service.name, 0.0):
             return
         self._next_sweep[service.name] = now + _SWEEP_SECONDS
-        for entry in self.room.of(service.name):
+        for entry in self.requests.for_service(service.name):
             if self._time.is_overdue(entry, now):
                 self.given_up += 1
                 self._pressure.note(entry, now)
                 yield entry, self._give_up(entry, _NO_ROOM, now)
 
-    def _note_placed(self, entry: Waiting, choice: Choice, now: float) -> None:
+    def _note_placed(self, entry: QueueEntry, choice: Choice, now: float) -> None:
         self.engines.note_taken(choice.upstream.id, now)
         self._rates.setdefault(entry.need.service, ReleaseRate()).note(entry.need.tier, now)
 
     # Order and time
 
-    def _order(self, entry: Waiting, now: float) -> Order:
+    def _order(self, entry: QueueEntry, now: float) -> Order:
         """Return the place in line: of one tier, those that can still be in time go first."""
         need = entry.need
         standing = self._standing(entry, now)
@@ -253,12 +255,12 @@
             # Of a team over its share nobody goes before newcomers of others.
             newcomer=standing > 0.0 or not self._returns.is_due(need.caller, now),
             standing=standing,
-            since=entry.since,
+            arrived_at=entry.arrived_at,
         )
-        late = now >= self._time.in_time_until(entry) and not self._is_pressed(entry, now)
-        return (place.tier, late, place.newcomer, place.standing, place.since)
+        late = now >= self._time.on_time_until(entry) and not self._is_pressed(entry, now)
+        return (place.tier, late, place.newcomer, place.standing, place.arrived_at)
 
-    def _standing(self, entry: Waiting, now: float) -> float:
+    def _standing(self, entry: QueueEntry, now: float) -> float:
         """Return what the team of a request has had, worked out once for a moment."""
         if now != self._standings_at:
             self._standings_at = now
@@ -267,18 +269,18 @@
         key = (need.service, need.tier, need.team)
         found = self._standings.get(key)
         if found is None:
-            found = self._standings[key] = self._shares.ahead_by(need, now)
+            found = self._standings[key] = self._shares.excess_standing(need, now)
         return found
 
-    def _stands_behind(self, entry: Waiting, now: float) -> bool:
+    def _stands_behind(self, entry: QueueEntry, now: float) -> bool:
         """Return whether any that waits goes before a new request."""
-        others = self.room.of(entry.need.service)
+        others = self.requests.for_service(entry.need.service)
         if not others:
             return False
         own = self._order(entry, now)
         return any(self._order(other, now) < own for other in others)
 
-    def _likely_wait(self, entry: Waiting, now: float) -> float:
+    def _likely_wait(self, entry: QueueEntry, now: float) -> float:
         """Return how long the line before a request takes.
 
         Of a line that has just begun the worst is expected for long requests, since they may come
@@ -288,6 +290,6 @@
         rate = self._rates.setdefault(need.service, ReleaseRate())
         if not rate.is_known(now) and not self._fleet.shedding.is_long(need):
             return 0.0
-        tiers = self.room.tiers(need.service)
+        tiers = self.requests.tiers(need.service)
         more_urgent = sum(count for tier, count in tiers.items() if tier < need.tier)
-        return rate.wait(need.tier, more_urgent, tiers.get(need.tier, 0), now)
+        return rate.expected_wait(need.tier, more_urgent, tiers.get(need.tier, 0), now)
--- a/src/lotushill/waiting/open_engines.py
+++ b/src/lotushill/waiting/open_engines.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from lotushill.waiting.turns import Turns
+from lotushill.waiting.slot_turns import SlotTurns
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -14,7 +14,7 @@
     from lotushill.placement.upstream_load import UpstreamLoad
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
-    from lotushill.waiting.turns import Rivals
+    from lotushill.waiting.slot_turns import RemoteQueues
 
 _SOON_SECONDS = 0.1
 """A slot that comes free within this is filled now, so that it is not empty until all have heard of
@@ -24,10 +24,10 @@
 class OpenEngines:
     """Finds engines with free slots, as the model of all that run tells, that are to be filled."""
 
-    def __init__(self, fleet: Fleet, rivals: Rivals) -> None:
+    def __init__(self, fleet: Fleet, rivals: RemoteQueues) -> None:
         self._fleet = fleet
         self._rivals = rivals
-        self._turns = Turns(rivals)
+        self._turns = SlotTurns(rivals)
 
     def closed(
         self, service: Service, tier: int, upstreams: Sequence[Upstream], now: float
@@ -35,11 +35,11 @@
         """Return the engines that are to be sent nothing of a tier from here now."""
         if service.engine is None:
             return frozenset()
-        contested = self._rivals.any(service.name, now)
+        contested = self._rivals.has_waiting(service.name, now)
         closed = []
         for item in upstreams:
             free = _free(self._fleet.load(item.id), tier, service.engine.slots)
-            self._turns.look(item.id, free, now)
+            self._turns.note_free_slots(item.id, free, now)
             if free > 0 and contested:
                 free *= self._turns.may_take(service.name, tier, item.id, free, now)
             if free <= 0:
@@ -57,6 +57,6 @@
 
 def _free(load: UpstreamLoad, tier: int, slots: int) -> int:
     """Return how many slots of an engine are free for a tier, or will be within moments."""
-    usual = load.usual_seconds
+    usual = load.mean_expected_seconds
     soon = math.floor(slots * _SOON_SECONDS / usual) if usual > 0.0 else 0
-    return slots + soon - load.before(tier)
+    return slots + soon - load.count_before(tier)
--- a/src/lotushill/waiting/standing.py
+++ b/src/lotushill/waiting/ordering_inputs.py
@@ -9,17 +9,17 @@
     from lotushill.placement.need import Need
 
 
-class Standing(Protocol):
+class TeamStandings(Protocol):
     """Tells what teams have had of late beside their shares."""
 
-    def ahead_by(self, need: Need, now: float) -> float:
+    def excess_standing(self, need: Need, now: float) -> float:
         """Return how far the team of a request is over its share, 0 if it is not.
 
         Whoever is less ahead goes first.
         """
 
 
-class Returning(Protocol):
+class PromisedReturns(Protocol):
     """Tells who comes back as it was told to."""
 
     def is_due(self, caller: int, now: float) -> bool:
@@ -29,13 +29,13 @@
 class EqualShares:
     """All teams stand alike."""
 
-    def ahead_by(self, need: Need, now: float) -> float:
+    def excess_standing(self, need: Need, now: float) -> float:
         """Return the same for all."""
         del need, now
         return 0.0
 
 
-class NobodyReturns:
+class NoReturns:
     """All are newcomers."""
 
     def is_due(self, caller: int, now: float) -> bool:
--- a/src/lotushill/waiting/room.py
+++ b/src/lotushill/waiting/queued_requests.py
@@ -10,25 +10,27 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from lotushill.waiting.entry import Waiting
+    from lotushill.waiting.entry import QueueEntry
 
-MOST_WAITING = 2000
+MAX_QUEUED_REQUESTS = 2000
 """Of one gateway: eight schedulers hold what a fleet is asked for in some ten seconds."""
-MOST_BYTES = 4_000_000
+MAX_QUEUED_BYTES = 4_000_000
 _ENTRY_BYTES = 600
 _PART_BYTES = 80
 _EXCLUDED_BYTES = 100
 """What a request in line, each part of its prompt and each upstream excluded take of memory."""
 
 
-class WaitingRoom:
+class QueuedRequests:
     """Holds requests by their key, those of each service apart."""
 
-    def __init__(self, most: int = MOST_WAITING, most_bytes: int = MOST_BYTES) -> None:
-        self._most = most
-        self._most_bytes = most_bytes
-        self._entries: dict[int, Waiting] = {}
-        self._services: dict[str, dict[int, Waiting]] = {}
+    def __init__(
+        self, max_requests: int = MAX_QUEUED_REQUESTS, max_bytes: int = MAX_QUEUED_BYTES
+    ) -> None:
+        self._most = max_requests
+        self._most_bytes = max_bytes
+        self._entries: dict[int, QueueEntry] = {}
+        self._services: dict[str, dict[int, QueueEntry]] = {}
         self._tiers: dict[str, Counter[int]] = {}
         self.bytes = 0
         """Memory that the requests in line take, as reckoned."""
@@ -38,7 +40,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def find(self, key: int) -> Waiting | None:
+    def find(self, key: int) -> QueueEntry | None:
         """Return a request that waits, None where none does."""
         return self._entries.get(key)
 
@@ -46,7 +48,7 @@
         """Return the services for which requests wait."""
         return [name for name, held in self._services.items() if held]
 
-    def of(self, service: str) -> list[Waiting]:
+    def for_service(self, service: str) -> list[QueueEntry]:
         """Return all that waits for a service, in no order."""
         return list(self._services.get(service, {}).values())
 
@@ -59,7 +61,7 @@
         counts = self._tiers.get(service, Counter())
         return {tier: count for tier, count in counts.items() if count}
 
-    def add(self, entry: Waiting) -> bool:
+    def add(self, entry: QueueEntry) -> bool:
         """Take in a request, or its renewal; return False where there is no more room."""
         former = self._entries.get(entry.key)
         taken = _bytes(entry) - (_bytes(former) if former else 0)
@@ -76,7 +78,7 @@
             self._tiers.setdefault(entry.need.service, Counter())[entry.need.tier] += 1
         return True
 
-    def drop(self, key: int) -> Waiting | None:
+    def drop(self, key: int) -> QueueEntry | None:
         """Take a request out of line, since it was placed, refused or given up."""
         entry = self._entries.pop(key, None)
         if entry is not None:
@@ -88,16 +90,16 @@
     def expire(self, now: float) -> list[int]:
         """Take out what its gateway no longer asks for, and return the keys of these."""
         gone = [
-            entry.key for entry in self._entries.values() if now - entry.renewed > EXPIRY_SECONDS
+            entry.key for entry in self._entries.values() if now - entry.renewed_at > EXPIRY_SECONDS
         ]
         for key in gone:
             self.drop(key)
         return gone
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueueEntry]:
         return iter(self._entries.values())
 
 
-def _bytes(entry: Waiting) -> int:
+def _bytes(entry: QueueEntry) -> int:
     parts = _PART_BYTES * len(entry.need.parts)
     return _ENTRY_BYTES + parts + _EXCLUDED_BYTES * len(entry.excluded)
--- a/src/lotushill/waiting/release_rate.py
+++ b/src/lotushill/waiting/release_rate.py
@@ -29,7 +29,7 @@
         self._asked_at = now
         return now - self._asked_since >= _SPAN_SECONDS
 
-    def wait(self, tier: int, more_urgent: int, before: int, now: float) -> float:
+    def expected_wait(self, tier: int, more_urgent: int, before: int, now: float) -> float:
         """Return how long one of a tier waits behind so many, in seconds.
 
         `more_urgent` ones take what all tiers get, the `before` of its own tier what is left.
--- a/src/lotushill/waiting/turns.py
+++ b/src/lotushill/waiting/slot_turns.py
@@ -19,7 +19,7 @@
 
 TURN_SECONDS = 0.04
 """Until others have heard that a slot was taken: a batch, two ways, and some leeway."""
-NEWS_SECONDS = 0.05
+QUEUE_REPORT_INTERVAL_SECONDS = 0.05
 """Between two tellings of one scheduler of how many wait."""
 _FRESH_SECONDS = 0.2
 """What was told longer ago is no longer true: three tellings may be lost."""
@@ -34,14 +34,14 @@
     at: float
 
 
-class Rivals:
+class RemoteQueues:
     """What other schedulers hold in line, as they tell."""
 
     def __init__(self, own: str) -> None:
         self._own = own
         self._told: dict[str, dict[str, _Told]] = {}
 
-    def note(self, sender: str, service: str, tiers: dict[int, int], now: float) -> None:
+    def set_counts(self, sender: str, service: str, tiers: dict[int, int], now: float) -> None:
         """Take in how many of each tier wait at another scheduler."""
         self._told.setdefault(service, {})[sender] = _Told(tiers, now)
 
@@ -50,11 +50,11 @@
         for told in self._told.values():
             told.pop(sender, None)
 
-    def any(self, service: str, now: float) -> bool:
+    def has_waiting(self, service: str, now: float) -> bool:
         """Return whether requests wait at others."""
         return any(told.tiers for told in self._fresh(service, now).values())
 
-    def order(self, service: str, tier: int, upstream: str, now: float) -> tuple[int, int]:
+    def rank_for_slot(self, service: str, tier: int, upstream: str, now: float) -> tuple[int, int]:
         """Return the own place for a slot of an upstream, and among how many.
 
         Whoever holds more urgent ones goes before, whoever has less urgent ones alone has no part.
@@ -74,16 +74,16 @@
         return {name: item for name, item in told.items() if now - item.at <= _FRESH_SECONDS}
 
 
-class Turns:
+class SlotTurns:
     """Which free slots of each engine are this gateway's to fill."""
 
-    def __init__(self, rivals: Rivals) -> None:
+    def __init__(self, rivals: RemoteQueues) -> None:
         self._rivals = rivals
         self._free_since: dict[str, float] = {}
         self._looked_at: dict[str, float] = {}
         self._taken: dict[str, list[float]] = {}
 
-    def look(self, upstream: str, free: int, now: float) -> None:
+    def note_free_slots(self, upstream: str, free: int, now: float) -> None:
         """Note how many slots are free at an engine.
 
         One that was not looked at for a while may have been full or away, and counts as just freed.
@@ -103,7 +103,7 @@
         """Return whether one more of the free slots of an engine is to be filled from here."""
         if free <= 0:
             return False
-        place, count = self._rivals.order(service, tier, upstream, now)
+        place, count = self._rivals.rank_for_slot(service, tier, upstream, now)
         if count == 1:
             return True
         taken = self._recent(upstream, now)
--- a/tests/availability/test_newest_first.py
+++ b/tests/availability/test_newest_first.py
@@ -25,8 +25,8 @@
 
     def test_who_tells_of_the_newest_has_told_what_matters(self) -> None:
         newest = self.names[-8:]
-        self.assertTrue(self.order.is_told(newest))
-        self.assertFalse(self.order.is_told(newest[1:] + self.names[:8]))
+        self.assertTrue(self.order.covers_newest(newest))
+        self.assertFalse(self.order.covers_newest(newest[1:] + self.names[:8]))
 
     def test_few_are_told_whole_and_what_is_gone_is_not(self) -> None:
         self.assertEqual(["e2", "e1"], self.order.choose(["e1", "e2"]))
--- a/tests/availability/test_patience.py
+++ b/tests/availability/test_wait_policy.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from lotushill.availability.patience import rest_pause
+from lotushill.availability.wait_policy import cooldown_wait
 from lotushill.contracts.yaml_text import parse_file
 from lotushill.load.policy.replay import Replay
 from lotushill.load.policy.scenario import parse_scenario
@@ -20,13 +20,13 @@
 
 class TestRestPause(unittest.TestCase):
     def test_it_waits_for_an_end_within_its_target(self) -> None:
-        self.assertAlmostEqual(0.3, rest_pause(0.3, 0.1, need(0.5)) or 0.0)
+        self.assertAlmostEqual(0.3, cooldown_wait(0.3, 0.1, need(0.5)) or 0.0)
 
     def test_it_is_refused_at_once_where_the_end_is_later(self) -> None:
-        self.assertIsNone(rest_pause(0.5, 0.1, need(0.5)))
+        self.assertIsNone(cooldown_wait(0.5, 0.1, need(0.5)))
 
     def test_the_more_urgent_look_first(self) -> None:
-        pauses = [rest_pause(0.3, 0.0, need(2.0, tier)) or 0.0 for tier in range(3)]
+        pauses = [cooldown_wait(0.3, 0.0, need(2.0, tier)) or 0.0 for tier in range(3)]
         self.assertEqual(sorted(pauses), pauses)
         self.assertEqual(3, len(set(pauses)))
 
--- a/tests/console/test_gateway_program.py
+++ b/tests/console/test_gateway_program.py
@@ -17,8 +17,8 @@
 from lotushill.standin.metadata_app import MetadataApp
 from lotushill.standin.metadata_store import MetadataStore
 from tests.entries import entry
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 from tests.requests.rig import read_answer
 from tests.requests.rig import request_bytes
 
@@ -97,12 +97,12 @@
         self.server.abort()
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
-        await self.upstream.end()
+        await self.upstream.close()
         self.folder.cleanup()
 
-    async def answer(self, seen: Seen) -> None:
+    async def answer(self, seen: ReceivedRequest) -> None:
         await self.proceed.wait()
-        seen.whole()
+        seen.answer_whole()
 
     async def start(self, **changes: object) -> asyncio.subprocess.Process:
         settings = {
@@ -149,7 +149,7 @@
                 b"POST /p/x HTTP/1.1\r\nHost: a.example\r\nAttempt-Id: r1\r\n"
                 b"Authorization: Bearer secret-key\r\nContent-Length: 0\r\n\r\n"
             )
-            while not self.upstream.seen:
+            while not self.upstream.requests:
                 await asyncio.sleep(0.01)
             process.send_signal(signal.SIGTERM)
             while await get_status(self.readiness, "/readyz") == 200:
@@ -174,7 +174,7 @@
             process = await self.start()
             await self.ready(process)
             call = asyncio.create_task(self.call("r1"))
-            while not self.upstream.seen:
+            while not self.upstream.requests:
                 await asyncio.sleep(0.01)
             process.send_signal(signal.SIGTERM)
             while await get_status(self.readiness, "/readyz") == 200:
--- a/tests/console/test_quarantine_commands.py
+++ b/tests/console/test_quarantine_commands.py
@@ -19,7 +19,7 @@
         self.commands = QuarantineCommands(self.client)
 
     def put(self, name: str, since: float) -> None:
-        self.store.create(KIND, name, StoredHold("bakery", "/p/x", ("i-1", "i-2"), since).spec())
+        self.store.create(KIND, name, StoredHold("bakery", "/p/x", ("i-1", "i-2"), since).to_spec())
 
     async def test_a_line_says_who_sends_it_and_what_ended(self) -> None:
         self.put(ONE, 1.7e9)
--- a/tests/contracts/test_effective.py
+++ b/tests/contracts/test_effective.py
@@ -17,7 +17,7 @@
 from lotushill.routing.route import RouteKind
 from lotushill.routing.route import WeightedService
 from lotushill.routing.team import Team
-from lotushill.routing.urgency import USUAL_TEAM
+from lotushill.routing.urgency import DEFAULT_TEAM_RANK
 from lotushill.routing.urgency import Urgency
 
 LEVELS = ("root", "root service", "root class", "team", "service", "class")
@@ -94,7 +94,7 @@
         self.assertEqual(route(), resolve(Root(), None, route(), None, "svc"))
 
     def test_a_team_is_ordered_within_the_tier_of_its_route(self) -> None:
-        for priority, rank in ((2, 2), (0, 0), (None, USUAL_TEAM)):
+        for priority, rank in ((2, 2), (0, 0), (None, DEFAULT_TEAM_RANK)):
             team = Team("team", (), priority)
             found = resolve(Root(), None, route(), team, "svc").urgency
             self.assertEqual(Urgency(route().urgency.tier, rank), found)
--- a/tests/duties/test_duty_keeper.py
+++ b/tests/duties/test_duty_keeper.py
@@ -179,7 +179,7 @@
         await world.serve(8.0)
         # Only reclaimable engines are available in addition, so only these are ordered again.
         for _ in range(400):
-            holder.work.enter("llm")
+            holder.work.increment_running("llm")
         await world.serve(12.0)
         world.end()
         refused = [
--- a/tests/duties/test_true_time.py
+++ b/tests/duties/test_true_time.py
@@ -27,17 +27,17 @@
     def test_a_minority_of_wrong_clocks_does_not_show(self) -> None:
         truth = 1_000_100.0
         for member, off in (("a", 0.001), ("b", -0.001), ("c", 2.5), ("d", 0.0), ("e", -4.0)):
-            self.time.compare(member, truth + off)
+            self.time.add_sample(member, truth + off)
         self.assertAlmostEqual(self.time.now(), truth, delta=0.002)
 
     def test_process_started_with_a_wrong_clock_follows_the_others(self) -> None:
         self.clocks.off = 5.0
         time = TrueTime(self.clocks.wall, lambda: self.clocks.steady)
         for member in ("a", "b", "c"):
-            time.compare(member, 1_000_100.0)
+            time.add_sample(member, 1_000_100.0)
         self.assertAlmostEqual(time.now(), 1_000_100.0, delta=0.002)
 
     def test_received_time_is_adopted(self) -> None:
-        self.time.adopt(2_000_000.0)
+        self.time.set_time(2_000_000.0)
         self.clocks.steady += 1.5
         self.assertEqual(self.time.now(), 2_000_001.5)
--- a/tests/duties/virtual_duties.py
+++ b/tests/duties/virtual_duties.py
@@ -14,10 +14,10 @@
 from typing import Any
 
 from lotushill.availability.stated_limits import NO_LIMIT
-from lotushill.duties.duty_keeper import DutyKeeper
-from lotushill.duties.ports import FleetSight
+from lotushill.duties.duty_runner import DutyRunner
+from lotushill.duties.ports import FleetAccess
+from lotushill.duties.request_counter import RequestCounter
 from lotushill.duties.true_time import TrueTime
-from lotushill.duties.work_counts import WorkCounts
 from lotushill.event_log import EventLog
 from lotushill.links.messages import MemberPhase
 from lotushill.links.messages import MemberState
@@ -120,22 +120,22 @@
         self.life += 1
         self.alive = True
         self.time = TrueTime(lambda: EPOCH + world.now() + self.clock_step, world.now)
-        self.work = WorkCounts(self.name, WINDOW, self.time, world.now)
+        self.work = RequestCounter(self.name, WINDOW, self.time, world.now)
         self.lines: list[bytes] = []
-        self.keeper = DutyKeeper(
+        self.keeper = DutyRunner(
             self.name,
             self.life,
             DutySettings("10.9.9.9:1", LEASE, world.platform.fenced, WINDOW),
             NodeStore(self),
             NodePlatform(self),
-            FleetSight(
+            FleetAccess(
                 members=self._members,
                 reads_store=lambda: not self.store_cut and self in world.readers(),
                 rank=lambda: world.readers().index(self),
                 services=lambda: [SERVICE],
                 upstreams=world.view,
-                pull=self._send,
-                limit=lambda _: NO_LIMIT,
+                send_pull=self._send,
+                request_rate_limit=lambda _: NO_LIMIT,
                 stream_seconds=lambda _: 1.0,
                 own_pages=self.work.pages,
             ),
@@ -164,7 +164,7 @@
     def begin_request(self, team: str) -> None:
         """Start a request now."""
         if self.alive:
-            self.work.note_began(team)
+            self.work.record_start(team)
             window = int((EPOCH + self.world.now()) // WINDOW)
             counts = self.world.truth.setdefault(window, {})
             counts[team] = counts.get(team, 0) + 1
@@ -191,7 +191,7 @@
     def _arrive(self, message: WorkPull, target: Node) -> None:
         if not target.hears(self):
             return
-        target.time.adopt(message.now)
+        target.time.set_time(message.now)
         for page in target.work.pages(message.since):
             asyncio.get_running_loop().call_later(TRAVEL, self._answered, page, target)
 
--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -30,7 +30,7 @@
 _ENTRIES = "tests.platform.test_upstreams"
 _ASLEEP = "tests.requests.test_suspension"
 _REST = "tests.requests.test_rest"
-_RESTS = "tests.availability.test_rests"
+_RESTS = "tests.availability.test_cooldowns"
 _LEAVING = "tests.requests.test_leaving.TestOneGateway"
 _LEAVING_NEWS = "tests.peering.test_leaving_keeper.TestLeavingKeeper"
 _LIMIT = "tests.requests.test_limit.TestOneGateway"
@@ -325,8 +325,8 @@
             Case(
                 "all rest, and callers wait",
                 (
-                    "tests.availability.test_patience.TestReplay.test_waiting_for_the_first_end_serves_more_than_refusing",
-                    "tests.availability.test_patience.TestRestPause.test_the_more_urgent_look_first",
+                    "tests.availability.test_wait_policy.TestReplay.test_waiting_for_the_first_end_serves_more_than_refusing",
+                    "tests.availability.test_wait_policy.TestRestPause.test_the_more_urgent_look_first",
                 ),
             ),
         ),
@@ -389,7 +389,7 @@
                 (
                     f"{_LIMITS}.TestFaults.test_whatever_happens_to_the_gateways_it_holds",
                     f"{_LIMITS}.TestFaults.test_also_where_the_limit_is_high",
-                    "tests.limits.test_counting.TestCountingGateways.test_the_parts_of_both_sides_of_a_cut_are_no_more_than_all",
+                    "tests.limits.test_limit_owners.TestCountingGateways.test_the_parts_of_both_sides_of_a_cut_are_no_more_than_all",
                 ),
             ),
             Case(
--- a/tests/limits/test_limit_keeper.py
+++ b/tests/limits/test_limit_gossip.py
@@ -11,10 +11,10 @@
 from typing import TYPE_CHECKING
 
 from lotushill.availability.stated_limits import NO_LIMIT
+from lotushill.availability.stated_limits import LimitReport
 from lotushill.availability.stated_limits import StatedLimits
-from lotushill.availability.stated_limits import Word
 from lotushill.event_log import EventLog
-from lotushill.limits.limit_keeper import LimitKeeper
+from lotushill.limits.limit_gossip import LimitGossip
 from lotushill.links.limit_messages import LimitNews
 from lotushill.links.limit_messages import LimitState
 
@@ -32,7 +32,7 @@
     """One gateway: what it believes, its keeper, and when it last looked."""
 
     limits: StatedLimits
-    keeper: LimitKeeper
+    keeper: LimitGossip
     ticks_at: float
 
 
@@ -51,7 +51,7 @@
 
     def join(self) -> None:
         number, limits = len(self.all), StatedLimits()
-        keeper = LimitKeeper(
+        keeper = LimitGossip(
             f"gw-{number}",
             limits,
             lambda news: self._tell(number, news),
@@ -84,12 +84,12 @@
             for gateway in self.all:
                 if self.now >= gateway.ticks_at:
                     gateway.ticks_at += TICK
-                    gateway.keeper.tell_due()
+                    gateway.keeper.send_due()
 
     def answer(self, number: int, rate: float, engine: str = "e1") -> None:
         """Let one gateway have an answer that names a limit, or none."""
-        word = Word(rate, self.now - 0.01, self.now)
-        self.all[number].keeper.hear(engine, word)
+        word = LimitReport(rate, self.now - 0.01, self.now)
+        self.all[number].keeper.note_answer(engine, word)
 
     def rates(self, engine: str = "e1") -> set[float]:
         """Return what the gateways believe."""
--- a/tests/limits/test_counting.py
+++ b/tests/limits/test_limit_owners.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from lotushill.limits.counting import CountingGateways
+from lotushill.limits.limit_owners import LimitOwners
 from lotushill.links.messages import MemberPhase
 from lotushill.links.messages import MemberState
 from lotushill.load.limits.emulated_members import EmulatedMembers
@@ -21,9 +21,9 @@
     ]
 
 
-def seen_by(known: list[MemberState], number: int) -> tuple[EmulatedMembers, CountingGateways]:
+def seen_by(known: list[MemberState], number: int) -> tuple[EmulatedMembers, LimitOwners]:
     members = EmulatedMembers(known[number], [item for item in known if item != known[number]])
-    return members, CountingGateways(members, Schedulers(members), lambda: 0)
+    return members, LimitOwners(members, Schedulers(members), lambda: 0)
 
 
 class TestCountingGateways(unittest.TestCase):
@@ -33,15 +33,15 @@
                 known = states(count)
                 views = [seen_by(known, number)[1] for number in range(count)]
                 for engine in ENGINES:
-                    (found,) = {view.of(engine).name for view in views}
-                    self.assertEqual(engine.hall, views[0].of(engine).hall)
+                    (found,) = {view.owner_of(engine).name for view in views}
+                    self.assertEqual(engine.hall, views[0].owner_of(engine).hall)
                     own = [view.own_name for view in views if view.is_own(engine)]
                     self.assertEqual([found], own)
 
     def test_where_its_hall_has_none_any_other_counts(self) -> None:
         known = [item for item in states(9) if item.hall != "h1"]
         views = [seen_by(known, number)[1] for number in range(len(known))]
-        self.assertEqual(1, len({view.of(ENGINES[1]).name for view in views}))
+        self.assertEqual(1, len({view.owner_of(ENGINES[1]).name for view in views}))
 
     def test_alone_it_counts_itself(self) -> None:
         self.assertTrue(seen_by(states(1), 0)[1].is_own(ENGINES[3]))
@@ -54,9 +54,11 @@
             for item in known:
                 if item not in side:
                     members.lose(item.name)
-            parts.append(counting.part())
+            parts.append(counting.usable_fraction())
         self.assertLessEqual(sum(parts), 1.0 + 1e-9)
 
     def test_those_that_are_registered_and_never_heard_count_as_lost(self) -> None:
         members = EmulatedMembers(states(1)[0], [])
-        self.assertEqual(0.25, CountingGateways(members, Schedulers(members), lambda: 4).part())
+        self.assertEqual(
+            0.25, LimitOwners(members, Schedulers(members), lambda: 4).usable_fraction()
+        )
--- a/tests/limits/test_permit_rank.py
+++ b/tests/limits/test_permit_rank.py
@@ -4,8 +4,8 @@
 
 import unittest
 
+from lotushill.availability.stated_limits import LimitReport
 from lotushill.availability.stated_limits import StatedLimits
-from lotushill.availability.stated_limits import Word
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.placement.fleet import Fleet
 from lotushill.placement.messages import Placed
@@ -25,7 +25,7 @@
         self.ranks = PermitRanks(self.fleet, self.limits, lambda _: UPSTREAMS)
         for route, prompt in (("letters", 6000), ("queries", 600)):
             self.fleet.shedding.usual.note_prompt("llm", route_number(route), prompt, prompt)
-        self.limits.take("e0", Word(1.0, 0.0, 0.1))
+        self.limits.merge("e0", LimitReport(1.0, 0.0, 0.1))
 
     def ranked(self) -> tuple[int, int]:
         self.now += 1.0
@@ -46,7 +46,7 @@
         self.assertEqual((2, 0), self.ranked())
 
     def test_and_where_all_have_limits(self) -> None:
-        self.limits.take("e1", Word(1.0, 0.0, 0.1))
+        self.limits.merge("e1", LimitReport(1.0, 0.0, 0.1))
         self.assertEqual((2, 0), self.ranked())
 
     def test_many_asks_at_one_moment_look_at_the_upstreams_once(self) -> None:
--- a/tests/load/policy/test_uneven_engines.py
+++ b/tests/load/policy/test_uneven_engines.py
@@ -47,8 +47,8 @@
             replay.play()
             for fleet in replay.fleets:
                 with self.subTest(seed=seed):
-                    paces = fleet.engine_paces.of("llm").lasting()
-                    slow = {item.upstream for item in paces if item.steps > 1.5}
+                    paces = fleet.engine_paces.for_service("llm").deviating_paces()
+                    slow = {item.upstream for item in paces if item.step_slowness > 1.5}
                     self.assertEqual(SLOW, slow)
 
     def test_where_engines_are_even_the_choices_are_those_without_lasting_paces(self) -> None:
--- a/tests/moves/reclaim.py
+++ b/tests/moves/reclaim.py
@@ -107,14 +107,14 @@
     now, free = 0.0, 0.0
     while now < NOTICE:
         for ends, seconds in [item for item in under_way if item[0] <= now]:
-            links.give_back("source", seconds)
+            links.release("source", seconds)
             under_way.remove((ends, seconds))
         for run in runs:
             move = (
                 None if run.moved or run.rest <= now else plan_move(run.state(now, copied), engine)
             )
             seconds = copy_seconds(run.state(now, copied).tokens, engine, near=False)
-            if move is None or not links.take("source", seconds, move.within):
+            if move is None or not links.try_reserve("source", seconds, move.time_limit):
                 continue
             free = max(now, free) + seconds
             run.moved, run.done_at = True, free
--- a/tests/moves/test_move_plan.py
+++ b/tests/moves/test_move_plan.py
@@ -9,10 +9,10 @@
 from lotushill.moves.move_plan import Cause
 from lotushill.moves.move_plan import Move
 from lotushill.moves.move_plan import copy_seconds
-from lotushill.moves.move_plan import in_order
-from lotushill.moves.move_plan import outlasts
+from lotushill.moves.move_plan import outlast_probability
 from lotushill.moves.move_plan import plan_move
-from lotushill.moves.notices import USUAL_SECONDS
+from lotushill.moves.move_plan import sort_by_urgency
+from lotushill.moves.notices import DEFAULT_NOTICE_SECONDS
 from lotushill.moves.notices import Notices
 from tests.moves.reclaim import ENGINE
 from tests.moves.reclaim import NOTICE
@@ -26,7 +26,7 @@
         move = plan_move(RUN, ENGINE)
         assert move is not None
         self.assertEqual(Cause.LEAVING, move.cause)
-        self.assertEqual(NOTICE, move.within)
+        self.assertEqual(NOTICE, move.time_limit)
 
     def test_one_that_ends_long_before_stays(self) -> None:
         self.assertIsNone(plan_move(replace(RUN, expected=12, made=8), ENGINE))
@@ -37,7 +37,7 @@
                 move = plan_move(replace(RUN, tokens=tokens, made=made), ENGINE)
                 if move is not None:
                     rest = max(RUN.expected - made, 0.3 * made, 1) * RUN.pause
-                    self.assertGreater(0.9 * outlasts(rest, NOTICE), 2e-5 * tokens)
+                    self.assertGreater(0.9 * outlast_probability(rest, NOTICE), 2e-5 * tokens)
         self.assertIsNone(plan_move(replace(RUN, tokens=60_000), ENGINE))
 
     def test_a_copy_that_is_not_done_in_time_is_not_begun(self) -> None:
@@ -89,7 +89,7 @@
             "little": Move(Cause.LEAVING, 0.1, 2.0),
             "much": Move(Cause.LEAVING, 0.8, 2.0),
         }
-        order = [name for name, _ in in_order(moves.items())]
+        order = [name for name, _ in sort_by_urgency(moves.items())]
         self.assertEqual(["much", "little", "slow"], order)
 
 
@@ -116,35 +116,35 @@
 class TestNotices(unittest.TestCase):
     def test_the_first_word_counts_and_a_named_time_only_shortens_it(self) -> None:
         notices = Notices()
-        self.assertIsNone(notices.left("a", 0.0))
+        self.assertIsNone(notices.seconds_left("a", 0.0))
         notices.note("a", None, 10.0)
         notices.note("a", None, 11.0)
-        self.assertAlmostEqual(USUAL_SECONDS - 1.0, notices.left("a", 11.0) or 0.0)
+        self.assertAlmostEqual(DEFAULT_NOTICE_SECONDS - 1.0, notices.seconds_left("a", 11.0) or 0.0)
         notices.note("a", 0.4, 11.0)
-        self.assertAlmostEqual(0.4, notices.left("a", 11.0) or 0.0)
+        self.assertAlmostEqual(0.4, notices.seconds_left("a", 11.0) or 0.0)
         notices.note("a", 9.0, 11.1)
-        self.assertAlmostEqual(0.3, notices.left("a", 11.1) or 0.0)
-        self.assertEqual(0.0, notices.left("a", 20.0))
+        self.assertAlmostEqual(0.3, notices.seconds_left("a", 11.1) or 0.0)
+        self.assertEqual(0.0, notices.seconds_left("a", 20.0))
 
     def test_lives_that_are_gone_are_forgotten(self) -> None:
         notices = Notices()
         notices.note("a", None, 0.0)
         notices.forget({"b"})
-        self.assertIsNone(notices.left("a", 0.0))
+        self.assertIsNone(notices.seconds_left("a", 0.0))
 
 
 class TestMoveLinks(unittest.TestCase):
     def test_what_would_not_be_done_behind_the_others_is_not_begun(self) -> None:
         links = MoveLinks()
-        self.assertTrue(links.take("a", 0.8, 2.0))
-        self.assertTrue(links.take("a", 0.8, 2.0))
-        self.assertFalse(links.take("a", 0.8, 2.0))
-        self.assertTrue(links.take("b", 0.8, 2.0))
-        links.give_back("a", 0.8)
-        self.assertTrue(links.take("a", 0.8, 2.0))
+        self.assertTrue(links.try_reserve("a", 0.8, 2.0))
+        self.assertTrue(links.try_reserve("a", 0.8, 2.0))
+        self.assertFalse(links.try_reserve("a", 0.8, 2.0))
+        self.assertTrue(links.try_reserve("b", 0.8, 2.0))
+        links.release("a", 0.8)
+        self.assertTrue(links.try_reserve("a", 0.8, 2.0))
 
     def test_few_are_under_way_at_one_upstream(self) -> None:
         links = MoveLinks()
-        taken = [links.take("a", 0.001, 2.0) for _ in range(20)]
+        taken = [links.try_reserve("a", 0.001, 2.0) for _ in range(20)]
         self.assertEqual(4, sum(taken))
-        self.assertTrue(links.busy("a"))
+        self.assertTrue(links.is_full("a"))
--- a/tests/moves/test_stalls.py
+++ b/tests/moves/test_stalls.py
@@ -5,42 +5,42 @@
 import random
 import unittest
 
-from lotushill.moves.stalls import LEAST_SECONDS
-from lotushill.moves.stalls import Stalls
-from lotushill.moves.stalls import latest
+from lotushill.moves.stalls import MIN_THRESHOLD_SECONDS
+from lotushill.moves.stalls import StallThresholds
+from lotushill.moves.stalls import max_threshold
 
 GAP = 0.4
 
 
 class TestStalls(unittest.TestCase):
     def test_short_pauses_make_a_stop_known_sooner_than_what_is_in_time_alone(self) -> None:
-        stalls, rng = Stalls(), random.Random(4)
+        stalls, rng = StallThresholds(), random.Random(4)
         for _ in range(3_000):
             stalls.note("s", rng.uniform(0.03, 0.09))
-        self.assertEqual(LEAST_SECONDS, stalls.after("s", GAP))
-        self.assertLess(stalls.after("s", GAP), latest(GAP))
+        self.assertEqual(MIN_THRESHOLD_SECONDS, stalls.threshold("s", GAP))
+        self.assertLess(stalls.threshold("s", GAP), max_threshold(GAP))
 
     def test_a_service_with_long_pauses_is_waited_for(self) -> None:
-        stalls, rng = Stalls(), random.Random(4)
+        stalls, rng = StallThresholds(), random.Random(4)
         for number in range(6_000):
             reading = 0.25 if number % 20 == 0 else 0.0
             stalls.note("s", rng.uniform(0.03, 0.09) + reading)
-        self.assertGreater(stalls.after("s", GAP), 1.0)
-        self.assertLessEqual(stalls.after("s", GAP), latest(GAP))
+        self.assertGreater(stalls.threshold("s", GAP), 1.0)
+        self.assertLessEqual(stalls.threshold("s", GAP), max_threshold(GAP))
 
     def test_disturbed_pauses_are_waited_out(self) -> None:
         """A seventh of the upstreams step two and a half times slower for some hundred ms."""
-        stalls, rng = Stalls(), random.Random(9)
+        stalls, rng = StallThresholds(), random.Random(9)
         taken_for_stopped = 0
         for _ in range(20_000):
             slower = 2.5 if rng.random() < 0.15 else 1.0
             pause = rng.uniform(0.03, 0.09) * slower + (0.1 if rng.random() < 0.05 else 0.0)
-            taken_for_stopped += pause > stalls.after("s", GAP)
+            taken_for_stopped += pause > stalls.threshold("s", GAP)
             stalls.note("s", pause)
         self.assertEqual(0, taken_for_stopped)
 
     def test_a_usual_pause_is_known_from_the_first_on_and_little_moved_by_long_ones(self) -> None:
-        stalls = Stalls()
+        stalls = StallThresholds()
         self.assertIsNone(stalls.usual_pause("s"))
         for _ in range(100):
             stalls.note("s", 0.05)
@@ -48,19 +48,19 @@
         self.assertAlmostEqual(0.05, stalls.usual_pause("s") or 0.0, delta=0.01)
 
     def test_waits_for_a_first_event_are_known_once_enough_were_seen(self) -> None:
-        waits, rng = Stalls(), random.Random(3)
-        self.assertIsNone(waits.after_if_known("s"))
+        waits, rng = StallThresholds(), random.Random(3)
+        self.assertIsNone(waits.threshold_if_known("s"))
         for _ in range(2_000):
             waits.note("s", rng.uniform(0.1, 1.5))
-        self.assertGreater(waits.after_if_known("s") or 0.0, 4.0)
+        self.assertGreater(waits.threshold_if_known("s") or 0.0, 4.0)
 
     def test_it_is_bounded_and_nonsense_teaches_nothing(self) -> None:
-        stalls = Stalls()
+        stalls = StallThresholds()
         before = stalls.long_pause("s")
         for pause in (0.0, -1.0, float("inf"), float("nan")):
             stalls.note("s", pause)
         self.assertEqual(before, stalls.long_pause("s"))
         for _ in range(2_000):
             stalls.note("s", 30.0)
-        self.assertEqual(latest(GAP), stalls.after("s", GAP))
-        self.assertEqual(latest(0.0), stalls.after("s", 0.0))
+        self.assertEqual(max_threshold(GAP), stalls.threshold("s", GAP))
+        self.assertEqual(max_threshold(0.0), stalls.threshold("s", 0.0))
