--- a/tests/peering/test_peers.py
+++ b/tests/peering/test_peers.py
@@ -18,7 +18,7 @@
 from lotushill.membership.schedulers import SCHEDULERS
 from lotushill.peering.peers import PeerHooks
 from lotushill.peering.peers import Peers
-from lotushill.placement.engine_pace import LastingPace
+from lotushill.placement.engine_pace import LongTermPace
 from lotushill.placement.messages import Ended
 from lotushill.placement.messages import Load
 from lotushill.process.settings import GatewaySettings
@@ -47,7 +47,7 @@
 
     def __init__(self, count: int) -> None:
         self.loads: dict[str, list[Load]] = {}
-        self.paces: dict[str, list[LastingPace]] = {}
+        self.paces: dict[str, list[LongTermPace]] = {}
         self.peers: dict[str, Peers] = {}
         self.datagrams = 0
         self.posted: list[tuple[Any, ...]] = []
@@ -82,7 +82,7 @@
             upstream_id={upstream_number("e1"): "e1"}.get,
             on_load=received.append,
             everything=lambda: [Load(name, False, ended=(Ended(7),))],
-            paces=lambda: [LastingPace("e1", 2.0, 1.0)],
+            paces=lambda: [LongTermPace("e1", 2.0, 1.0)],
             on_paces=self.paces.setdefault(name, []).extend,
             on_work_pull=lambda pull: [],
             on_work_page=lambda page: None,
@@ -187,7 +187,7 @@
         ((asker, asked, pull),) = self.network.posted
         self.assertEqual("gw-12", asker)
         self.assertIsInstance(pull, ModelPull)
-        self.assertFalse(newcomer.model_sync.ready())
+        self.assertFalse(newcomer.model_sync.is_ready())
         target = next(item for item in self.network.all() if item.membership.own.name == asked)
         self.network.posted.clear()
         target._on_message("gw-12", pull)
@@ -195,9 +195,9 @@
         self.assertEqual("gw-12", receiver)
         self.assertIsInstance(page, ModelPage)
         newcomer._on_message(asked, page)
-        self.assertTrue(newcomer.model_sync.ready())
+        self.assertTrue(newcomer.model_sync.is_ready())
         self.assertEqual([7], [load.ended[0].request for load in self.network.loads["gw-12"]])
-        self.assertEqual([LastingPace("e1", 2.0, 1.0)], self.network.paces["gw-12"])
+        self.assertEqual([LongTermPace("e1", 2.0, 1.0)], self.network.paces["gw-12"])
         self.network.posted.clear()
         self.network.run(2.0)
         self.assertEqual([], self.network.posted)
--- a/tests/peering/test_return_keeper.py
+++ b/tests/peering/test_return_keeper.py
@@ -14,9 +14,9 @@
 from typing import TYPE_CHECKING
 
 from lotushill.peering.return_keeper import ReturnKeeper
-from lotushill.returns.promise import Asker
-from lotushill.returns.promises import Returns
-from lotushill.returns.schedule import RESERVED_SHARE
+from lotushill.returns.promise import Requester
+from lotushill.returns.promises import ReturnPromises
+from lotushill.returns.schedule import RESERVED_FRACTION
 
 if TYPE_CHECKING:
     from lotushill.links.return_messages import ReturnNews
@@ -52,14 +52,14 @@
     """Schedulers that the others do not hear."""
 
     def __post_init__(self) -> None:
-        self.returns = [Returns() for _ in range(self.count)]
+        self.returns = [ReturnPromises() for _ in range(self.count)]
         self.keepers = [
             ReturnKeeper(f"s{n}", self.returns[n], self._others(n), self._send(n), self._clock)  # type: ignore[arg-type]
             for n in range(self.count)
         ]
         for item in self.returns:
             for number in range(int(2 * ROOM)):
-                item.room.note("llm", 1, number / ROOM)
+                item.start_rate.note("llm", 1, number / ROOM)
 
     def _clock(self) -> float:
         return self.now
@@ -90,9 +90,9 @@
             for _, to, news in due:
                 self.keepers[to].receive(news)
             for item, keeper in zip(self.returns, self.keepers):
-                item.room.note("llm", 1, self.now)
+                item.start_rate.note("llm", 1, self.now)
                 for _ in range(int(ROOM * TICK) - 1):
-                    item.room.note("llm", 1, self.now)
+                    item.start_rate.note("llm", 1, self.now)
                 keeper.tell_due()
 
     def refuse_burst(self) -> dict[int, tuple[float, int]]:
@@ -100,7 +100,7 @@
         due: dict[int, tuple[float, int]] = {}
         for number in range(1, int(REFUSED * BURST) + 1):
             at = self.rng.randrange(self.count)
-            ask = Asker(number, "llm", 1, self.now, TIME_LEFT)
+            ask = Requester(number, "llm", 1, self.now, TIME_LEFT)
             pause = self.returns[at].retry_after(ask, self.rng.random(), self.now)
             due[number] = (self.now + pause, at)
             if number % max(1, int(REFUSED * TICK)) == 0:
@@ -139,7 +139,7 @@
                 due = network.refuse_burst()
                 by_half_second = Counter(int(at * 2) for at, _ in due.values())
                 most = max(by_half_second.values())
-                self.assertLess(most, 1.6 * RESERVED_SHARE * ROOM / 2 + 2)
+                self.assertLess(most, 1.6 * RESERVED_FRACTION * ROOM / 2 + 2)
 
     def test_what_a_killed_scheduler_promised_is_kept_by_the_others(self) -> None:
         network = Network(8, 0.02)
--- a/tests/placement/placing.py
+++ b/tests/placement/placing.py
@@ -17,10 +17,10 @@
     return Placed(
         request,
         choice.upstream.id,
-        choice.reading,
+        choice.prefill_tokens,
         need.prompt_tokens + need.output_tokens,
-        need.gap,
-        choice.seconds,
+        need.target_gap,
+        choice.answer_seconds,
         0.0,
         tuple(part.id for part in need.parts),
         tuple(part.tokens for part in need.parts),
--- a/tests/placement/test_backup.py
+++ b/tests/placement/test_backup.py
@@ -14,7 +14,7 @@
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.upstream import Upstream
 
-ENGINE = EngineProfile(32, 10_000, 3, backups=True)
+ENGINE = EngineProfile(32, 10_000, 3, can_back_up_memory=True)
 
 
 def need(tokens: int) -> Need:
@@ -62,7 +62,7 @@
         loads = {item.id: loaded(tokens) for item, tokens in zip(among, held)}
         chosen = among[index % len(among)]
         found = backup_target(chosen, need(500), ENGINE, among, loads, 0.0)
-        fit = [item for item in among if item != chosen and loads[item.id].memory < 6_400]
+        fit = [item for item in among if item != chosen and loads[item.id].reserved_tokens < 6_400]
         if found is None:
             self.assertEqual([], fit)
             return
--- a/tests/placement/test_engine_pace.py
+++ b/tests/placement/test_engine_pace.py
@@ -6,8 +6,8 @@
 import unittest
 
 from lotushill.placement.engine_pace import EnginePace
-from lotushill.placement.engine_pace import LastingPace
-from lotushill.placement.engine_pace import ServicePaces
+from lotushill.placement.engine_pace import LongTermPace
+from lotushill.placement.engine_pace import ServiceEnginePaces
 
 
 class Engines:
@@ -15,7 +15,7 @@
 
     def __init__(self, slowness: list[float], seed: int = 1) -> None:
         self.slowness = slowness
-        self.service = ServicePaces()
+        self.service = ServiceEnginePaces()
         self.paces = [EnginePace() for _ in slowness]
         self.rng = random.Random(seed)
         self.now = 0.0
@@ -30,13 +30,13 @@
             for number, pace in enumerate(self.paces):
                 ratio = self.slowness[number] * self.rng.lognormvariate(0.0, 0.08)
                 ratio *= 2.5 if number == disturbed else 1.0
-                pace.note_steps(ratio, self.now)
+                pace.note_stream_ratio(ratio, self.now)
                 pace.note_pause(0.03 * ratio, self.now)
-                pace.note_reading(2e-5 * ratio * self.rng.lognormvariate(0.0, 0.3), self.now)
-            self.service.settle(self.now)
+                pace.note_prefill_time(2e-5 * ratio * self.rng.lognormvariate(0.0, 0.3), self.now)
+            self.service.update_long_term(self.now)
 
     def lasting(self) -> dict[str, float]:
-        return {item.upstream: item.steps for item in self.service.lasting()}
+        return {item.upstream: item.step_slowness for item in self.service.deviating_paces()}
 
 
 class TestLasting(unittest.TestCase):
@@ -52,7 +52,7 @@
             with self.subTest(seed=seed):
                 engines = Engines([1.0] * 12, seed)
                 engines.run(20.0)
-                self.assertEqual(0, engines.service.changes)
+                self.assertEqual(0, engines.service.change_count)
 
     def assert_slow(self, engines: Engines) -> None:
         """The first three, and no others, are about as slow as they are."""
@@ -90,7 +90,7 @@
             engines.now += 0.05
             for pace in engines.paces[3:]:
                 pace.note_pause(0.03 * 0.83, engines.now)
-            engines.service.settle(engines.now)
+            engines.service.update_long_term(engines.now)
         self.assert_slow(engines)
 
     def test_one_of_which_nothing_is_seen_for_minutes_is_tried_again(self) -> None:
@@ -99,20 +99,20 @@
         for seconds, names in ((60.0, {"e0", "e1", "e2"}), (61.0, set())):
             engines.now += seconds
             engines.paces[5].note_pause(0.03 * 0.83, engines.now)
-            engines.service.settle(engines.now)
+            engines.service.update_long_term(engines.now)
             self.assertEqual(names, set(engines.lasting()))
 
     def test_two_engines_have_no_like_to_be_held_against(self) -> None:
         engines = Engines([2.0, 1.0])
         engines.run(10.0)
-        self.assertEqual(0, engines.service.changes)
+        self.assertEqual(0, engines.service.change_count)
 
 
 class TestTold(unittest.TestCase):
     def test_what_another_gateway_found_holds_until_own_evidence_comes(self) -> None:
         engines = Engines([1.0] * 6)
-        engines.service.presume(LastingPace("e1", 2.2, 1.0), engines.paces[1])
-        self.assertTrue(engines.service.differing)
+        engines.service.adopt_reported(LongTermPace("e1", 2.2, 1.0), engines.paces[1])
+        self.assertTrue(engines.service.has_deviating)
         self.assertEqual(2.2, engines.paces[1].step_slowness(50.0))
         engines.run(4.0)
         self.assertEqual({}, engines.lasting())
@@ -120,5 +120,5 @@
     def test_it_does_not_replace_what_was_seen(self) -> None:
         engines = Engines([1.0] * 6)
         engines.run(4.0)
-        engines.service.presume(LastingPace("e1", 2.2, 1.0), engines.paces[1])
+        engines.service.adopt_reported(LongTermPace("e1", 2.2, 1.0), engines.paces[1])
         self.assertEqual({}, engines.lasting())
--- a/tests/placement/test_fleet.py
+++ b/tests/placement/test_fleet.py
@@ -49,7 +49,7 @@
         assert isinstance(choice, Choice), choice
         self.count += 1
         request = self.count
-        self.fleet.pace(service.name).note_reading(choice.reading)
+        self.fleet.pace(service.name).note_prefill(choice.prefill_tokens)
         self.fleet.start(placed(request, need, choice), service, now)
         return choice.upstream.id
 
@@ -80,8 +80,8 @@
             short(output_tokens=5), self.service, self.among[:1], NOTHING, 0.3
         )
         assert isinstance(chosen, Choice)
-        held = self.driver.fleet.load("b0").usual_seconds / 4
-        self.assertGreaterEqual(chosen.first, held)
+        held = self.driver.fleet.load("b0").mean_expected_seconds / 4
+        self.assertGreaterEqual(chosen.first_event_seconds, held)
 
 
 class TestEngines(unittest.TestCase):
@@ -99,7 +99,11 @@
         driver.place(long(1), ENGINE, among, 0.0)
         for n in range(10):
             driver.place_and_begin(short(), among, 0.05 * n)
-        used = {item.id for item in among if driver.fleet.load(item.id).gaps.get(short().gap)}
+        used = {
+            item.id
+            for item in among
+            if driver.fleet.load(item.id).streams_by_target_gap.get(short().target_gap)
+        }
         self.assertEqual(1, len(used))
 
     def test_a_prompt_goes_where_its_shared_part_is_kept(self) -> None:
@@ -121,7 +125,7 @@
         self.assertNotEqual(first, choice.upstream.id)
         assert choice.fetch is not None
         self.assertEqual((first, 5000), (choice.fetch.source.id, choice.fetch.tokens))
-        self.assertEqual((0, 6500), (choice.again, choice.reading))
+        self.assertEqual((0, 6500), (choice.reread_tokens, choice.prefill_tokens))
 
     def test_slots_of_upstreams_out_of_reach_are_not_left_for_anybody(self) -> None:
         driver = Driver()
@@ -165,7 +169,7 @@
             told = Placed(n, item.id, 11_500, 11_800, 0.6, 3.0, 0.0, (n,), (11_500,))
             told = replace(told, route=route_number("letter"), prompt=11_500)
             started.start(told, ENGINE, 0.0)
-            started.pace("llm").note_reading(11_500)
+            started.pace("llm").note_prefill(11_500)
         need = replace(long(999), parts=(PromptPart(999, 11_500),))
         self.assertIsInstance(started.choose(need, ENGINE, among, NOTHING, 0.0), NoChoice)
         found = started.choose(short(target=20.0), ENGINE, among, NOTHING, 0.0)
--- a/tests/placement/test_kept_parts.py
+++ b/tests/placement/test_kept_parts.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lotushill.placement.kept_parts import KeptParts
+from lotushill.placement.prefix_cache_model import PrefixCacheModel
 from lotushill.placement.recent_parts import RecentParts
 from lotushill.routing.demand import PromptPart
 
@@ -19,26 +19,26 @@
     def test_never_more_is_matched_than_fits_and_than_was_sent(
         self, prompts: list[list[PromptPart]], capacity: int
     ) -> None:
-        kept = KeptParts()
+        kept = PrefixCacheModel()
         for prompt in prompts:
             kept.touch(prompt, capacity)
-            matched = kept.matched(prompt)
+            matched = kept.matched_tokens(prompt)
             self.assertLessEqual(matched, min(capacity, sum(part.tokens for part in prompt)))
 
     def test_a_part_behind_another_part_is_another_part(self) -> None:
-        kept = KeptParts()
+        kept = PrefixCacheModel()
         kept.touch([PromptPart(1, 10), PromptPart(2, 10)], 1000)
-        self.assertEqual(0, kept.matched([PromptPart(2, 10)]))
-        self.assertEqual(10, kept.matched([PromptPart(1, 10), PromptPart(3, 10)]))
+        self.assertEqual(0, kept.matched_tokens([PromptPart(2, 10)]))
+        self.assertEqual(10, kept.matched_tokens([PromptPart(1, 10), PromptPart(3, 10)]))
 
     def test_the_longest_unused_gives_way(self) -> None:
-        kept = KeptParts()
+        kept = PrefixCacheModel()
         for name in (1, 2, 3):
             kept.touch([PromptPart(name, 10)], 30)
         kept.touch([PromptPart(1, 10)], 30)
         kept.touch([PromptPart(4, 10)], 30)
-        self.assertEqual(10, kept.matched([PromptPart(1, 10)]))
-        self.assertEqual(0, kept.matched([PromptPart(2, 10)]))
+        self.assertEqual(10, kept.matched_tokens([PromptPart(1, 10)]))
+        self.assertEqual(0, kept.matched_tokens([PromptPart(2, 10)]))
 
 
 class TestRecentParts(unittest.TestCase):
@@ -46,7 +46,7 @@
         recent = RecentParts(10.0)
         prompt = [PromptPart(1, 100), PromptPart(2, 200), PromptPart(3, 300)]
         recent.note(prompt, 0.0)
-        self.assertEqual(300, recent.again(prompt, 0, 5.0))
-        self.assertEqual(200, recent.again(prompt, 100, 5.0))
-        self.assertEqual(0, recent.again(prompt, 300, 5.0))
-        self.assertEqual(0, recent.again(prompt, 0, 20.0))
+        self.assertEqual(300, recent.reread_tokens(prompt, 0, 5.0))
+        self.assertEqual(200, recent.reread_tokens(prompt, 100, 5.0))
+        self.assertEqual(0, recent.reread_tokens(prompt, 300, 5.0))
+        self.assertEqual(0, recent.reread_tokens(prompt, 0, 20.0))
--- a/tests/placement/test_pauses.py
+++ b/tests/placement/test_pauses.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from lotushill.placement.baseline_pause import BaselinePause
 from lotushill.placement.pauses import Pauses
-from lotushill.placement.quiet_pause import QuietPause
 
 QUIET = 0.024
 PIECE_SECONDS = 0.053
@@ -40,7 +40,7 @@
         pauses = Pauses()
         for _ in range(3):
             self.assertIsNotNone(pauses.note(0.0, 0.0, 10, 1.0))
-        self.assertGreater(pauses.beside(0.0, 10, 1.0), 0.0)
+        self.assertGreater(pauses.during_prefill(0.0, 10, 1.0), 0.0)
 
     @given(st.integers(0, 2**32), st.floats(0.0, 3.0), st.floats(0.7, 1.6))
     def test_prediction_meets_what_an_engine_does(
@@ -48,21 +48,21 @@
     ) -> None:
         rng = random.Random(seed)
         pauses = taught(rng)
-        likely = pauses.beside(waiting * slowness, 10, slowness)
+        likely = pauses.during_prefill(waiting * slowness, 10, slowness)
         self.assertAlmostEqual(likely, slowness * (QUIET + min(waiting, BOUND)), delta=0.03)
 
     @given(st.integers(0, 2**32))
     def test_many_waiting_prompts_lengthen_a_pause_no_more_than_a_few(self, seed: int) -> None:
         pauses = taught(random.Random(seed))
-        few = pauses.missed(2 * BOUND, 10, 1.0, 0.3)
-        many = pauses.missed(50 * BOUND, 10, 1.0, 0.3)
+        few = pauses.exceed_probability(2 * BOUND, 10, 1.0, 0.3)
+        many = pauses.exceed_probability(50 * BOUND, 10, 1.0, 0.3)
         self.assertAlmostEqual(few, many, delta=0.1)
         self.assertLess(many, 0.1)
 
     def test_a_slow_upstream_misses_what_one_like_most_keeps(self) -> None:
         pauses = taught(random.Random(1))
-        self.assertLess(pauses.missed(1.0, 10, 1.0, 0.24), 0.35)
-        self.assertGreater(pauses.missed(1.0, 10, 1.5, 0.24), 0.7)
+        self.assertLess(pauses.exceed_probability(1.0, 10, 1.0, 0.24), 0.35)
+        self.assertGreater(pauses.exceed_probability(1.0, 10, 1.5, 0.24), 0.7)
 
     def test_the_bound_is_known_within_a_few_pauses(self) -> None:
         rng = random.Random(2)
@@ -78,15 +78,15 @@
     def test_a_reading_that_was_not_seen_does_not_count_as_quiet(self) -> None:
         rng = random.Random(3)
         pauses = taught(rng)
-        before = pauses.quiet.at(10)
+        before = pauses.baseline.at(10)
         for _ in range(20):
             pauses.note(pause(1.0, 1.0, rng), 0.0, 10, 1.0)
-        self.assertAlmostEqual(before, pauses.quiet.at(10), places=6)
+        self.assertAlmostEqual(before, pauses.baseline.at(10), places=6)
 
 
 class TestQuietPause(unittest.TestCase):
     def test_it_grows_with_what_runs(self) -> None:
-        quiet = QuietPause()
+        quiet = BaselinePause()
         rng = random.Random(4)
         for _ in range(3000):
             running = rng.randrange(1, 60)
@@ -95,7 +95,7 @@
         self.assertAlmostEqual(0.030, quiet.at(50), delta=0.001)
 
     def test_it_is_flat_while_all_pauses_had_as_much_running(self) -> None:
-        quiet = QuietPause()
+        quiet = BaselinePause()
         for _ in range(100):
             quiet.note(5, 0.025)
         self.assertAlmostEqual(0.025, quiet.at(60), places=4)
--- a/tests/placement/test_shedding.py
+++ b/tests/placement/test_shedding.py
@@ -11,13 +11,13 @@
 from lotushill.placement.messages import Placed
 from lotushill.placement.messages import route_number
 from lotushill.placement.need import Need
-from lotushill.placement.recent_starts import SPAN_SECONDS
+from lotushill.placement.recent_starts import RECENT_STARTS_SECONDS
 from lotushill.placement.recent_starts import RecentStarts
 from lotushill.placement.shedding import Shedding
 from lotushill.routing.upstream import Upstream
 
 UPSTREAM = Upstream("b", "llm", "10.0.0.1:80", "z", 48, False)
-HOPELESS = Choice(UPSTREAM, 1.0, 60.0, 0, 0, 60.0, wait=60.0)
+HOPELESS = Choice(UPSTREAM, 1.0, 60.0, 0, 0, 60.0, wait_seconds=60.0)
 
 
 def need(tier: int, tokens: int) -> Need:
@@ -44,7 +44,7 @@
 
     def larger_began(self, now: float, tier: int, tokens: int) -> bool:
         return any(
-            now - at <= SPAN_SECONDS and other > tier and size > 2 * tokens
+            now - at <= RECENT_STARTS_SECONDS and other > tier and size > 2 * tokens
             for at, other, size in self.began
         )
 
@@ -64,7 +64,7 @@
             shedding.note(placed(number, 2, 12_000), "llm", 0.0)
         open_one = Choice(UPSTREAM, 0.1, 0.1, 0, 0, 3.0)
         self.assertIsNone(shedding.refuse(need(2, 12_000), [open_one], 0.1))
-        full = Choice(UPSTREAM, 0.1, 0.1, 0, 0, 3.0, full=True)
+        full = Choice(UPSTREAM, 0.1, 0.1, 0, 0, 3.0, is_full=True)
         self.assertIsNotNone(shedding.refuse(need(2, 12_000), [full], 0.1))
 
     @given(EVENTS)
@@ -90,7 +90,7 @@
     def test_what_began_long_ago_protects_nobody(self) -> None:
         history = History()
         history.begin(0.0, 2, 50_000)
-        later = SPAN_SECONDS + 1.0
+        later = RECENT_STARTS_SECONDS + 1.0
         self.assertIsNotNone(history.shedding.refuse(need(1, 100), [HOPELESS], later))
 
     def test_a_route_is_long_by_what_all_gateways_send(self) -> None:
@@ -108,7 +108,7 @@
         starts = RecentStarts()
         for n in range(10_000):
             starts.note("llm", 2, 100 + n % 7, n * 0.01)
-        self.assertEqual(106, starts.largest_after("llm", 1, 100.0))
-        self.assertEqual(0, starts.largest_after("llm", 2, 100.0))
+        self.assertEqual(106, starts.largest_less_urgent("llm", 1, 100.0))
+        self.assertEqual(0, starts.largest_less_urgent("llm", 2, 100.0))
         kept = starts._slices["llm"][2]
         self.assertLess(len(kept), 15)
--- a/tests/placement/test_team_room.py
+++ b/tests/placement/test_team_room.py
@@ -9,9 +9,9 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.fleet import Fleet
-from lotushill.placement.placed import placed
-from lotushill.placement.team_room import has_to_wait
-from lotushill.placement.team_room import kept_slots
+from lotushill.placement.placed_message import placed_message
+from lotushill.placement.team_reserve import has_to_wait
+from lotushill.placement.team_reserve import reserved_slots
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
 from tests.placement.test_fleet import NOTHING
@@ -28,7 +28,7 @@
         return replace(Choice(upstreams("s", 1)[0], 0.0, 0.1, 0, 0, 1.0), **changes)  # type: ignore[arg-type]
 
     def test_few_slots_are_kept_of_many_and_none_of_a_few(self) -> None:
-        self.assertEqual((10, 1, 0), tuple(kept_slots(slots) for slots in (100, 10, 4)))
+        self.assertEqual((10, 1, 0), tuple(reserved_slots(slots) for slots in (100, 10, 4)))
 
     def test_one_free_upstream_is_enough(self) -> None:
         need = short()
@@ -56,7 +56,7 @@
         among = upstreams(service.name, 2)
         found = self.fleet.choose(need, service, among, NOTHING, now)
         if isinstance(found, Choice):
-            told = placed(self.count, need, found, service.engine is not None)
+            told = placed_message(self.count, need, found, service.engine is not None)
             self.fleet.start(told, service, now)
             self.fleet.load(found.upstream.id).begin(self.count, now)
         return found
--- a/tests/placement/test_uneven_fleet.py
+++ b/tests/placement/test_uneven_fleet.py
@@ -6,13 +6,13 @@
 from collections import Counter
 
 from lotushill.placement.choice import Choice
-from lotushill.placement.engine_pace import LastingPace
+from lotushill.placement.engine_pace import LongTermPace
 from lotushill.placement.fleet import Fleet
 from lotushill.placement.messages import Began
 from lotushill.placement.messages import Ended
 from lotushill.placement.messages import Outcome
 from lotushill.placement.need import Need
-from lotushill.placement.placed import placed
+from lotushill.placement.placed_message import placed_message
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
 from lotushill.routing.upstream import Upstream
@@ -33,8 +33,8 @@
         self.fleet = Fleet("z")
         self.known = upstreams("llm", 12, 16)
         for number, item in enumerate(self.known[:-1]):
-            told = LastingPace(item.id, 2.2 if number < 3 else 1.0, 1.0)
-            self.fleet.presume_pace(told, "llm")
+            told = LongTermPace(item.id, 2.2 if number < 3 else 1.0, 1.0)
+            self.fleet.adopt_reported_pace(told, "llm")
 
     def fill(self, count: int) -> Counter[str]:
         sent: Counter[str] = Counter()
@@ -42,7 +42,7 @@
             need = Need("llm", "chat", 0.8, 0.5, 15.0, True, 800, 290, ())
             choice = self.fleet.choose(need, ENGINE, self.known, NOTHING, 0.01)
             assert isinstance(choice, Choice), choice
-            self.fleet.start(placed(number, need, choice, True), ENGINE, 0.01)
+            self.fleet.start(placed_message(number, need, choice, True), ENGINE, 0.01)
             sent[choice.upstream.id] += 1
         return sent
 
@@ -55,7 +55,7 @@
         self.assertGreater(self.fill(190)["u11"], 8)
 
     def test_once_it_has_answered_it_is_filled_as_others_are(self) -> None:
-        self.fleet.presume_pace(LastingPace("u11", 1.0, 1.0), "llm")
+        self.fleet.adopt_reported_pace(LongTermPace("u11", 1.0, 1.0), "llm")
         self.assertGreater(self.fill(96)["u11"], 4)
 
 
@@ -76,18 +76,18 @@
             need = Need("app", "order", 0.415, 0.0, 2.7, False, 0, 0, ())
             choice = fleet.choose(need, PLAIN, known, NOTHING, now)
             assert isinstance(choice, Choice), choice
-            fleet.start(placed(number, need, choice, False), PLAIN, now)
+            fleet.start(placed_message(number, need, choice, False), PLAIN, now)
             due.append((now + seconds[choice.upstream.id], number, choice.upstream.id))
             sent[choice.upstream.id] += number >= count / 2
         return fleet, sent
 
     def test_a_slow_one_is_known_and_stays_known(self) -> None:
         fleet, sent = self.serve({"u0": 0.18, "u1": 0.08, "u2": 0.08, "u3": 0.08}, 2000)
-        (slow,) = fleet.engine_paces.of("app").lasting()
+        (slow,) = fleet.engine_paces.for_service("app").deviating_paces()
         self.assertEqual("u0", slow.upstream)
-        self.assertAlmostEqual(2.25, slow.reading, delta=0.3)
+        self.assertAlmostEqual(2.25, slow.read_slowness, delta=0.3)
         self.assertLess(sent["u0"], min(sent["u1"], sent["u2"], sent["u3"]))
 
     def test_even_ones_have_no_lasting_pace(self) -> None:
         fleet, _ = self.serve(dict.fromkeys(("u0", "u1", "u2", "u3"), 0.08), 600)
-        self.assertEqual([], fleet.engine_paces.of("app").lasting())
+        self.assertEqual([], fleet.engine_paces.for_service("app").deviating_paces())
--- a/tests/placement/test_unread_prompts.py
+++ b/tests/placement/test_unread_prompts.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lotushill.placement.unread_prompts import UnreadPrompts
+from lotushill.placement.prefill_queue import PrefillQueue
 
 RATE = 1000.0
 EVENTS = st.lists(
@@ -22,28 +22,28 @@
 
 class TestUnreadPrompts(unittest.TestCase):
     def test_the_more_urgent_overtake_what_waits_but_not_what_is_being_read(self) -> None:
-        prompts = UnreadPrompts()
+        prompts = PrefillQueue()
         for request in range(3):
             prompts.add(request, 2, 4_000, 0.0)
-        self.assertEqual(3_000.0, prompts.ahead(0, RATE, 1.0))
-        self.assertEqual(11_000.0, prompts.ahead(2, RATE, 1.0))
+        self.assertEqual(3_000.0, prompts.tokens_ahead(0, RATE, 1.0))
+        self.assertEqual(11_000.0, prompts.tokens_ahead(2, RATE, 1.0))
         prompts.add(9, 0, 500, 1.0)
-        self.assertEqual(3_500.0, prompts.ahead(0, RATE, 1.0))
-        prompts.read(0, 4.0)
-        self.assertAlmostEqual(400.0, prompts.ahead(0, RATE, 4.1))
+        self.assertEqual(3_500.0, prompts.tokens_ahead(0, RATE, 1.0))
+        prompts.finish(0, 4.0)
+        self.assertAlmostEqual(400.0, prompts.tokens_ahead(0, RATE, 4.1))
 
     def test_what_is_given_up_while_it_waits_leaves_the_one_in_turn(self) -> None:
-        prompts = UnreadPrompts()
+        prompts = PrefillQueue()
         prompts.add(1, 2, 4_000, 0.0)
         prompts.add(2, 0, 500, 0.0)
-        prompts.give_up(2, 1.0)
-        self.assertEqual(2_000.0, prompts.all(RATE, 2.0))
+        prompts.cancel(2, 1.0)
+        self.assertEqual(2_000.0, prompts.remaining_tokens(RATE, 2.0))
 
     @given(EVENTS)
     def test_counts_hold_over_any_history(
         self, events: list[tuple[str, int, int, int, float]]
     ) -> None:
-        prompts = UnreadPrompts()
+        prompts = PrefillQueue()
         left: dict[int, int] = {}
         now = 0.0
         for what, request, tier, tokens, pause in events:
@@ -52,14 +52,14 @@
                 prompts.add(request, tier, tokens, now)
                 left[request] = tokens
             elif what == "read":
-                prompts.read(request, now)
+                prompts.finish(request, now)
                 left.pop(request, None)
             elif what == "give up":
-                prompts.give_up(request, now)
+                prompts.cancel(request, now)
                 left.pop(request, None)
-            total = prompts.all(RATE, now)
+            total = prompts.remaining_tokens(RATE, now)
             self.assertLessEqual(total, sum(left.values()))
             self.assertGreaterEqual(total, sum(left.values()) - max(left.values(), default=0))
-            by_tier = [prompts.ahead(other, RATE, now) for other in range(3)]
+            by_tier = [prompts.tokens_ahead(other, RATE, now) for other in range(3)]
             self.assertEqual(sorted(by_tier), by_tier)
             self.assertAlmostEqual(total, by_tier[-1])
--- a/tests/placement/test_upstream_load.py
+++ b/tests/placement/test_upstream_load.py
@@ -46,22 +46,29 @@
                 running.pop(name, None)
             unread = sum(500 for began in running.values() if not began)
             self.assertEqual(set(running), set(load.running))
-            self.assertEqual(600 * len(running), load.memory)
-            self.assertLessEqual(load.unread.all(RATE, now), unread)
-            self.assertGreaterEqual(load.unread.all(RATE, now), unread - 500)
+            self.assertEqual(600 * len(running), load.reserved_tokens)
+            self.assertLessEqual(load.prefill_queue.remaining_tokens(RATE, now), unread)
+            self.assertGreaterEqual(load.prefill_queue.remaining_tokens(RATE, now), unread - 500)
         for name in list(running):
             load.end(name, now)
-        self.assertEqual((0, 0.0, {}), (load.memory, load.unread.all(RATE, now), dict(load.gaps)))
+        self.assertEqual(
+            (0, 0.0, {}),
+            (
+                load.reserved_tokens,
+                load.prefill_queue.remaining_tokens(RATE, now),
+                dict(load.streams_by_target_gap),
+            ),
+        )
 
     def test_a_prompt_counts_as_unread_until_its_first_event(self) -> None:
         load = UpstreamLoad()
         load.start(placed(97, 500), 100_000, 0.0)
         load.start(placed(98, 2000), 100_000, 0.0)
-        self.assertEqual(2000.0, load.unread.all(RATE, 60.0))
+        self.assertEqual(2000.0, load.prefill_queue.remaining_tokens(RATE, 60.0))
         load.begin(97, 60.0)
-        self.assertEqual(2000.0, load.unread.all(RATE, 60.0))
+        self.assertEqual(2000.0, load.prefill_queue.remaining_tokens(RATE, 60.0))
         load.begin(98, 61.0)
-        self.assertEqual(0.0, load.unread.all(RATE, 61.0))
+        self.assertEqual(0.0, load.prefill_queue.remaining_tokens(RATE, 61.0))
 
     def test_slowness_fades_when_nothing_is_seen(self) -> None:
         load = UpstreamLoad()
@@ -73,11 +80,11 @@
     def test_an_unreachable_upstream_is_tried_again_and_forgiven(self) -> None:
         load = UpstreamLoad()
         load.note_unreachable(0.0)
-        self.assertTrue(load.away(0.1))
-        self.assertFalse(load.away(5.0))
+        self.assertTrue(load.is_unreachable(0.1))
+        self.assertFalse(load.is_unreachable(5.0))
         load.note_unreachable(5.0)
         load.note_reached()
-        self.assertFalse(load.away(5.1))
+        self.assertFalse(load.is_unreachable(5.1))
 
 
 class TestSlots(unittest.TestCase):
@@ -97,24 +104,24 @@
 
     def test_whoever_has_begun_keeps_it_however_urgent_the_new_one_is(self) -> None:
         load = self.load_of([2, 2, 0], begun=2)
-        self.assertEqual([3, 3, 3], [load.before(tier) for tier in range(3)])
+        self.assertEqual([3, 3, 3], [load.count_before(tier) for tier in range(3)])
 
     def test_of_those_that_have_not_the_less_urgent_come_after_it(self) -> None:
         load = self.load_of([2, 1, 0], begun=0)
-        self.assertEqual([1, 2, 3], [load.before(tier) for tier in range(3)])
+        self.assertEqual([1, 2, 3], [load.count_before(tier) for tier in range(3)])
 
     def test_who_ends_gives_it_back_once(self) -> None:
         load = self.load_of([2, 2], begun=2)
         load.begin(0, 0.2)
         load.end(0, 0.3)
         load.end(0, 0.4)
-        self.assertEqual(1, load.before(0))
+        self.assertEqual(1, load.count_before(0))
 
     def test_a_slot_comes_free_as_fast_as_those_who_hold_them_end(self) -> None:
         load = UpstreamLoad()
-        self.assertEqual(0.0, load.usual_seconds)
+        self.assertEqual(0.0, load.mean_expected_seconds)
         load.start(placed(1, seconds=3.0), 100_000, 0.0)
         load.start(placed(2, seconds=1.0), 100_000, 0.0)
-        self.assertEqual(2.0, load.usual_seconds)
+        self.assertEqual(2.0, load.mean_expected_seconds)
         load.end(1, 0.5)
-        self.assertEqual(1.0, load.usual_seconds)
+        self.assertEqual(1.0, load.mean_expected_seconds)
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -67,8 +67,8 @@
 class TestTable(unittest.TestCase):
     def test_every_field_finds_its_place(self) -> None:
         table = parse_table(SPEC)
-        one = table.find("shop.example", "/one/x")
-        two = table.find("shop.example", "/two/x")
+        one = table.find_route("shop.example", "/one/x")
+        two = table.find_route("shop.example", "/two/x")
         assert one is not None and two is not None
         self.assertEqual(
             (RouteKind.STREAM, True, 12.0, 0.25, 0.15),
--- a/tests/platform/test_upstream_answer.py
+++ b/tests/platform/test_upstream_answer.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from lotushill.availability.stated_limits import NO_LIMIT
-from lotushill.availability.statement import LEAST_LIMIT
-from lotushill.availability.statement import LONGEST_REST_SECONDS
-from lotushill.availability.statement import MOST_LIMIT
+from lotushill.availability.statement import MAX_COOLDOWN_SECONDS
+from lotushill.availability.statement import MAX_REQUESTS_PER_SECOND
+from lotushill.availability.statement import MIN_REQUESTS_PER_SECOND
 from lotushill.platform.upstream_answer import read_statement
 
 RETRY = b"retry-after"
@@ -30,36 +30,36 @@
         for text, seconds in ((b"3", 3.0), (b"0.25", 0.25), (b" 2 ", 2.0), (b"0", 0.0)):
             with self.subTest(text=text):
                 said = read_statement(503, [(RETRY, text)])
-                self.assertEqual((seconds, ""), (said.rest, said.unreadable))
+                self.assertEqual((seconds, ""), (said.cooldown, said.unreadable_cooldown))
 
     def test_only_a_refusal_asks_for_it(self) -> None:
         for status in (200, 429, 500, 502, 504):
             with self.subTest(status=status):
-                self.assertEqual(0.0, read_statement(status, [(RETRY, b"3")]).rest)
+                self.assertEqual(0.0, read_statement(status, [(RETRY, b"3")]).cooldown)
 
     def test_a_refusal_that_may_have_run_the_request_asks_for_it_as_well(self) -> None:
-        self.assertEqual(3.0, read_statement(503, [(RETRY, b"3")]).rest)
+        self.assertEqual(3.0, read_statement(503, [(RETRY, b"3")]).cooldown)
 
     def test_of_several_the_longest_that_can_be_read_holds(self) -> None:
         said = read_statement(503, [(RETRY, b"1"), (RETRY, b"soon"), (RETRY, b"4"), (RETRY, b"2")])
-        self.assertEqual((4.0, "soon"), (said.rest, said.unreadable))
+        self.assertEqual((4.0, "soon"), (said.cooldown, said.unreadable_cooldown))
 
     def test_what_is_no_span_of_time_is_told_and_not_followed(self) -> None:
         odd = (b"-1", b"nan", b"inf", b"1e999", b"", b"Wed, 21 Oct 2026 07:28:00 GMT", b"1, 2")
         for text in odd:
             with self.subTest(text=text):
-                self.assertEqual(0.0, read_statement(503, [(RETRY, text)]).rest)
+                self.assertEqual(0.0, read_statement(503, [(RETRY, text)]).cooldown)
 
     def test_an_absurd_length_is_bounded(self) -> None:
         said = read_statement(503, [(RETRY, b"9" * 20)])
-        self.assertEqual(LONGEST_REST_SECONDS, said.rest)
+        self.assertEqual(MAX_COOLDOWN_SECONDS, said.cooldown)
 
     @given(st.integers(100, 599), st.lists(st.tuples(st.just(RETRY), st.binary(max_size=30))))
     def test_any_bytes_give_a_rest_within_bounds(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
         said = read_statement(status, headers)
-        self.assertTrue(0.0 <= said.rest <= LONGEST_REST_SECONDS)
+        self.assertTrue(0.0 <= said.cooldown <= MAX_COOLDOWN_SECONDS)
 
 
 class TestLeaving(unittest.TestCase):
@@ -113,12 +113,16 @@
                 self.assertEqual(text.decode() or "(empty)", said.unreadable_limit)
 
     def test_absurd_figures_are_bounded(self) -> None:
-        self.assertEqual(LEAST_LIMIT, read_statement(200, [(LIMIT, b"0")]).limit)
-        self.assertEqual(MOST_LIMIT, read_statement(200, [(LIMIT, b"9" * 25)]).limit)
+        self.assertEqual(MIN_REQUESTS_PER_SECOND, read_statement(200, [(LIMIT, b"0")]).limit)
+        self.assertEqual(MAX_REQUESTS_PER_SECOND, read_statement(200, [(LIMIT, b"9" * 25)]).limit)
 
     @given(st.lists(st.tuples(st.just(LIMIT), st.binary(max_size=30))))
     def test_any_bytes_give_a_limit_within_bounds_or_leave_it_open(
         self, headers: list[tuple[bytes, bytes]]
     ) -> None:
         limit = read_statement(200, headers).limit
-        self.assertTrue(limit is None or limit == NO_LIMIT or LEAST_LIMIT <= limit <= MOST_LIMIT)
+        self.assertTrue(
+            limit is None
+            or limit == NO_LIMIT
+            or MIN_REQUESTS_PER_SECOND <= limit <= MAX_REQUESTS_PER_SECOND
+        )
--- a/tests/quarantine/test_fleet.py
+++ b/tests/quarantine/test_fleet.py
@@ -74,7 +74,9 @@
     async def test_gateway_without_own_observations_holds_after_peer_updates(self) -> None:
         fleet = VirtualFleet(9, 9, 1)
         await run(fleet, 8.0, deadly=3.0, others=20.0)
-        self.assertEqual([True] * 9, [item.holds(DEADLY, fleet.now) for item in fleet.quarantines])
+        self.assertEqual(
+            [True] * 9, [item.is_held(DEADLY, fleet.now) for item in fleet.quarantines]
+        )
 
 
 class TestBodiesThatDiffer(unittest.IsolatedAsyncioTestCase):
@@ -105,7 +107,9 @@
         await run(fleet, 8.0, deadly=3.0, others=50.0, varying=True)
         fleet.restart(0)
         await run(fleet, 5.0, deadly=0.0, others=50.0)
-        self.assertEqual([True] * 9, [bool(item.groups(fleet.now)) for item in fleet.isolations])
+        self.assertEqual(
+            [True] * 9, [bool(item.isolated_groups(fleet.now)) for item in fleet.isolations]
+        )
 
     async def test_sound_requests_of_the_same_team_are_served_as_those_of_others(self) -> None:
         for seed in range(3):
--- a/tests/quarantine/test_hold_store.py
+++ b/tests/quarantine/test_hold_store.py
@@ -57,15 +57,15 @@
     async def pass_time(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.5)):
             self.now += 0.5
-            await self.holds.look()
+            await self.holds.reconcile()
 
     def hold(self, identity: bytes = ONE) -> None:
         for upstream in "abc":
-            self.quarantine.note_end(identity, "team", "/p", upstream, self.now)
+            self.quarantine.record_upstream_failure(identity, "team", "/p", upstream, self.now)
 
     async def test_hold_is_written_after_half_a_second(self) -> None:
         self.hold()
-        await self.holds.look()
+        await self.holds.reconcile()
         self.assertEqual({}, self.store.objects)
         await self.pass_time(5.0)
         self.assertEqual([f"create {ONE.hex()}"], self.store.calls)
@@ -73,7 +73,7 @@
 
     async def test_hold_cleared_before_its_write_is_never_written(self) -> None:
         self.hold()
-        await self.holds.look()
+        await self.holds.reconcile()
         self.quarantine.clear(ONE)
         await self.pass_time(5.0)
         self.assertEqual([], self.store.calls)
@@ -94,7 +94,7 @@
         self.assertIn(ONE.hex(), self.store.objects)
 
     async def test_what_only_others_saw_is_left_to_them_for_some_seconds(self) -> None:
-        self.quarantine.take(SuspectState(ONE, "team", "/p", ("a", "b", "c")), self.now)
+        self.quarantine.merge_peer_state(SuspectState(ONE, "team", "/p", ("a", "b", "c")), self.now)
         await self.pass_time(3.5)
         self.assertEqual([], self.store.calls)
         await self.pass_time(30.0)
@@ -102,18 +102,18 @@
 
     async def test_hold_is_deleted_after_the_request_completed(self) -> None:
         hold = StoredHold("team", "/p", (), 1.7e9)
-        self.store.objects[ONE.hex()] = hold.spec()
-        self.quarantine.take_stored({ONE: hold})
-        self.quarantine.note_end(ONE, "team", "/p", "a", self.now)
+        self.store.objects[ONE.hex()] = hold.to_spec()
+        self.quarantine.replace_stored({ONE: hold})
+        self.quarantine.record_upstream_failure(ONE, "team", "/p", "a", self.now)
         self.quarantine.clear(ONE)
-        await self.holds.look()
+        await self.holds.reconcile()
         self.assertEqual({}, self.store.objects)
 
     async def test_the_objects_are_bounded_and_the_oldest_of_the_same_team_goes(self) -> None:
         specs = {
             number.to_bytes(16, "big").hex(): StoredHold(
                 "team" if number % 2 else "other", "/p", (), 1e9 + number
-            ).spec()
+            ).to_spec()
             for number in range(512)
         }
         self.view.replace(specs, 1)
--- a/tests/quarantine/virtual_fleet.py
+++ b/tests/quarantine/virtual_fleet.py
@@ -20,7 +20,7 @@
 from lotushill.quarantine.group import groups_of
 from lotushill.quarantine.isolation import Isolation
 from lotushill.quarantine.quarantine import Quarantine
-from lotushill.requests.ward import Ward
+from lotushill.requests.isolation_policy import IsolationPolicy
 from lotushill.routing.service import Service
 from lotushill.routing.upstream import Upstream
 from lotushill.views.upstream_view import UpstreamView
@@ -98,7 +98,9 @@
         self._revision = 0
         self.quarantines = [Quarantine() for _ in range(gateways)]
         self.isolations = [Isolation() for _ in range(gateways)]
-        self.wards = [Ward(item, self._view, lambda: self.now) for item in self.isolations]
+        self.wards = [
+            IsolationPolicy(item, self._view, lambda: self.now) for item in self.isolations
+        ]
         self.keepers = [self._keeper(number) for number in range(gateways)]
         self.alive = set(range(gateways))
         self.outcomes: Counter[tuple[bytes, str]] = Counter()
@@ -132,7 +134,7 @@
         """Restart a gateway without its former state."""
         self.quarantines[number] = Quarantine()
         self.isolations[number] = Isolation()
-        self.wards[number] = Ward(self.isolations[number], self._view, lambda: self.now)
+        self.wards[number] = IsolationPolicy(self.isolations[number], self._view, lambda: self.now)
         self.keepers[number] = self._keeper(number)
 
     async def _has_ended(self, upstream: Upstream) -> bool:
@@ -194,9 +196,9 @@
     def _choose(self, arrival: Arrival) -> str | None:
         ward = self.wards[arrival.gateway]
         request = arrival.as_request()
-        if ward.wait(request):
+        if ward.retry_delay(request):
             return None
-        free = sorted(self._running.keys() - ward.barred(request))
+        free = sorted(self._running.keys() - ward.excluded_upstreams(request))
         if not free:
             return None
         name = self.rng.choice(free)
--- a/tests/requests/moving.py
+++ b/tests/requests/moving.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from dataclasses import field
 
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 from tests.requests.rig import event
 
 EVENTS = 30
@@ -31,7 +31,7 @@
 class Run:
     """A run at one upstream."""
 
-    seen: Seen
+    seen: ReceivedRequest
     made: int = 0
     stopped: bool = False
     handle: str = ""
@@ -79,9 +79,9 @@
 
     def resumed(self) -> list[str]:
         """Return the handles with which runs were to go on here."""
-        return [seen.headers["kv-from"] for seen in self.seen if "kv-from" in seen.headers]
+        return [seen.headers["kv-from"] for seen in self.requests if "kv-from" in seen.headers]
 
-    async def serve(self, seen: Seen) -> None:
+    async def serve(self, seen: ReceivedRequest) -> None:
         """Answer one request or call."""
         if "/kv-move" in seen.line:
             await self._move(seen)
@@ -93,7 +93,7 @@
         else:
             await self._run(seen)
 
-    async def _run(self, seen: Seen) -> None:
+    async def _run(self, seen: ReceivedRequest) -> None:
         made = int(seen.headers.get("last-event-id", "-1")) + 1
         if "kv-from" in seen.headers:
             handle = self.memory.handles.get(seen.headers["kv-from"].rpartition("/")[2])
@@ -145,7 +145,7 @@
                 raise ConnectionResetError
         run.seen.end_events()
 
-    async def _move(self, seen: Seen) -> None:
+    async def _move(self, seen: ReceivedRequest) -> None:
         asked = json.loads(seen.body)
         self.calls.append(asked)
         says = self.says.pop(0) if self.says else 200
@@ -183,6 +183,6 @@
         return {"handle": name, "made": run.made}
 
 
-def _answer(seen: Seen, status: int, said: dict[str, object]) -> None:
+def _answer(seen: ReceivedRequest, status: int, said: dict[str, object]) -> None:
     body = json.dumps(said).encode()
     seen.answer(f"{status} Said\r\nContent-Length: {len(body)}\r\n", body)
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -13,15 +13,15 @@
 from typing import TypeAlias
 
 from lotushill import clock as clocks
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.contracts.settings_view import SettingsView
+from lotushill.duties.request_counter import RequestCounter
 from lotushill.duties.true_time import TrueTime
-from lotushill.duties.work_counts import WorkCounts
 from lotushill.event_log import EventLog
 from lotushill.limits.barred_upstreams import BarredUpstreams
-from lotushill.limits.counting import CountingGateways
 from lotushill.limits.fleet_limits import FleetLimits
+from lotushill.limits.limit_owners import LimitOwners
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.limits.team_limits import TeamLimits
 from lotushill.links.http_server import HttpServer
@@ -40,15 +40,15 @@
 from lotushill.process.suspension import SuspensionWatch
 from lotushill.quarantine.isolation import Isolation
 from lotushill.quarantine.quarantine import Quarantine
+from lotushill.requests.client_application import ClientApplication
 from lotushill.requests.client_protocol import ClientProtocol
-from lotushill.requests.engine_memory import EngineMemory
-from lotushill.requests.front import Front
+from lotushill.requests.engine_memory_client import EngineMemoryClient
+from lotushill.requests.isolation_policy import IsolationPolicy
 from lotushill.requests.mover import Mover
 from lotushill.requests.parts import GatewayParts
 from lotushill.requests.retry_budgets import RetryBudgets
 from lotushill.requests.upstream_gate import UpstreamGate
 from lotushill.requests.upstream_pool import UpstreamPool
-from lotushill.requests.ward import Ward
 from lotushill.routing.limits import ClientLimits
 from lotushill.routing.route import Route
 from lotushill.routing.route import RouteKind
@@ -82,7 +82,7 @@
 
 
 @dataclass
-class Seen:
+class ReceivedRequest:
     """A request as an upstream saw it."""
 
     line: str
@@ -101,7 +101,7 @@
         text = f"HTTP/1.1 {head}Attempt-Id: {wanted}\r\n\r\n"
         self.writer.write(text.encode() + body)
 
-    def whole(self, body: bytes = b"done", status: str = "200 OK") -> None:
+    def answer_whole(self, body: bytes = b"done", status: str = "200 OK") -> None:
         """Write a whole signed answer."""
         self.answer(f"{status}\r\nContent-Length: {len(body)}\r\n{SIGNED}", body)
 
@@ -128,7 +128,7 @@
         self.writer.transport.abort()
 
 
-Script: TypeAlias = "Callable[[Seen], Awaitable[None]]"
+Script: TypeAlias = "Callable[[ReceivedRequest], Awaitable[None]]"
 
 
 def event(number: int) -> bytes:
@@ -140,8 +140,8 @@
 class ScriptedUpstream:
     """An upstream that answers each request by the next script; the last one repeats."""
 
-    scripts: list[Callable[[Seen], Awaitable[None]]]
-    seen: list[Seen] = field(default_factory=list)
+    scripts: list[Callable[[ReceivedRequest], Awaitable[None]]]
+    requests: list[ReceivedRequest] = field(default_factory=list)
     connections: int = 0
     closed: int = 0
     address: str = ""
@@ -157,7 +157,7 @@
         """Take no more connections."""
         self._server.close()
 
-    def crash(self, seen: Seen) -> None:
+    def crash(self, seen: ReceivedRequest) -> None:
         """Take no more connections and reset all that are open, from within a script."""
         self.stop()
         for task in self._tasks - {asyncio.current_task()}:
@@ -166,7 +166,7 @@
         seen.reset()
         raise ConnectionResetError
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """End the connections as well."""
         self.stop()
         tasks = [task for task in self._tasks if task is not None]
@@ -182,8 +182,8 @@
         try:
             while True:
                 seen = await _read_request(reader, writer)
-                self.seen.append(seen)
-                script = self.scripts[min(len(self.seen), len(self.scripts)) - 1]
+                self.requests.append(seen)
+                script = self.scripts[min(len(self.requests), len(self.scripts)) - 1]
                 await script(seen)
                 await writer.drain()
         except (asyncio.IncompleteReadError, asyncio.CancelledError, ConnectionError):
@@ -194,18 +194,20 @@
             writer.close()
 
 
-async def _read_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> Seen:
+async def _read_request(
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+) -> ReceivedRequest:
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     line, *rest = head.strip().split("\r\n")
     headers = {
         name.lower(): value.strip() for name, _, value in (item.partition(":") for item in rest)
     }
     body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Seen(line, headers, body, reader, writer)
+    return ReceivedRequest(line, headers, body, reader, writer)
 
 
 @dataclass(frozen=True)
-class Got:
+class ReceivedAnswer:
     """What a client got."""
 
     status: int
@@ -254,8 +256,8 @@
         """Whether the views were confirmed since the last suspension."""
         self.quarantine = Quarantine()
         self.isolation = Isolation()
-        self.told_leaving: list[LeavingNews] = []
-        self.told: list[SuspectNews | ClearedNews | GroupNews] = []
+        self.sent_leaving_messages: list[LeavingNews] = []
+        self.sent_messages: list[SuspectNews | ClearedNews | GroupNews] = []
         """What was told to other gateways, when `keeper.tell_due` was called."""
 
     def clock(self) -> float:
@@ -269,14 +271,14 @@
     def _on_woke(self, seconds: float) -> None:
         self.woke.append(seconds)
         self.front.note_suspension(seconds)
-        self.parts.pool.drop_idle()
+        self.parts.pool.close_idle()
 
     async def __aenter__(self) -> Rig:
         """Start everything."""
         for upstream in self.upstreams:
             await upstream.start()
         fleet = Fleet("z")
-        self.take_table(1)
+        self.set_table(1)
         self.view.replace(
             [
                 Upstream(f"b{n}", "s", item.address, "z", 8, False)
@@ -290,9 +292,9 @@
             self.clock, time.monotonic, self._on_woke, lambda _: self.confirmed
         )
         log = EventLog("gw", self.lines.append)
-        rests = Rests()
+        rests = Cooldowns()
         members, stated = alone("gw"), StatedLimits()
-        counting = CountingGateways(members, Schedulers(members), lambda: 1)
+        counting = LimitOwners(members, Schedulers(members), lambda: 1)
         self.limits = FleetLimits(
             self.view,
             counting,
@@ -305,13 +307,13 @@
             self.clock,
         )
         self.leaving = LeavingKeeper(
-            "gw", self.view, self.told_leaving.append, log, random.Random(5), self.clock
+            "gw", self.view, self.sent_leaving_messages.append, log, random.Random(5), self.clock
         )
         groups = GroupKeeper(
-            "gw", self.isolation, self.told.append, log, random.Random(6), self.clock
+            "gw", self.isolation, self.sent_messages.append, log, random.Random(6), self.clock
         )
         self.keeper = QuarantineKeeper(
-            "gw", self.quarantine, groups, self.view, pool.has_ended, self.told.append, log,
+            "gw", self.quarantine, groups, self.view, pool.has_ended, self.sent_messages.append, log,
             random.Random(3), self.clock,
         )  # fmt: skip
         placer = Placer(
@@ -326,9 +328,9 @@
         )
         budgets = RetryBudgets(RetrySettings(ratio=0.2, slack=self.slack), lambda: 1)
         metrics = Metrics()
-        ward = Ward(self.isolation, self.view, self.clock)
+        ward = IsolationPolicy(self.isolation, self.view, self.clock)
         self.mover = Mover(
-            EngineMemory(), placer, shared_load, self.view, ward, self.keeper, budgets,
+            EngineMemoryClient(), placer, shared_load, self.view, ward, self.keeper, budgets,
             stated.rate, metrics, log, self.clock,
         )  # fmt: skip
         self.parts = GatewayParts(
@@ -340,14 +342,14 @@
             shared_load=shared_load,
             placer=placer,
             pool=pool,
-            ward=ward,
+            isolation_policy=ward,
             mover=self.mover,
             gate=UpstreamGate(self.view, rests, self.limits, self.leaving.note, log, self.clock),
             limits=self.limits,
             team_limits=TeamLimits(counting, self.limits.client, random.Random(8), self.clock),
             quarantine=self.keeper,
             budgets=budgets,
-            work=WorkCounts("gw", 5.0, TrueTime(time.time, self.clock), self.clock),
+            work=RequestCounter("gw", 5.0, TrueTime(time.time, self.clock), self.clock),
             log=log,
             metrics=metrics,
             rng=random.Random(1),
@@ -356,13 +358,13 @@
             view_is_fresh=lambda: self.fresh,
             knows_holds=lambda: self.knows_holds,
         )
-        self.front = Front(self.parts)
+        self.front = ClientApplication(self.parts)
         self.server = HttpServer(self.front, "127.0.0.1:0", protocol=ClientProtocol)
         self._task = asyncio.create_task(self.server.serve())
         await self.server.wait_started()
         return self
 
-    def take_table(self, version: int, routes: bool = True) -> None:
+    def set_table(self, version: int, routes: bool = True) -> None:
         """Put another configuration in force."""
         teams = [Team(TEAM, (KEY,), self.team_priority)]
         table = RoutingTable(
@@ -375,7 +377,7 @@
         self.server.abort()
         await self._task
         for upstream in self.upstreams:
-            await upstream.end()
+            await upstream.close()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Open a client connection."""
@@ -384,7 +386,7 @@
 
     async def call(
         self, request_id: str = "r1", headers: str = "", body: bytes = b"", path: str = "/p/x"
-    ) -> Got:
+    ) -> ReceivedAnswer:
         """Make one request on a connection of its own."""
         reader, writer = await self.connect()
         try:
@@ -400,7 +402,7 @@
         headers: str = "",
         body: bytes = b"",
         path: str = "/p/x",
-    ) -> Got:
+    ) -> ReceivedAnswer:
         """Make one request on an open connection."""
         writer.write(request_bytes(request_id, headers, body, path))
         return await read_answer(reader)
@@ -424,19 +426,19 @@
     return head.encode() + body
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Got:
+async def read_answer(reader: asyncio.StreamReader) -> ReceivedAnswer:
     """Read one answer, as far as it comes."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Got(0, {}, b"", False)
+        return ReceivedAnswer(0, {}, b"", False)
     first, *rest = head.strip().split("\r\n")
     headers = {
         name.lower(): value.strip() for name, _, value in (item.partition(":") for item in rest)
     }
     body = bytearray()
     whole = await _read_body(reader, headers, body)
-    return Got(int(first.split()[1]), headers, bytes(body), whole)
+    return ReceivedAnswer(int(first.split()[1]), headers, bytes(body), whole)
 
 
 async def _read_body(
--- a/tests/requests/test_idle_connections.py
+++ b/tests/requests/test_idle_connections.py
@@ -4,13 +4,13 @@
 
 import unittest
 
-from lotushill.requests.idle_connections import idle_connections
+from lotushill.requests.idle_connections import idle_connection_limit
 
 MOST = 310
 
 
 def kept_by_all(gateways: int, upstream: str) -> int:
-    return sum(idle_connections(MOST, gateways, upstream, f"gw-{n}") for n in range(gateways))
+    return sum(idle_connection_limit(MOST, gateways, upstream, f"gw-{n}") for n in range(gateways))
 
 
 class TestIdleConnections(unittest.TestCase):
@@ -29,8 +29,10 @@
 
     def test_each_gateway_keeps_some_somewhere(self) -> None:
         for number in range(360):
-            kept = sum(idle_connections(MOST, 360, f"e{n}", f"gw-{number}") for n in range(100))
+            kept = sum(
+                idle_connection_limit(MOST, 360, f"e{n}", f"gw-{number}") for n in range(100)
+            )
             self.assertGreater(kept, 20)
 
     def test_an_upstream_that_takes_none_is_kept_none(self) -> None:
-        self.assertEqual(0, idle_connections(0, 9, "e1", "gw-1"))
+        self.assertEqual(0, idle_connection_limit(0, 9, "e1", "gw-1"))
--- a/tests/requests/test_leaving.py
+++ b/tests/requests/test_leaving.py
@@ -12,21 +12,21 @@
 
 from lotushill.routing.route import RouteKind
 from lotushill.routing.upstream import Upstream
-from tests.requests.rig import Got
+from tests.requests.rig import ReceivedAnswer
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 from tests.requests.test_rest import prefer
 
 LEAVES = "Server-Leaving: 1\r\n"
 
 
-async def whole(seen: Seen) -> None:
-    seen.whole()
+async def whole(seen: ReceivedRequest) -> None:
+    seen.answer_whole()
 
 
-async def leaves(seen: Seen) -> None:
-    seen.whole(status=f"200 OK\r\n{LEAVES.strip()}")
+async def leaves(seen: ReceivedRequest) -> None:
+    seen.answer_whole(status=f"200 OK\r\n{LEAVES.strip()}")
 
 
 class TestOneGateway(unittest.IsolatedAsyncioTestCase):
@@ -35,23 +35,23 @@
         async with Rig(upstreams) as rig:
             got = [await rig.call(f"r{number}") for number in range(20)]
         self.assertEqual({200}, {item.status for item in got})
-        self.assertEqual(1, len(upstreams[0].seen))
+        self.assertEqual(1, len(upstreams[0].requests))
 
     async def test_a_refusal_or_a_failure_says_it_as_well(self) -> None:
         for head in ("421 No\r\n", "503 Busy\r\nNot-Executed: 1\r\n", "500 Bad\r\n"):
             with self.subTest(head=head):
 
-                async def answer(seen: Seen, head: str = head) -> None:
+                async def answer(seen: ReceivedRequest, head: str = head) -> None:
                     seen.answer(f"{head}{LEAVES}Content-Length: 0\r\n")
 
                 upstreams = [ScriptedUpstream([answer]), ScriptedUpstream([whole])]
                 async with Rig(upstreams) as rig:
                     for number in range(20):
                         await rig.call(f"r{number}")
-                self.assertGreaterEqual(1, len(upstreams[0].seen))
+                self.assertGreaterEqual(1, len(upstreams[0].requests))
 
     async def test_the_head_of_a_stream_says_it_while_the_stream_goes_on(self) -> None:
-        async def stream(seen: Seen) -> None:
+        async def stream(seen: ReceivedRequest) -> None:
             seen.answer(
                 f"200 OK\r\nTransfer-Encoding: chunked\r\n{LEAVES}Response-Signature: s1\r\n"
             )
@@ -61,16 +61,18 @@
             seen.event(1)
             seen.end_events()
 
-        async def serve(seen: Seen) -> None:
+        async def serve(seen: ReceivedRequest) -> None:
             await (stream if seen.id == "first" else whole)(seen)
 
-        others: list[Got] = []
+        others: list[ReceivedAnswer] = []
         upstreams = [ScriptedUpstream([serve]), ScriptedUpstream([serve])]
         async with Rig(upstreams, RouteKind.STREAM, resumable=True) as rig:
             got = await rig.call("first")
         self.assertTrue(got.whole)
         self.assertEqual([200], [item.status for item in others])
-        self.assertEqual([["first"], ["other"]], sorted([s.id for s in u.seen] for u in upstreams))
+        self.assertEqual(
+            [["first"], ["other"]], sorted([s.id for s in u.requests] for u in upstreams)
+        )
 
     async def test_an_entry_that_says_ready_later_does_not_take_it_back(self) -> None:
         upstreams = [ScriptedUpstream([leaves]), ScriptedUpstream([whole])]
@@ -82,7 +84,7 @@
             rig.view.replace(entries, 3)
             for number in range(10):
                 await rig.call(f"later{number}")
-        self.assertEqual(["r1"], [seen.id for seen in upstreams[0].seen])
+        self.assertEqual(["r1"], [seen.id for seen in upstreams[0].requests])
 
     async def test_a_later_life_under_its_name_is_sent_requests(self) -> None:
         upstreams = [ScriptedUpstream([leaves, whole])]
--- a/tests/requests/test_limit.py
+++ b/tests/requests/test_limit.py
@@ -19,9 +19,9 @@
 
 from lotushill.routing.route import RouteKind
 from tests.requests.rig import SIGNED
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 from tests.requests.test_leaving import entry
 from tests.requests.test_leaving import whole
 from tests.requests.test_rest import backup_of
@@ -31,8 +31,8 @@
 """Within a test at most one more request."""
 
 
-async def limits(seen: Seen) -> None:
-    seen.whole(status=f"200 OK\r\n{LIMIT.strip()}")
+async def limits(seen: ReceivedRequest) -> None:
+    seen.answer_whole(status=f"200 OK\r\n{LIMIT.strip()}")
 
 
 class TestOneGateway(unittest.IsolatedAsyncioTestCase):
@@ -42,7 +42,7 @@
             prefer(rig, "b0")
             got = [await rig.call(f"r{number}") for number in range(20)]
         self.assertEqual({200}, {item.status for item in got})
-        self.assertLessEqual(len(upstreams[0].seen), 2)
+        self.assertLessEqual(len(upstreams[0].requests), 2)
 
     async def test_where_all_have_a_limit_what_is_over_is_refused_as_not_run(self) -> None:
         upstreams = [ScriptedUpstream([limits]) for _ in range(2)]
@@ -51,13 +51,13 @@
         self.assertEqual({200, 503}, {item.status for item in got})
         times = [float(item.headers["retry-after"]) for item in got if item.status == 503]
         self.assertGreaterEqual(min(times), 1.0)
-        self.assertLessEqual(max(len(item.seen) for item in upstreams), 2)
+        self.assertLessEqual(max(len(item.requests) for item in upstreams), 2)
 
     async def test_any_answer_names_it(self) -> None:
         for head in ("421 No\r\n", "503 Busy\r\nNot-Executed: 1\r\n", "500 Bad\r\n", "429 No\r\n"):
             with self.subTest(head=head):
 
-                async def answer(seen: Seen, head: str = head) -> None:
+                async def answer(seen: ReceivedRequest, head: str = head) -> None:
                     seen.answer(f"{head}{LIMIT}Content-Length: 0\r\n")
 
                 upstreams = [ScriptedUpstream([answer]), ScriptedUpstream([whole])]
@@ -65,10 +65,10 @@
                     prefer(rig, "b0")
                     for number in range(20):
                         await rig.call(f"r{number}")
-                self.assertLessEqual(len(upstreams[0].seen), 2)
+                self.assertLessEqual(len(upstreams[0].requests), 2)
 
     async def test_the_head_of_a_stream_names_it_while_the_stream_goes_on(self) -> None:
-        async def stream(seen: Seen) -> None:
+        async def stream(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\nTransfer-Encoding: chunked\r\n{LIMIT}{SIGNED}")
             seen.event(0)
             await seen.writer.drain()
@@ -82,7 +82,7 @@
             prefer(rig, "b0")
             got = await rig.call("first")
         self.assertTrue(got.whole)
-        self.assertEqual(["first"], [seen.id for seen in upstreams[0].seen])
+        self.assertEqual(["first"], [seen.id for seen in upstreams[0].requests])
 
     async def test_what_is_kept_back_has_spent_neither_a_run_nor_a_repeat(self) -> None:
         upstreams = [ScriptedUpstream([limits]), ScriptedUpstream([whole])]
@@ -93,9 +93,9 @@
         self.assertEqual(1, upstreams[0].connections)
 
     async def test_a_run_does_not_go_on_there_without_a_permit(self) -> None:
-        async def serve(seen: Seen) -> None:
+        async def serve(seen: ReceivedRequest) -> None:
             if seen.id == "asked":
-                seen.whole(status=f"200 OK\r\n{LIMIT.strip()}")
+                seen.answer_whole(status=f"200 OK\r\n{LIMIT.strip()}")
                 return
             seen.start_events()
             seen.event(0)
@@ -108,24 +108,24 @@
         upstreams = [ScriptedUpstream([serve]) for _ in range(2)]
         async with Rig(upstreams, RouteKind.STREAM, engine=True, backups=True) as rig:
             got = await rig.call("runs", headers="Token-Usage: 50,20\r\n")
-            unpermitted = rig.parts.gate.unpermitted
-        sent = [seen for item in upstreams for seen in item.seen if seen.id == "runs"]
+            unpermitted = rig.parts.gate.requests_without_permit
+        sent = [seen for item in upstreams for seen in item.requests if seen.id == "runs"]
         self.assertEqual((False, 1, 1), (got.whole, len(sent), unpermitted))
 
     async def test_no_copy_is_kept_at_one_that_has_a_limit(self) -> None:
         """What goes on there would need a permit, just when another engine was lost."""
 
-        async def serve(seen: Seen) -> None:
+        async def serve(seen: ReceivedRequest) -> None:
             words = f"\r\n{LIMIT.strip()}" if seen.id == "asked" else ""
-            seen.whole(status=f"200 OK{words}")
+            seen.answer_whole(status=f"200 OK{words}")
 
         upstreams = [ScriptedUpstream([serve]) for _ in range(2)]
         async with Rig(upstreams, RouteKind.STREAM, engine=True, backups=True) as rig:
             await rig.call("asked", headers="Token-Usage: 50,20\r\n")
-            limited = next(item for item in upstreams if item.seen)
+            limited = next(item for item in upstreams if item.requests)
             for number in range(5):
                 await rig.call(f"r{number}", headers="Token-Usage: 50,20\r\n")
-        others = [seen for item in upstreams for seen in item.seen if seen.id != "asked"]
+        others = [seen for item in upstreams for seen in item.requests if seen.id != "asked"]
         self.assertEqual(5, len(others))
         self.assertNotIn(limited.address, [seen.headers.get("kv-backup") for seen in others])
 
@@ -139,7 +139,7 @@
         self.assertEqual((503, 200), (refused.status, served.status))
 
     async def test_with_other_words_in_one_answer_each_holds(self) -> None:
-        async def busy(seen: Seen) -> None:
+        async def busy(seen: ReceivedRequest) -> None:
             head = f"503 Busy\r\nNot-Executed: 1\r\nRetry-After: 0.05\r\n{LIMIT}"
             seen.answer(f"{head}Content-Length: 0\r\n")
 
@@ -150,11 +150,11 @@
             rig.suspend(0.2)
             for number in range(10):
                 await rig.call(f"later{number}")
-        self.assertEqual(["r1"], [seen.id for seen in upstreams[0].seen])
+        self.assertEqual(["r1"], [seen.id for seen in upstreams[0].requests])
 
     async def test_a_word_that_cannot_be_read_ends_no_limit(self) -> None:
-        async def odd(seen: Seen) -> None:
-            seen.whole(status="200 OK\r\nServer-Limit: few")
+        async def odd(seen: ReceivedRequest) -> None:
+            seen.answer_whole(status="200 OK\r\nServer-Limit: few")
 
         upstreams = [ScriptedUpstream([limits, odd])]
         async with Rig(upstreams) as rig:
@@ -163,7 +163,7 @@
             rig.suspend(20.0)
             got = [await rig.call(f"r{number}") for number in range(2, 8)]
         # After the long pause there are two permits.
-        self.assertEqual(3, len(upstreams[0].seen))
+        self.assertEqual(3, len(upstreams[0].requests))
         self.assertIn(503, [item.status for item in got])
 
     async def test_its_end_is_heard_and_then_nothing_is_kept_back(self) -> None:
--- a/tests/requests/test_moves.py
+++ b/tests/requests/test_moves.py
@@ -18,9 +18,9 @@
 from tests.requests.moving import STEP
 from tests.requests.moving import Memory
 from tests.requests.moving import MovingUpstream
-from tests.requests.rig import Got
+from tests.requests.rig import ReceivedAnswer
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
-from tests.requests.rig import Seen
 from tests.requests.rig import event
 from tests.requests.rig import request_bytes
 from tests.requests.test_rest import prefer
@@ -70,7 +70,7 @@
     async def _look(self) -> None:
         while True:
             await asyncio.sleep(0.01)
-            self.rig.mover.look()
+            self.rig.mover.start_due_handovers()
 
     def leave(self, leaves_in: float | None = None, revision: int = 2) -> None:
         """Let the source's entry say that it leaves."""
@@ -83,7 +83,7 @@
         ]  # fmt: skip
         self.rig.view.replace(listed, revision)
 
-    async def call(self, leaves: bool = True, leaves_in: float | None = 0.4) -> Got:
+    async def call(self, leaves: bool = True, leaves_in: float | None = 0.4) -> ReceivedAnswer:
         """Make one request, whose upstream leaves after some of its events."""
         calling = asyncio.create_task(self.rig.call(headers=LONG))
         await self.begun()
@@ -99,7 +99,7 @@
     async def settled(self) -> None:
         """Wait until no call is under way."""
         async with asyncio.timeout(3.0):
-            while self.rig.mover.under_way:
+            while self.rig.mover.handovers_in_progress:
                 await asyncio.sleep(STEP)
 
     def resumed(self) -> int:
@@ -108,7 +108,7 @@
 
 
 class TestMoves(unittest.IsolatedAsyncioTestCase):
-    def assert_whole(self, got: Got, site: Site) -> None:
+    def assert_whole(self, got: ReceivedAnswer, site: Site) -> None:
         self.assertEqual((200, True), (got.status, got.whole))
         self.assertEqual(WHOLE, got.body)
         self.assert_clean(site)
@@ -117,11 +117,11 @@
         """Check that nothing ran twice, and that nothing is held."""
         self.assertEqual([], site.memory.twice)
         self.assertEqual([], site.memory.left())
-        self.assertEqual(0, site.rig.mover.under_way)
+        self.assertEqual(0, site.rig.mover.handovers_in_progress)
 
     async def play(
         self, says: list[int | str] | None = None, resumable: bool = False
-    ) -> tuple[Got, Site]:
+    ) -> tuple[ReceivedAnswer, Site]:
         async with Site(says, resumable).open() as site:
             got = await site.call()
             await site.settled()
@@ -211,7 +211,7 @@
             while not site.source.calls:
                 await asyncio.sleep(0.001)
             for other in site.others:
-                await other.end()
+                await other.close()
             got = await calling
             await site.settled()
         self.assert_whole(got, site)
@@ -248,7 +248,7 @@
             got = await site.call()
             await site.settled()
         self.assert_whole(got, site)
-        self.assertEqual([1, 1], [len(item.seen) for item in site.others])
+        self.assertEqual([1, 1], [len(item.requests) for item in site.others])
 
     async def test_a_run_that_stands_still_is_moved_with_its_memory(self) -> None:
         async with Site().open() as site:
@@ -281,7 +281,7 @@
         async with Site().open() as site:
             big = b"data: " + b"x" * 4_000_000 + b"\n\n"
 
-            async def serve(seen: Seen) -> None:
+            async def serve(seen: ReceivedRequest) -> None:
                 seen.start_events()
                 seen.event(0)
                 for _ in range(4):
@@ -297,7 +297,7 @@
             await asyncio.sleep(2.0)
             writer.transport.abort()
         self.assertEqual([], site.source.calls)
-        self.assertEqual([], [seen.line for seen in site.source.seen if "/kv-" in seen.line])
+        self.assertEqual([], [seen.line for seen in site.source.requests if "/kv-" in seen.line])
 
     async def test_a_process_that_stood_still_itself_moves_nothing_for_that(self) -> None:
         async with Site().open() as site:
@@ -313,23 +313,23 @@
     ) -> None:
         async with Site(resumable=True).open() as site:
             for _ in range(200):
-                site.rig.mover.first_waits.note("s", 0.02)
+                site.rig.mover.first_event_waits.note("s", 0.02)
             site.source.stands = 0
             got = await site.rig.call(headers=LONG)
         self.assert_whole(got, site)
-        self.assertEqual(1, sum(len(other.seen) for other in site.others))
+        self.assertEqual(1, sum(len(other.requests) for other in site.others))
 
     async def test_one_that_may_run_once_is_waited_for(self) -> None:
         async with Site().open() as site:
             for _ in range(200):
-                site.rig.mover.first_waits.note("s", 0.02)
+                site.rig.mover.first_event_waits.note("s", 0.02)
             site.source.stands = 0
             calling = asyncio.create_task(site.rig.call(headers=LONG))
             await asyncio.sleep(1.0)
             site.source.stands = None
             got = await calling
         self.assert_whole(got, site)
-        self.assertEqual([], [other.seen for other in site.others if other.seen])
+        self.assertEqual([], [other.requests for other in site.others if other.requests])
 
     async def test_a_stream_whose_end_is_never_seen_is_ended_once_its_run_has_stopped(self) -> None:
         async with Site().open() as site:
@@ -391,7 +391,7 @@
 class TestReclaim(unittest.IsolatedAsyncioTestCase):
     """All that runs on an upstream that ends so shortly after its word that no run is over."""
 
-    async def reclaim(self, moves: bool) -> tuple[list[Got], Site]:
+    async def reclaim(self, moves: bool) -> tuple[list[ReceivedAnswer], Site]:
         async with Site(moves=moves).open() as site:
             site.source.step = 3 * STEP
             calls = [
@@ -404,7 +404,7 @@
             await asyncio.sleep(NOTICE)
             for run in site.source.runs.values():
                 site.memory.working[run.seen.id].discard(site.source.address)
-            await site.source.end()
+            await site.source.close()
             got = await asyncio.gather(*calls)
             await site.settled()
             return got, site
--- a/tests/requests/test_quarantine.py
+++ b/tests/requests/test_quarantine.py
@@ -31,10 +31,10 @@
 from tests.entries import entry
 from tests.requests.rig import HOST
 from tests.requests.rig import TEAM
-from tests.requests.rig import Got
+from tests.requests.rig import ReceivedAnswer
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 from tests.requests.rig import read_answer
 from tests.requests.rig import request_bytes
 
@@ -53,11 +53,11 @@
 def mortal(ended: list[ScriptedUpstream]) -> ScriptedUpstream:
     """Return an upstream that ends under the deadly body and serves all others."""
 
-    async def answer(seen: Seen) -> None:
+    async def answer(seen: ReceivedRequest) -> None:
         if seen.body == DEADLY:
             ended.append(upstream)
             upstream.crash(seen)
-        seen.whole()
+        seen.answer_whole()
 
     upstream = ScriptedUpstream([answer])
     return upstream
@@ -100,12 +100,12 @@
         self.assertEqual((200, ["r1"]), (early.status, ids(upstream)))
 
 
-async def whole(seen: Seen) -> None:
-    seen.whole()
+async def whole(seen: ReceivedRequest) -> None:
+    seen.answer_whole()
 
 
 def ids(upstream: ScriptedUpstream) -> list[str]:
-    return [seen.id for seen in upstream.seen]
+    return [seen.id for seen in upstream.requests]
 
 
 class TestWhatIsNoEnd(unittest.IsolatedAsyncioTestCase):
@@ -114,7 +114,7 @@
     async def test_a_connection_that_ends_while_its_upstream_goes_on_counts_for_nothing(
         self,
     ) -> None:
-        async def cut(seen: Seen) -> None:
+        async def cut(seen: ReceivedRequest) -> None:
             seen.reset()
 
         async with Rig([ScriptedUpstream([cut]) for _ in range(4)], slack=1000.0) as rig:
@@ -128,7 +128,7 @@
         ended: list[ScriptedUpstream] = []
         upstreams: list[ScriptedUpstream] = []
 
-        async def drain_and_end(seen: Seen) -> None:
+        async def drain_and_end(seen: ReceivedRequest) -> None:
             address = "{}:{}".format(*seen.writer.get_extra_info("sockname"))
             self.assertEqual(DEADLY, seen.body)
             rig.view.replace(
@@ -166,7 +166,7 @@
         self.assertEqual(1, len(rig.quarantine))
 
     async def test_one_that_says_later_that_it_leaves_ended_as_planned(self) -> None:
-        async def cut(seen: Seen) -> None:
+        async def cut(seen: ReceivedRequest) -> None:
             seen.reset()
 
         async with Rig([ScriptedUpstream([cut])], RouteKind.NON_IDEMPOTENT) as rig:
@@ -194,7 +194,7 @@
         began = asyncio.Event()
 
         def slow_then(upstream: ScriptedUpstream) -> Script:
-            async def answer(seen: Seen) -> None:
+            async def answer(seen: ReceivedRequest) -> None:
                 if seen.body == DEADLY and ended:
                     # Sent on to the only other upstream; it would end that and all that is there.
                     seen.reset()
@@ -205,7 +205,7 @@
                 if not ended:
                     began.set()
                     await asyncio.sleep(30)
-                seen.whole()
+                seen.answer_whole()
 
             return answer
 
@@ -226,14 +226,14 @@
             await deadly
             rig.keeper.tell_due()
         self.assertEqual((200, b"done"), (got.status, got.body))
-        cleared = [news for news in rig.told if isinstance(news, ClearedNews)]
+        cleared = [news for news in rig.sent_messages if isinstance(news, ClearedNews)]
         self.assertEqual(1, len(cleared))
 
     async def test_a_copy_of_its_memory_is_not_where_a_suspect_goes_on(self) -> None:
         ended: list[ScriptedUpstream] = []
 
         def streams(upstream: ScriptedUpstream) -> Script:
-            async def answer(seen: Seen) -> None:
+            async def answer(seen: ReceivedRequest) -> None:
                 seen.start_events()
                 seen.event(1)
                 await seen.writer.drain()
@@ -246,7 +246,7 @@
         for upstream in upstreams:
             upstream.scripts.append(streams(upstream))
         async with Rig(upstreams, RouteKind.STREAM, engine=True, backups=True) as rig:
-            rig.quarantine.note_end(
+            rig.quarantine.record_upstream_failure(
                 identity_of(TEAM, HOST, b"POST", b"/p/x", DEADLY), TEAM, "/p/x", "before", 1.0
             )
             headers = "Token-Usage: 1000,400\r\nPrompt-Prefix: 0a:600,0b:400\r\n"
@@ -277,7 +277,7 @@
         self.task.cancel()
         await asyncio.gather(self.task, return_exceptions=True)
         for upstream in self.upstreams:
-            await upstream.end()
+            await upstream.close()
         self.folder.cleanup()
 
     async def start_upstream(self) -> None:
@@ -325,7 +325,7 @@
             process.kill()
             await process.wait()
 
-    async def call(self, name: str, number: int, body: bytes) -> Got:
+    async def call(self, name: str, number: int, body: bytes) -> ReceivedAnswer:
         settings = json.loads((Path(self.folder.name) / f"{name}.yaml").read_text())
         host, _, port = settings["clients"].partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
--- a/tests/requests/test_request_path.py
+++ b/tests/requests/test_request_path.py
@@ -9,33 +9,33 @@
 from tests.requests.rig import KEY
 from tests.requests.rig import SIGNED
 from tests.requests.rig import TEAM
-from tests.requests.rig import Got
+from tests.requests.rig import ReceivedAnswer
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import Script
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 from tests.requests.rig import event
 from tests.requests.rig import read_answer
 from tests.requests.rig import request_bytes
 
 
-async def whole(seen: Seen) -> None:
-    seen.whole()
+async def whole(seen: ReceivedRequest) -> None:
+    seen.answer_whole()
 
 
-async def reset(seen: Seen) -> None:
+async def reset(seen: ReceivedRequest) -> None:
     seen.reset()
 
 
-async def rejects(seen: Seen) -> None:
+async def rejects(seen: ReceivedRequest) -> None:
     seen.answer("503 Busy\r\nNot-Executed: 1\r\nContent-Length: 0\r\n")
 
 
-async def fails(seen: Seen) -> None:
-    seen.whole(b"oops", "500 Error")
+async def fails(seen: ReceivedRequest) -> None:
+    seen.answer_whole(b"oops", "500 Error")
 
 
-async def silent(seen: Seen) -> None:
+async def silent(seen: ReceivedRequest) -> None:
     del seen
     await asyncio.sleep(30)
 
@@ -50,7 +50,7 @@
                 b"body",
                 "/p/a%20b?q=%2F&",
             )
-        seen = upstream.seen[0]
+        seen = upstream.requests[0]
         self.assertEqual(
             (200, b"done", "s1"), (got.status, got.body, got.headers["response-signature"])
         )
@@ -68,14 +68,14 @@
             writer.write(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
             got = await read_answer(reader)
             writer.close()
-        self.assertEqual((200, b"abcde"), (got.status, upstream.seen[0].body))
+        self.assertEqual((200, b"abcde"), (got.status, upstream.requests[0].body))
 
     async def test_connections_to_upstreams_are_used_again(self) -> None:
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
             for number in range(4):
                 await rig.call(f"r{number}")
-        self.assertEqual((4, 1), (len(upstream.seen), upstream.connections))
+        self.assertEqual((4, 1), (len(upstream.requests), upstream.connections))
 
 
 class TestTurnedAway(unittest.IsolatedAsyncioTestCase):
@@ -85,7 +85,7 @@
             self.assertEqual(404, (await rig.call(path="/q/x")).status)
             got = await rig.call(headers="Authorization: Bearer other\r\n")
             self.assertEqual(401, got.status)
-        self.assertEqual([], upstream.seen)
+        self.assertEqual([], upstream.requests)
 
     async def test_while_the_view_may_be_old_the_unknown_is_asked_to_come_back(self) -> None:
         async with Rig([ScriptedUpstream([whole])]) as rig:
@@ -99,7 +99,7 @@
         async with Rig([upstream]) as rig:
             self.assertEqual(431, (await rig.call(headers=f"X-Long: {'x' * 17000}\r\n")).status)
             self.assertEqual(413, (await rig.call(body=b"x" * 4_300_000)).status)
-        self.assertEqual([], upstream.seen)
+        self.assertEqual([], upstream.requests)
 
     async def test_without_a_configuration_nothing_is_denied(self) -> None:
         async with Rig([ScriptedUpstream([whole])]) as rig:
@@ -114,7 +114,7 @@
         async with Rig(upstreams, RouteKind.NON_IDEMPOTENT) as rig:
             got = await rig.call()
         self.assertEqual(502, got.status)
-        self.assertEqual(1, sum(len(item.seen) for item in upstreams))
+        self.assertEqual(1, sum(len(item.requests) for item in upstreams))
 
     async def test_what_may_be_repeated_is_sent_to_another_upstream(self) -> None:
         upstreams = [ScriptedUpstream([reset, whole]), ScriptedUpstream([reset, whole])]
@@ -131,7 +131,7 @@
         self.assertEqual(503, got.status)
         self.assertNotIn("response-signature", got.headers)
         self.assertIn("retry-after", got.headers)
-        self.assertEqual([1, 1], [len(item.seen) for item in upstreams])
+        self.assertEqual([1, 1], [len(item.requests) for item in upstreams])
 
     async def test_never_more_upstreams_than_the_route_allows(self) -> None:
         upstreams = [ScriptedUpstream([fails]) for _ in range(4)]
@@ -140,13 +140,13 @@
         self.assertEqual(
             (500, b"oops", "s1"), (got.status, got.body, got.headers["response-signature"])
         )
-        self.assertEqual(2, sum(len(item.seen) for item in upstreams))
+        self.assertEqual(2, sum(len(item.requests) for item in upstreams))
 
     async def test_without_budget_nothing_is_repeated(self) -> None:
         upstreams = [ScriptedUpstream([fails]) for _ in range(2)]
         async with Rig(upstreams, slack=0.0) as rig:
             await rig.call()
-        self.assertEqual(1, sum(len(item.seen) for item in upstreams))
+        self.assertEqual(1, sum(len(item.requests) for item in upstreams))
 
     async def test_a_dead_upstream_costs_no_repeat(self) -> None:
         upstreams = [ScriptedUpstream([whole]), ScriptedUpstream([whole])]
@@ -166,7 +166,7 @@
         self.assertNotIn("response-signature", got.headers)
 
     async def test_an_answer_cut_short_is_no_success(self) -> None:
-        async def cut(seen: Seen) -> None:
+        async def cut(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\nContent-Length: 100\r\n{SIGNED}", b"half")
             await seen.writer.drain()
             seen.writer.close()
@@ -174,19 +174,19 @@
         await self.assert_not_whole(cut)
 
     async def test_bytes_that_are_no_answer_are_no_success(self) -> None:
-        async def garbage(seen: Seen) -> None:
+        async def garbage(seen: ReceivedRequest) -> None:
             seen.writer.write(b"\x00\x01 nonsense\r\n\r\n")
 
         await self.assert_not_whole(garbage)
 
     async def test_an_encoded_body_is_not_the_upstreams(self) -> None:
-        async def encoded(seen: Seen) -> None:
+        async def encoded(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\nContent-Encoding: gzip\r\nContent-Length: 1\r\n{SIGNED}", b"x")
 
         await self.assert_not_whole(encoded)
 
     async def test_an_answer_without_length_ends_with_its_connection(self) -> None:
-        async def unframed(seen: Seen) -> None:
+        async def unframed(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\n{SIGNED}", b"all of it")
             await seen.writer.drain()
             seen.writer.close()
@@ -196,7 +196,7 @@
         self.assertEqual((200, b"all of it", True), (got.status, got.body, got.whole))
 
     async def test_an_answer_without_length_that_is_reset_is_not_whole(self) -> None:
-        async def unframed(seen: Seen) -> None:
+        async def unframed(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\n{SIGNED}", b"some of it")
             await asyncio.sleep(0.05)
             seen.reset()
@@ -204,9 +204,9 @@
         await self.assert_not_whole(unframed)
 
     async def test_a_surplus_answer_is_not_given_to_the_next_request(self) -> None:
-        async def twice(seen: Seen) -> None:
-            seen.whole(b"first")
-            seen.whole(b"again")
+        async def twice(seen: ReceivedRequest) -> None:
+            seen.answer_whole(b"first")
+            seen.answer_whole(b"again")
 
         upstream = ScriptedUpstream([twice, whole])
         async with Rig([upstream]) as rig:
@@ -215,18 +215,18 @@
         self.assertEqual((b"first", b"done"), (first.body, second.body))
 
     async def test_a_late_surplus_answer_in_the_place_of_the_next_is_passed_over(self) -> None:
-        async def late(seen: Seen) -> None:
+        async def late(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\nContent-Length: 3\r\n{SIGNED}", b"old", request_id="r0")
-            seen.whole(b"own")
+            seen.answer_whole(b"own")
 
         async with Rig([ScriptedUpstream([late])], RouteKind.NON_IDEMPOTENT) as rig:
             got = await rig.call("r1")
         self.assertEqual((200, b"own"), (got.status, got.body))
 
     async def test_two_requests_on_one_connection_get_their_own_answers(self) -> None:
-        async def echo(seen: Seen) -> None:
+        async def echo(seen: ReceivedRequest) -> None:
             await asyncio.sleep(0.05 if seen.id == "r1" else 0)
-            seen.whole(seen.id.encode())
+            seen.answer_whole(seen.id.encode())
 
         async with Rig([ScriptedUpstream([echo])]) as rig:
             reader, writer = await rig.connect()
@@ -243,7 +243,7 @@
     async def test_each_event_is_passed_on_as_it_comes(self) -> None:
         step = asyncio.Event()
 
-        async def stream(seen: Seen) -> None:
+        async def stream(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(0)
             await step.wait()
@@ -262,7 +262,7 @@
                 writer.close()
 
     async def test_a_stream_goes_on_after_the_last_whole_event(self) -> None:
-        async def breaks(seen: Seen) -> None:
+        async def breaks(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(0)
             seen.chunk(event(1)[:7])
@@ -270,7 +270,7 @@
             await asyncio.sleep(0.05)
             seen.reset()
 
-        async def goes_on(seen: Seen) -> None:
+        async def goes_on(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(1)
             seen.event(2)
@@ -280,8 +280,8 @@
         for index, item in enumerate(upstreams):
             other = upstreams[1 - index]
 
-            async def either(seen: Seen, other: ScriptedUpstream = other) -> None:
-                await (goes_on if other.seen else breaks)(seen)
+            async def either(seen: ReceivedRequest, other: ScriptedUpstream = other) -> None:
+                await (goes_on if other.requests else breaks)(seen)
 
             item.scripts = [either]
         async with self.rig(upstreams) as rig:
@@ -289,20 +289,20 @@
         self.assertTrue(got.whole)
         self.assertEqual(b"".join(event(n) for n in range(3)), got.body)
         second = min(
-            (seen for item in upstreams for seen in item.seen),
+            (seen for item in upstreams for seen in item.requests),
             key=lambda seen: len(seen.headers) * -1,
         )
         self.assertEqual("0", second.headers["last-event-id"])
 
     async def cut_with_a_copy(
         self, goes_on: Script, events: int = 1, sound: bool = True
-    ) -> tuple[Got, Seen, list[Seen]]:
+    ) -> tuple[ReceivedAnswer, ReceivedRequest, list[ReceivedRequest]]:
         """Cut a stream that must not run twice after some events; return what came of it.
 
         Unless `sound`, its backup fails another request at the same time.
         """
 
-        async def breaks(seen: Seen) -> None:
+        async def breaks(seen: ReceivedRequest) -> None:
             if events:
                 seen.start_events()
                 seen.event(0)
@@ -316,7 +316,7 @@
                         load.failures.note(True, asyncio.get_running_loop().time())
             seen.reset()
 
-        async def either(seen: Seen) -> None:
+        async def either(seen: ReceivedRequest) -> None:
             await (goes_on if "kv-from" in seen.headers else breaks)(seen)
 
         upstreams = [ScriptedUpstream([either]), ScriptedUpstream([either])]
@@ -324,14 +324,14 @@
             got = await rig.call(headers="Token-Usage: 50,20\r\n")
             addresses = [item.address for item in upstreams]
         first, *later = sorted(
-            (seen for item in upstreams for seen in item.seen),
+            (seen for item in upstreams for seen in item.requests),
             key=lambda seen: "kv-from" in seen.headers,
         )
         self.assertIn(first.headers["kv-backup"], addresses)
         return got, first, later
 
     async def test_a_stream_with_a_copy_goes_on_there_as_the_same_run(self) -> None:
-        async def goes_on(seen: Seen) -> None:
+        async def goes_on(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(1)
             seen.event(2)
@@ -345,7 +345,7 @@
         self.assertEqual("0", later[0].headers["last-event-id"])
 
     async def test_a_stream_that_was_cut_before_its_first_event_is_sent_nowhere_else(self) -> None:
-        async def goes_on(seen: Seen) -> None:
+        async def goes_on(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(0)
             seen.end_events()
@@ -355,7 +355,7 @@
         self.assertEqual([], later)
 
     async def test_a_stream_goes_on_at_no_upstream_that_has_just_failed(self) -> None:
-        async def goes_on(seen: Seen) -> None:
+        async def goes_on(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(1)
             seen.end_events()
@@ -365,15 +365,15 @@
         self.assertEqual([], later)
 
     async def test_a_stream_whose_copy_is_missing_is_cut_and_not_run_again(self) -> None:
-        async def rejects(seen: Seen) -> None:
-            seen.whole(b"no copy", "503 Service Unavailable\r\nNot-Executed: 1")
+        async def rejects(seen: ReceivedRequest) -> None:
+            seen.answer_whole(b"no copy", "503 Service Unavailable\r\nNot-Executed: 1")
 
         got, _, later = await self.cut_with_a_copy(rejects)
         self.assertFalse(got.whole)
         self.assertEqual(1, len(later))
 
     async def test_a_stream_that_may_not_be_resumed_is_visibly_cut_off(self) -> None:
-        async def breaks(seen: Seen) -> None:
+        async def breaks(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(0)
             await seen.writer.drain()
@@ -384,7 +384,7 @@
         async with self.rig(upstreams, resumable=False) as rig:
             got = await rig.call()
         self.assertEqual((200, False), (got.status, got.whole))
-        self.assertEqual(1, sum(len(item.seen) for item in upstreams))
+        self.assertEqual(1, sum(len(item.requests) for item in upstreams))
 
 
 class TestTime(unittest.IsolatedAsyncioTestCase):
@@ -393,10 +393,10 @@
         async with Rig([upstream], RouteKind.NON_IDEMPOTENT) as rig:
             _, writer = await rig.connect()
             writer.write(request_bytes())
-            while not upstream.seen:
+            while not upstream.requests:
                 await asyncio.sleep(0.005)
             writer.close()
-            seen = upstream.seen[0]
+            seen = upstream.requests[0]
             async with asyncio.timeout(2):
                 self.assertEqual(b"", await seen.reader.read())
             self.assertEqual({}, rig.parts.fleet.load("b0").running)
@@ -414,7 +414,7 @@
 
     async def test_while_stopping_connections_end_with_their_answer(self) -> None:
         async with Rig([ScriptedUpstream([whole])]) as rig:
-            rig.front.closing = True
+            rig.front.closes_connections = True
             got = await rig.call()
         self.assertEqual((200, "close"), (got.status, got.headers["connection"]))
 
--- a/tests/requests/test_rest.py
+++ b/tests/requests/test_rest.py
@@ -18,9 +18,9 @@
 from lotushill.placement.failure_rate import FailureRate
 from lotushill.routing.route import RouteKind
 from tests.requests.rig import SIGNED
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 
 if TYPE_CHECKING:
     from lotushill.placement.choice import NoChoice
@@ -34,12 +34,12 @@
 ASKS_FOR_REST = f"503 Busy\r\nContent-Length: 0\r\nNot-Executed: 1\r\nRetry-After: {REST}\r\n"
 
 
-async def rests(seen: Seen) -> None:
+async def rests(seen: ReceivedRequest) -> None:
     seen.answer(ASKS_FOR_REST)
 
 
-async def whole(seen: Seen) -> None:
-    seen.whole()
+async def whole(seen: ReceivedRequest) -> None:
+    seen.answer_whole()
 
 
 class TestOneGateway(unittest.IsolatedAsyncioTestCase):
@@ -48,14 +48,14 @@
         async with Rig(upstreams) as rig:
             got = [await rig.call(f"r{number}") for number in range(20)]
         self.assertEqual({200}, {item.status for item in got})
-        self.assertGreaterEqual(1, max(len(item.seen) for item in upstreams[:2]))
+        self.assertGreaterEqual(1, max(len(item.requests) for item in upstreams[:2]))
 
     async def test_while_all_rest_none_gets_anything(self) -> None:
         upstreams = [ScriptedUpstream([rests]) for _ in range(3)]
         async with Rig(upstreams, max_attempts=5) as rig:
             got = [await rig.call(f"r{number}") for number in range(20)]
         self.assertEqual({503}, {item.status for item in got})
-        self.assertEqual([1, 1, 1], [len(item.seen) for item in upstreams])
+        self.assertEqual([1, 1, 1], [len(item.requests) for item in upstreams])
 
     async def test_it_is_over_when_its_time_is_up_also_after_a_suspension(self) -> None:
         upstream = ScriptedUpstream([rests, whole])
@@ -68,20 +68,20 @@
         self.assertEqual((503, 200), (early.status, late.status))
 
     async def test_one_that_may_have_run_the_request_rests_as_well(self) -> None:
-        async def fails(seen: Seen) -> None:
+        async def fails(seen: ReceivedRequest) -> None:
             seen.answer(f"503 Busy\r\nContent-Length: 0\r\nRetry-After: {REST}\r\n{SIGNED}")
 
         upstream = ScriptedUpstream([fails, whole])
         async with Rig([upstream], RouteKind.NON_IDEMPOTENT) as rig:
             await rig.call("r1")
             await rig.call("r2")
-        self.assertEqual(1, len(upstream.seen))
+        self.assertEqual(1, len(upstream.requests))
 
     async def test_odd_wishes_change_nothing(self) -> None:
         for text in ("soon", "-1", "nan", "1e999", "", "Wed, 21 Oct 2026 07:28:00 GMT"):
             with self.subTest(text=text):
 
-                async def odd(seen: Seen, text: str = text) -> None:
+                async def odd(seen: ReceivedRequest, text: str = text) -> None:
                     head = "503 Busy\r\nContent-Length: 0\r\nNot-Executed: 1\r\n"
                     seen.answer(f"{head}Retry-After: {text}\r\n")
 
@@ -101,7 +101,7 @@
             await_connection(rig, "b0", "r1")
             got = await rig.call("r1")
         self.assertEqual(200, got.status)
-        self.assertEqual(["asked"], [item.id for item in upstreams[0].seen])
+        self.assertEqual(["asked"], [item.id for item in upstreams[0].requests])
 
     async def test_a_choice_that_does_not_know_of_it_is_not_followed(self) -> None:
         upstreams = [ScriptedUpstream([rests]), ScriptedUpstream([whole])]
@@ -109,14 +109,14 @@
             prefer(rig, "b0")
             got = [await rig.call(f"r{number}") for number in range(5)]
         self.assertEqual({200}, {item.status for item in got})
-        self.assertEqual(1, len(upstreams[0].seen))
+        self.assertEqual(1, len(upstreams[0].requests))
 
     async def test_a_run_does_not_go_on_there(self) -> None:
-        async def serve(seen: Seen) -> None:
+        async def serve(seen: ReceivedRequest) -> None:
             if seen.id == "asked":
                 return seen.answer(ASKS_FOR_REST)
             if "kv-from" in seen.headers:
-                return seen.whole()
+                return seen.answer_whole()
             seen.start_events()
             seen.event(0)
             await seen.writer.drain()
@@ -131,20 +131,20 @@
         upstreams = [ScriptedUpstream([serve]) for _ in range(2)]
         async with Rig(upstreams, RouteKind.STREAM, engine=True, backups=True) as rig:
             got = await rig.call("runs", headers="Token-Usage: 50,20\r\n")
-        sent = [seen for item in upstreams for seen in item.seen if seen.id == "runs"]
+        sent = [seen for item in upstreams for seen in item.requests if seen.id == "runs"]
         self.assertFalse(got.whole)
         self.assertEqual(1, len(sent))
         # Nor is it chosen in vain, which would spend a repeat.
         self.assertNotIn(b'"kind":"barred"', b"".join(rig.lines))
 
 
-def backup_of(seen: Seen) -> str:
+def backup_of(seen: ReceivedRequest) -> str:
     return seen.headers["kv-backup"]
 
 
 def await_connection(rig: Rig, upstream_id: str, request_id: str) -> None:
     """Have the first connection to an upstream wait until that has turned another away."""
-    take = rig.parts.pool.take
+    take = rig.parts.pool.acquire
     waited: list[str] = []
 
     async def wait(upstream: Upstream) -> UpstreamConnection:
@@ -154,7 +154,7 @@
         return await take(upstream)
 
     prefer(rig, upstream_id)
-    rig.parts.pool.take = wait  # type: ignore[method-assign]
+    rig.parts.pool.acquire = wait  # type: ignore[method-assign]
 
 
 def prefer(rig: Rig, upstream_id: str) -> None:
@@ -169,6 +169,6 @@
     ) -> Placement | NoChoice:
         if upstream_id in excluded:
             return await place(request, excluded, again, waits)
-        return rig.parts.placer.continued(request, choice)
+        return rig.parts.placer.continuation_placement(request, choice)
 
     rig.parts.placer.place = chosen  # type: ignore[method-assign]
--- a/tests/requests/test_retry_budget.py
+++ b/tests/requests/test_retry_budget.py
@@ -28,7 +28,7 @@
             if not is_repeat:
                 budgets[gateway].note_request(now)
                 requests.append(now)
-            elif budgets[gateway].spend(GATEWAYS, now):
+            elif budgets[gateway].try_spend(GATEWAYS, now):
                 repeats.append(now)
             window_repeats = sum(1 for at in repeats if at > now - WINDOW)
             window_requests = sum(1 for at in requests if at > now - WINDOW)
@@ -36,15 +36,15 @@
 
     def test_gateways_that_each_take_all_they_can_stay_within_it_together(self) -> None:
         budgets = [RetryBudget(RATIO, SLACK, WINDOW) for _ in range(GATEWAYS)]
-        granted = sum(budget.spend(GATEWAYS, 0.0) for budget in budgets for _ in range(100))
+        granted = sum(budget.try_spend(GATEWAYS, 0.0) for budget in budgets for _ in range(100))
         self.assertTrue(0 < granted <= SLACK)
 
     def test_a_spent_budget_comes_back_with_time(self) -> None:
         budget = RetryBudget(0.0, 10.0, WINDOW)
-        granted = sum(budget.spend(1, 0.0) for _ in range(100))
+        granted = sum(budget.try_spend(1, 0.0) for _ in range(100))
         self.assertTrue(0 < granted <= 10)
-        self.assertFalse(budget.spend(1, WINDOW / 2))
-        self.assertTrue(budget.spend(1, WINDOW * 1.5))
+        self.assertFalse(budget.try_spend(1, WINDOW / 2))
+        self.assertTrue(budget.try_spend(1, WINDOW * 1.5))
 
 
 _EVENTS = st.lists(
@@ -82,7 +82,7 @@
 
     def burst(self, gateway: int) -> None:
         """Have a gateway take all that it is given."""
-        while self.budgets[gateway].spend(self.known(gateway), self.now):
+        while self.budgets[gateway].try_spend(self.known(gateway), self.now):
             self.repeats.append(self.now)
 
     def within_the_budget(self) -> bool:
@@ -117,8 +117,8 @@
 
     def test_without_the_number_of_gateways_only_the_share_of_own_requests_is_spent(self) -> None:
         budget = RetryBudget(RATIO, SLACK, WINDOW)
-        self.assertFalse(budget.spend(0, 0.0))
+        self.assertFalse(budget.try_spend(0, 0.0))
         for _ in range(100):
             budget.note_request(0.0)
-        granted = sum(budget.spend(0, 0.0) for _ in range(100))
+        granted = sum(budget.try_spend(0, 0.0) for _ in range(100))
         self.assertTrue(0 < granted <= RATIO * 100)
--- a/tests/requests/test_sight.py
+++ b/tests/requests/test_sight.py
@@ -8,20 +8,20 @@
 
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 
 if TYPE_CHECKING:
     from lotushill.requests.upstream_connection import UpstreamConnection
     from lotushill.routing.upstream import Upstream
 
 
-async def whole(seen: Seen) -> None:
-    seen.whole()
+async def whole(seen: ReceivedRequest) -> None:
+    seen.answer_whole()
 
 
-async def reset(seen: Seen) -> None:
+async def reset(seen: ReceivedRequest) -> None:
     seen.reset()
 
 
@@ -57,7 +57,7 @@
         self.assertEqual(3, len({first, body, path}))
 
     async def test_a_rejection_tells_what_the_upstream_asked_for(self) -> None:
-        async def reject(seen: Seen) -> None:
+        async def reject(seen: ReceivedRequest) -> None:
             seen.answer(
                 "503 Busy\r\nContent-Length: 0\r\nNot-Executed: 1\r\nRetry-After: 3\r\n"
                 "Server-Leaving: 1\r\n"
@@ -72,14 +72,14 @@
     async def test_an_upstream_at_which_a_fault_of_ours_shows_does_not_draw_all(self) -> None:
         upstreams = [ScriptedUpstream([whole]) for _ in range(3)]
         async with Rig(upstreams) as rig:
-            take = rig.parts.pool.take
+            take = rig.parts.pool.acquire
 
             async def fail_at_one(upstream: Upstream) -> UpstreamConnection:
                 if upstream.id == "b0":
                     raise ZeroDivisionError
                 return await take(upstream)
 
-            rig.parts.pool.take = fail_at_one  # type: ignore[method-assign]
+            rig.parts.pool.acquire = fail_at_one  # type: ignore[method-assign]
             statuses = [(await rig.call(f"r{n}")).status for n in range(30)]
         self.assertLessEqual(30 - statuses.count(200), 3)
 
@@ -97,8 +97,8 @@
 
 class TestLimits(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_that_had_no_permit_tells_where(self) -> None:
-        async def limits(seen: Seen) -> None:
-            seen.whole(status="200 OK\r\nServer-Limit: 0.1")
+        async def limits(seen: ReceivedRequest) -> None:
+            seen.answer_whole(status="200 OK\r\nServer-Limit: 0.1")
 
         async with Rig([ScriptedUpstream([limits]), ScriptedUpstream([limits])]) as rig:
             for number in range(4):
@@ -109,10 +109,10 @@
         self.assertEqual(["all limited"] * 2, [x["reason"] for x in noted(rig, "placement.none")])
 
     async def test_a_word_of_a_limit_is_told_when_it_changes(self) -> None:
-        async def limits(seen: Seen) -> None:
+        async def limits(seen: ReceivedRequest) -> None:
             words = {"r1": "", "r2": "1500.5", "r3": "1500.5", "r4": "few", "r5": ""}
             word = words[seen.id]
-            seen.whole(status=f"200 OK\r\nServer-Limit: {word}" if word else "200 OK")
+            seen.answer_whole(status=f"200 OK\r\nServer-Limit: {word}" if word else "200 OK")
 
         async with Rig([ScriptedUpstream([limits])]) as rig:
             for number in range(1, 6):
--- a/tests/requests/test_suspension.py
+++ b/tests/requests/test_suspension.py
@@ -11,15 +11,15 @@
 from lotushill.duties.lease import LeaseOptions
 from lotushill.process.suspension import SuspensionWatch
 from lotushill.routing.route import RouteKind
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 
 SECONDS = (0.5, 3.0, 10.0, 60.0)
 
 
-async def whole(seen: Seen) -> None:
-    seen.whole()
+async def whole(seen: ReceivedRequest) -> None:
+    seen.answer_whole()
 
 
 class TwoClocks:
@@ -102,14 +102,14 @@
 
 class TestRequests(unittest.IsolatedAsyncioTestCase):
     async def test_a_request_ends_when_its_time_is_up_though_its_timer_stood_still(self) -> None:
-        async def silent(_: Seen) -> None:
+        async def silent(_: ReceivedRequest) -> None:
             await asyncio.sleep(30)
 
         for kind in (RouteKind.IDEMPOTENT, RouteKind.NON_IDEMPOTENT):
             upstream = ScriptedUpstream([silent])
             async with Rig([upstream], kind, timeout=20.0) as rig:
                 call = asyncio.create_task(rig.call())
-                while not upstream.seen:
+                while not upstream.requests:
                     await asyncio.sleep(0.01)
                 rig.suspend(60.0)
                 rig.suspension.look()
@@ -128,7 +128,7 @@
         """An upstream may have left while the host slept between its choice and the sending."""
         upstreams = [ScriptedUpstream([whole]) for _ in range(2)]
         async with Rig(upstreams) as rig:
-            take = rig.parts.pool.take
+            take = rig.parts.pool.acquire
             chosen: list[str] = []
 
             async def suspended_while_connecting(upstream):  # type: ignore[no-untyped-def]
@@ -139,10 +139,10 @@
                     rig.view.replace([i for i in rig.view.all() if i.id != upstream.id], 2)
                 return connection
 
-            rig.parts.pool.take = suspended_while_connecting  # type: ignore[method-assign]
+            rig.parts.pool.acquire = suspended_while_connecting  # type: ignore[method-assign]
             got = await rig.call()
         left = upstreams[int(chosen[0][1:])]
-        self.assertEqual((200, 0), (got.status, len(left.seen)))
+        self.assertEqual((200, 0), (got.status, len(left.requests)))
 
     async def test_nothing_is_sent_beyond_the_deadline(self) -> None:
         upstream = ScriptedUpstream([whole])
@@ -156,7 +156,7 @@
 
             rig.parts.placer.place = suspended_while_choosing  # type: ignore[method-assign]
             got = await rig.call()
-        self.assertEqual((503, 0), (got.status, len(upstream.seen)))
+        self.assertEqual((503, 0), (got.status, len(upstream.requests)))
 
     async def test_requests_wait_for_the_views_for_a_bounded_time(self) -> None:
         upstream = ScriptedUpstream([whole])
--- a/tests/requests/test_team_limit.py
+++ b/tests/requests/test_team_limit.py
@@ -21,7 +21,7 @@
         async with Rig([upstream], RouteKind.NON_IDEMPOTENT) as rig:
             rig.settings.replace(objects, 1)
             got = [await rig.call(f"r{number}") for number in range(count)]
-        self.assertEqual(len(upstream.seen), sum(item.status == 200 for item in got))
+        self.assertEqual(len(upstream.requests), sum(item.status == 200 for item in got))
         for item in got:
             if item.status != 200:
                 self.assertGreaterEqual(float(item.headers["retry-after"]), 1.0)
--- a/tests/requests/test_tiers.py
+++ b/tests/requests/test_tiers.py
@@ -35,7 +35,7 @@
 from lotushill.placement.fleet import Fleet
 from lotushill.placement.messages import route_number
 from lotushill.placement.need import Need
-from lotushill.placement.recent_starts import SPAN_SECONDS
+from lotushill.placement.recent_starts import RECENT_STARTS_SECONDS
 from lotushill.routing.demand import PromptPart
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
@@ -43,9 +43,9 @@
 from lotushill.routing.urgency import Urgency
 from lotushill.scheduling.shared_load import SharedLoad
 from tests.placement.placing import placed
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -178,7 +178,7 @@
             larger = [
                 item
                 for at, item in began
-                if now - SPAN_SECONDS <= at <= now - NEWS_SECONDS
+                if now - RECENT_STARTS_SECONDS <= at <= now - NEWS_SECONDS
                 and item.tier > need.tier
                 and item.prompt_tokens > 2 * need.prompt_tokens
             ]
@@ -200,8 +200,8 @@
         self.assertIsInstance(one.choose(letter(1)), NoChoice)
 
 
-async def whole(seen: Seen) -> None:
-    seen.whole()
+async def whole(seen: ReceivedRequest) -> None:
+    seen.answer_whole()
 
 
 class TestEngines(unittest.IsolatedAsyncioTestCase):
@@ -209,9 +209,9 @@
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream], team_priority=team) as rig:
             rig.route = replace(rig.route, urgency=Urgency(tier))
-            rig.take_table(2)
+            rig.set_table(2)
             await rig.call()
-        return int(upstream.seen[0].headers["request-priority"])
+        return int(upstream.requests[0].headers["request-priority"])
 
     async def test_engines_are_told_the_tier_of_the_route_first(self) -> None:
         told = [await self.told(tier, team) for tier in range(3) for team in range(3)]
--- a/tests/requests/test_ward.py
+++ b/tests/requests/test_ward.py
@@ -11,17 +11,17 @@
 
 from lotushill.quarantine.group import groups_of
 from tests.requests.rig import TEAM
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import Rig
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 
 SUSPECT = "/p/suspect"
 ENDS_APART = (2.4, 1.2, 0.0)
 """Seconds before now at which upstreams ended under the group."""
 
 
-async def whole(seen: Seen) -> None:
-    seen.whole()
+async def whole(seen: ReceivedRequest) -> None:
+    seen.answer_whole()
 
 
 def isolate(rig: Rig) -> None:
@@ -29,11 +29,11 @@
     now = rig.clock()
     for number, before in enumerate(ENDS_APART):
         for group in groups_of("s", TEAM, rig.route.name, SUSPECT.encode(), ()):
-            rig.isolation.note_end(group, f"former{number}", "gw", 0, now - before)
+            rig.isolation.record_upstream_failure(group, f"former{number}", "gw", 0, now - before)
 
 
 def got_suspect(upstreams: list[ScriptedUpstream]) -> list[ScriptedUpstream]:
-    return [item for item in upstreams if any(SUSPECT in seen.line for seen in item.seen)]
+    return [item for item in upstreams if any(SUSPECT in seen.line for seen in item.requests)]
 
 
 class TestWard(unittest.IsolatedAsyncioTestCase):
@@ -46,13 +46,13 @@
                 other = await rig.call(f"o{number}", body=f"{number}".encode())
                 self.assertEqual((200, 200), (suspect.status, other.status))
         (ward,) = got_suspect(upstreams)
-        self.assertEqual(8, len(ward.seen))
+        self.assertEqual(8, len(ward.requests))
 
     async def test_one_runs_at_a_time_and_the_next_is_refused_as_not_run(self) -> None:
-        async def slow(seen: Seen) -> None:
+        async def slow(seen: ReceivedRequest) -> None:
             began.set()
             await release.wait()
-            seen.whole()
+            seen.answer_whole()
 
         began, release = asyncio.Event(), asyncio.Event()
         upstreams = [ScriptedUpstream([slow]) for _ in range(4)]
@@ -63,11 +63,11 @@
             second = await rig.call("s2", path=SUSPECT, body=b"2")
             release.set()
             self.assertEqual((200, 503), ((await first).status, second.status))
-        self.assertEqual(1, sum(len(item.seen) for item in upstreams))
+        self.assertEqual(1, sum(len(item.requests) for item in upstreams))
 
     async def test_one_that_ends_the_upstream_is_not_sent_on_and_the_next_waits(self) -> None:
-        async def ends(seen: Seen) -> None:
-            upstream = next(item for item in upstreams if seen in item.seen)
+        async def ends(seen: ReceivedRequest) -> None:
+            upstream = next(item for item in upstreams if seen in item.requests)
             upstream.crash(seen)
 
         upstreams = [ScriptedUpstream([ends]) for _ in range(4)]
@@ -77,15 +77,15 @@
             second = await rig.call("s2", path=SUSPECT, body=b"2")
         self.assertEqual((502, 503), (first.status, second.status))
         self.assertGreater(float(second.headers["retry-after"]), 0.5)
-        self.assertEqual(1, sum(len(item.seen) for item in upstreams))
+        self.assertEqual(1, sum(len(item.requests) for item in upstreams))
 
     async def test_with_one_upstream_left_none_waits_for_it_to_be_idle(self) -> None:
-        async def slow(seen: Seen) -> None:
+        async def slow(seen: ReceivedRequest) -> None:
             began.set()
             await release.wait()
-            seen.whole()
+            seen.answer_whole()
 
-        async def serve(seen: Seen) -> None:
+        async def serve(seen: ReceivedRequest) -> None:
             await (slow if seen.id == "o" else whole)(seen)
 
         began, release = asyncio.Event(), asyncio.Event()
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -46,16 +46,16 @@
 class TestRoutingTable(unittest.TestCase):
     @given(st.sets(_PATHS, max_size=8), _PATHS, st.sampled_from(["", "x", "x/y"]))
     def test_the_longest_prefix_wins(self, prefixes: set[str], path: str, rest: str) -> None:
-        found = table(*(route(prefix) for prefix in prefixes)).find(HOST, path + rest)
+        found = table(*(route(prefix) for prefix in prefixes)).find_route(HOST, path + rest)
         fitting = [prefix for prefix in prefixes if (path + rest).startswith(prefix)]
         expected = max(fitting, key=len, default=None)
         self.assertEqual(expected, found.path_prefix if found else None)
 
     def test_another_host_has_no_route(self) -> None:
-        self.assertIsNone(table(route("/a/")).find("b.example", "/a/x"))
+        self.assertIsNone(table(route("/a/")).find_route("b.example", "/a/x"))
 
     def test_a_host_is_found_whatever_its_case(self) -> None:
-        self.assertIsNotNone(table(route("/a/")).find("A.Example", "/a/x"))
+        self.assertIsNotNone(table(route("/a/")).find_route("A.Example", "/a/x"))
 
     def test_a_key_names_its_team_and_no_other_key_does(self) -> None:
         found = table(route("/a/")).team("key")
--- a/tests/scheduling/test_lives.py
+++ b/tests/scheduling/test_lives.py
@@ -25,8 +25,8 @@
 from lotushill.scheduling.shared_load import SharedLoad
 from lotushill.views.upstream_view import UpstreamView
 from tests.entries import entry
+from tests.requests.rig import ReceivedRequest
 from tests.requests.rig import ScriptedUpstream
-from tests.requests.rig import Seen
 
 SERVICE = Service("llm", 50, EngineProfile(8, 100_000, 1))
 
@@ -63,7 +63,7 @@
         self.hear(late)
         self.hear(Load("gw-2", False, ended=(Ended(1, Outcome.CUT, 1.0),)))
         new = self.fleet.load("i-1@2")
-        self.assertEqual(({}, 0), (new.running, new.memory))
+        self.assertEqual(({}, 0), (new.running, new.reserved_tokens))
         self.assertEqual(Fleet("z").load("x").failures.rate(10.0), new.failures.rate(10.0))
 
     @given(st.integers(0, 10**6), st.integers(2, 30))
@@ -95,23 +95,23 @@
 
 class TestConnections(unittest.IsolatedAsyncioTestCase):
     async def test_no_connection_of_a_former_life_is_used_for_the_new_one(self) -> None:
-        async def whole(seen: Seen) -> None:
-            seen.whole()
+        async def whole(seen: ReceivedRequest) -> None:
+            seen.answer_whole()
 
         server = ScriptedUpstream([whole])
         await server.start()
         pool = UpstreamPool(request_head.answered_id)
         (first,), (second,) = life(1, server.address), life(2, server.address)
-        connection = await pool.take(first)
+        connection = await pool.acquire(first)
         connection.send("r", b"POST", b"POST / HTTP/1.1\r\nattempt-id: r\r\n\r\n")
         await connection.read_head()
         while await connection.read():
             pass
-        pool.give_back(first, connection)
-        other = await pool.take(second)
+        pool.release(first, connection)
+        other = await pool.acquire(second)
         self.assertIsNot(connection, other)
-        pool.sweep({second.id})
+        pool.close_expired({second.id})
         await asyncio.sleep(0)
-        self.assertFalse(connection.open)
+        self.assertFalse(connection.is_open)
         other.close()
-        await server.end()
+        await server.close()
--- a/tests/scheduling/test_placer.py
+++ b/tests/scheduling/test_placer.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 from typing import cast
 
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.limits.barred_upstreams import BarredUpstreams
 from lotushill.limits.denials import Denials
@@ -84,7 +84,7 @@
         view = UpstreamView()
         view.replace(UPSTREAMS, 1)
         fleet = Fleet("h0")
-        self.rests = Rests()
+        self.rests = Cooldowns()
         self.denials = Denials()
         self.client = Client()
         load = SharedLoad("gw", fleet, lambda: self.now, lambda _: SERVICE, lambda _: None)
@@ -104,7 +104,7 @@
 
     def ask_for_rest(self, *names: str, seconds: float = 3.0) -> None:
         for name in names:
-            self.rests.note_asked(name, seconds, self.now)
+            self.rests.note_requested(name, seconds, self.now)
 
     async def place(self) -> Placement | NoChoice:
         request = cast("Request", FakeRequest())
--- a/tests/scheduling/test_shared_load.py
+++ b/tests/scheduling/test_shared_load.py
@@ -58,7 +58,7 @@
         self.other = Node("other", self.clock)
 
     def receive_whole(self) -> None:
-        for load in self.one.load.whole():
+        for load in self.one.load.snapshot():
             self.other.load.receive(load)
 
     @given(_STEPS)
@@ -86,7 +86,8 @@
         self.receive_whole()
         self.assertEqual(self.one.running(), self.other.running())
         unread = [
-            node.fleet.load("b").unread.all(0.0, self.clock[0]) for node in (self.one, self.other)
+            node.fleet.load("b").prefill_queue.remaining_tokens(0.0, self.clock[0])
+            for node in (self.one, self.other)
         ]
         self.assertEqual(unread[0], unread[1])
 
@@ -114,7 +115,7 @@
         self.assertEqual(set(), self.other.running())
 
     def test_a_young_request_survives_a_list_that_was_on_its_way(self) -> None:
-        whole = self.one.load.whole()
+        whole = self.one.load.snapshot()
         self.other.load.receive(Load("one", False, placed=(placed("one/1"),)))
         for load in whole:
             self.other.load.receive(load)
@@ -138,7 +139,7 @@
             node.load.start(placed("a"), SERVICE)
             for _ in range(200):
                 self.clock[0] += 0.1
-                lists[gateways] += bool(node.load.due_lists(gateways))
+                lists[gateways] += bool(node.load.due_snapshots(gateways))
         self.assertGreaterEqual(lists[9], 35)
         self.assertLessEqual(lists[360], 1 + 20 * 40 / 360)
 
@@ -147,7 +148,7 @@
         told = []
         for _ in range(3):
             self.clock[0] += 0.5
-            told.append(sum(len(load.placed) for load in self.one.load.whole()))
+            told.append(sum(len(load.placed) for load in self.one.load.snapshot()))
         self.assertEqual([1, 1, 0], told)
 
     def test_a_gateway_that_becomes_a_scheduler_is_told_all_that_runs_anywhere(self) -> None:
@@ -157,7 +158,7 @@
         self.other.load.start(placed("own"), SERVICE)
         self.clock[0] += 0.5
         newcomer = Node("newcomer", self.clock)
-        for load in self.other.load.everything():
+        for load in self.other.load.all_running():
             newcomer.load.receive(load)
         self.assertEqual(9, len(newcomer.running()))
         self.assertEqual(self.other.running(), newcomer.running())
--- a/tests/scheduling/test_told_paces.py
+++ b/tests/scheduling/test_told_paces.py
@@ -13,7 +13,7 @@
 from lotushill.links.pace_records import MOST_PACES
 from lotushill.links.pace_records import pack_paces
 from lotushill.links.pace_records import unpack_paces
-from lotushill.placement.engine_pace import LastingPace
+from lotushill.placement.engine_pace import LongTermPace
 from lotushill.placement.fleet import Fleet
 from lotushill.scheduling.shared_load import SharedLoad
 from tests.scheduling.virtual_fleet import SERVICE
@@ -42,13 +42,15 @@
         news = SharedLoad("new", newcomer, lambda: fleet.now, lambda _: SERVICE, lambda _: None)
         names = {upstream_number(name): name for name in fleet.engines}
         page = pack_paces(fleet.schedulers[0].load.paces())
-        news.take_paces(unpack_paces(page, names.get))
+        news.merge_paces(unpack_paces(page, names.get))
         slow = set()
         for name in fleet.engines:
             known = fleet.schedulers[0].fleet.load(name).pace
             told = newcomer.load(name).pace
-            self.assertEqual(known.tried, told.tried)
-            self.assertAlmostEqual(known.lasting_steps, told.lasting_steps, places=4)
+            self.assertEqual(known.is_known, told.is_known)
+            self.assertAlmostEqual(
+                known.long_term_step_slowness, told.long_term_step_slowness, places=4
+            )
             if told.step_slowness(fleet.now) > 1.5:
                 slow.add(name)
         self.assertTrue(slow)
@@ -57,7 +59,7 @@
     def test_all_schedulers_of_a_fleet_find_the_same(self) -> None:
         fleet = uneven(81)
         for scheduler in fleet.schedulers:
-            paces = scheduler.fleet.engine_paces.of(SERVICE.name).lasting()
+            paces = scheduler.fleet.engine_paces.for_service(SERVICE.name).deviating_paces()
             self.assertEqual(set(SLOW), {item.upstream for item in paces})
 
 
@@ -67,16 +69,16 @@
 
     def test_unknown_upstreams_and_impossible_paces_are_left_out(self) -> None:
         told = [
-            LastingPace("e1", 2.0, 1.0),
-            LastingPace("e2", 2.0, 1.0),
-            LastingPace("e1", float("nan"), 1.0),
-            LastingPace("e1", 0.0, 1.0),
-            LastingPace("e1", 1.0, float("inf")),
+            LongTermPace("e1", 2.0, 1.0),
+            LongTermPace("e2", 2.0, 1.0),
+            LongTermPace("e1", float("nan"), 1.0),
+            LongTermPace("e1", 0.0, 1.0),
+            LongTermPace("e1", 1.0, float("inf")),
         ]
         self.assertEqual(told[:1], unpack_paces(pack_paces(told), self.names))
 
     def test_a_page_is_bounded(self) -> None:
-        told = [LastingPace("e1", 2.0, 1.0)] * (MOST_PACES + 5)
+        told = [LongTermPace("e1", 2.0, 1.0)] * (MOST_PACES + 5)
         page = pack_paces(told)
         self.assertEqual(MOST_PACES, len(unpack_paces(page, self.names)))
         for wrong in (page + page[:16], page[:-1]):
--- a/tests/scheduling/test_waiting_desk.py
+++ b/tests/scheduling/test_waiting_desk.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 from typing import cast
 
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.limits.barred_upstreams import BarredUpstreams
 from lotushill.limits.denials import Denials
@@ -23,16 +23,16 @@
 from lotushill.routing.route import RouteKind
 from lotushill.routing.route import WeightedService
 from lotushill.routing.urgency import Urgency
-from lotushill.scheduling.desk import PlacementDesk
-from lotushill.scheduling.line_keeper import LineKeeper
 from lotushill.scheduling.placement import Placement
+from lotushill.scheduling.placement_responder import PlacementResponder
 from lotushill.scheduling.placer import Placer
+from lotushill.scheduling.queue_runner import QueueRunner
 from lotushill.scheduling.shared_load import SharedLoad
 from lotushill.views.upstream_view import UpstreamView
+from lotushill.waiting.admission_queue import AdmissionQueue
 from lotushill.waiting.entry import EXPIRY_SECONDS
-from lotushill.waiting.line import WaitingLine
-from lotushill.waiting.room import WaitingRoom
-from lotushill.waiting.turns import Rivals
+from lotushill.waiting.queued_requests import QueuedRequests
+from lotushill.waiting.slot_turns import RemoteQueues
 from tests.waiting.entries import SERVICE
 from tests.waiting.entries import UPSTREAMS
 from tests.waiting.entries import chat
@@ -51,7 +51,7 @@
 def ask(number: int, waited: float = 0.0) -> PlacementAsk:
     need = chat()
     return PlacementAsk(
-        "gw", number, "llm", "chat", need.target, need.gap, need.time_left - waited, True, False,
+        "gw", number, "llm", "chat", need.target, need.target_gap, need.time_left - waited, True, False,
         False, need.prompt_tokens, need.output_tokens, (7,), (need.prompt_tokens,), 0, (),
         waited=waited, waits=True,
     )  # fmt: skip
@@ -67,11 +67,11 @@
         self.ready = True
         self.fleet = filled_fleet(START)
         self.load = SharedLoad("s0", self.fleet, self.clock, lambda _: SERVICE, lambda _: None)
-        self.line = WaitingLine(self.fleet, Rivals("s0"))
-        self.keeper = LineKeeper(
+        self.line = AdmissionQueue(self.fleet, RemoteQueues("s0"))
+        self.keeper = QueueRunner(
             "s0", self.line, lambda _: SERVICE, lambda _: UPSTREAMS, self.told.append, self.clock
         )
-        self.desk = PlacementDesk(
+        self.desk = PlacementResponder(
             "s0", self.fleet, self.load, lambda _: SERVICE, lambda _: UPSTREAMS,
             lambda: self.ready, StatedLimits(), self.keeper,
             lambda answer, name: self.sent.append((answer, name)),
@@ -90,7 +90,7 @@
     def look(self, seconds: float = 0.01) -> None:
         """Let time pass, and look for room."""
         self.now += seconds
-        self.keeper.look()
+        self.keeper.process_due()
 
 
 class TestDesk(unittest.TestCase):
@@ -107,12 +107,12 @@
         self.scheduler.look()
         answer, name = self.scheduler.sent[0]
         self.assertEqual((1, "e0", "gw"), (answer.request, answer.upstream, name))
-        self.assertTrue(self.scheduler.fleet.knows(1), "it is counted in")
+        self.assertTrue(self.scheduler.fleet.is_running(1), "it is counted in")
 
     def test_a_gateway_that_cannot_wait_is_answered_as_before(self) -> None:
         answer = self.scheduler.answer(replace(ask(1), waits=False))
         self.assertNotEqual(HELD, answer.refusal)
-        self.assertEqual(0, len(self.scheduler.line.room))
+        self.assertEqual(0, len(self.scheduler.line.requests))
 
     def test_an_answer_that_may_be_lost_is_given_again_and_counted_once(self) -> None:
         self.scheduler.answer(ask(1))
@@ -135,10 +135,10 @@
     def test_one_whose_gateway_is_gone_is_placed_no_more(self) -> None:
         self.scheduler.answer(ask(1))
         self.scheduler.answer(ask(2))
-        self.scheduler.keeper.drop_asker("gw")
+        self.scheduler.keeper.drop_gateway("gw")
         self.scheduler.end(1_003)
         self.scheduler.look()
-        self.assertEqual(([], 0), (self.scheduler.sent, len(self.scheduler.line.room)))
+        self.assertEqual(([], 0), (self.scheduler.sent, len(self.scheduler.line.requests)))
 
     def test_one_that_is_asked_for_no_more_expires(self) -> None:
         """Its gateway was killed, or cut off: a slot would be kept for nobody."""
@@ -149,7 +149,7 @@
         self.assertEqual([], self.scheduler.sent)
 
     def test_where_the_room_is_full_it_is_refused_at_once(self) -> None:
-        self.scheduler.line.room = WaitingRoom(most=1)
+        self.scheduler.line.requests = QueuedRequests(max_requests=1)
         self.assertEqual(HELD, self.scheduler.answer(ask(1)).refusal)
         self.assertNotIn(self.scheduler.answer(ask(2)).refusal, ("", HELD))
 
@@ -188,8 +188,8 @@
         view.replace(UPSTREAMS, 1)
         self.placer = Placer(
             "s0", self.scheduler.fleet, self.scheduler.load, view, random.Random(1),
-            self.scheduler.clock, BarredUpstreams(Rests(), Denials()), StatedLimits(),
-            keeper=self.scheduler.keeper,
+            self.scheduler.clock, BarredUpstreams(Cooldowns(), Denials()), StatedLimits(),
+            queue_runner=self.scheduler.keeper,
         )  # fmt: skip
 
     async def start(self) -> asyncio.Task[Placement | NoChoice]:
@@ -197,7 +197,7 @@
         request = cast("Request", FakeRequest())
         task = asyncio.create_task(self.placer.place(request, frozenset(), False))
         await asyncio.sleep(0)
-        self.assertEqual(1, len(self.scheduler.line.room))
+        self.assertEqual(1, len(self.scheduler.line.requests))
         return task
 
     async def test_it_waits_and_is_placed(self) -> None:
@@ -226,11 +226,11 @@
         task = await self.start()
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        self.assertEqual(0, len(self.scheduler.line.room))
+        self.assertEqual(0, len(self.scheduler.line.requests))
 
     async def test_it_is_refused_when_its_client_would_leave(self) -> None:
         task = await self.start()
-        self.scheduler.look(chat().patience + 0.1)
+        self.scheduler.look(chat().first_event_timeout + 0.1)
         found = await task
         assert isinstance(found, NoChoice)
         self.assertTrue(found.final)
--- a/tests/scheduling/virtual_fleet.py
+++ b/tests/scheduling/virtual_fleet.py
@@ -18,7 +18,7 @@
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
 from lotushill.routing.upstream import Upstream
-from lotushill.scheduling.desk import PlacementDesk
+from lotushill.scheduling.placement_responder import PlacementResponder
 from lotushill.scheduling.shared_load import SharedLoad
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
     hall: str
     fleet: Fleet
     load: SharedLoad
-    desk: PlacementDesk
+    desk: PlacementResponder
 
 
 class VirtualFleet:
@@ -110,7 +110,7 @@
             return sender.endswith(f"@{hall}")
 
         load = SharedLoad(name, fleet, lambda: self.now, lambda _: SERVICE, tell, is_near)
-        desk = PlacementDesk(
+        desk = PlacementResponder(
             name,
             fleet,
             load,
@@ -142,9 +142,9 @@
         engine.sent.append(self.now)
         news = SharedLoad(sender, Fleet(scheduler.hall), lambda: self.now, lambda _: SERVICE,
                           lambda load: self._tell(scheduler, load))  # fmt: skip
-        placed = scheduler.fleet.find(number)
+        placed = scheduler.fleet.running_request(number)
         assert placed is not None
-        news.start(placed, SERVICE, told=True)
+        news.start(placed, SERVICE, announced=True)
         if engine.silent:
             self._later(0.8, lambda: news.end(number, Outcome.FAILED, 0.8))
             return
--- a/tests/shares/test_shares.py
+++ b/tests/shares/test_shares.py
@@ -8,7 +8,7 @@
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
 from lotushill.routing.team import team_number
-from lotushill.shares.shares import Shares
+from lotushill.shares.shares import TeamShares
 from lotushill.shares.work import predicted_work
 
 ENGINES = Service("llm", 600, EngineProfile(12, 400_000, 10))
@@ -19,7 +19,7 @@
 class Sent:
     request: int
     team: int
-    reading: int = 1000
+    prefill_tokens: int = 1000
     prompt: int = 5000
     memory: int = 5100
     tier: int = 0
@@ -45,19 +45,19 @@
 
 class TestShares(unittest.TestCase):
     def setUp(self) -> None:
-        self.shares = Shares()
+        self.shares = TeamShares()
         self.requests = 0
 
     def run_for(self, team: str, count: int, tier: int = 0, share: float = 1.0) -> None:
         """Let a team ask for so many requests, which all run from the start."""
-        self.shares.note_ask(Ask(team, share, tier), 0.0)
+        self.shares.note_demand(Ask(team, share, tier), 0.0)
         for _ in range(count):
             self.requests += 1
             sent = Sent(self.requests, team_number(team), tier=tier)
             self.shares.note_start(sent, ENGINES, 0.0)
 
     def over(self, team: str, now: float = 0.0, tier: int = 0, share: float = 1.0) -> bool:
-        return self.shares.over_share(Ask(team, share, tier), now)
+        return self.shares.is_over_share(Ask(team, share, tier), now)
 
     def test_a_team_alone_is_never_over_its_share(self) -> None:
         self.run_for("much", 100)
@@ -71,21 +71,21 @@
 
     def test_it_gives_way_also_to_one_that_got_nothing(self) -> None:
         self.run_for("much", 10)
-        self.shares.note_ask(Ask("some"), 0.0)
+        self.shares.note_demand(Ask("some"), 0.0)
         self.assertTrue(self.over("much"))
 
     def test_operators_are_told_who_is_ahead_and_by_how_much(self) -> None:
         self.run_for("much", 10)
         self.run_for("some", 2)
-        (found,) = self.shares.ahead(0.0)
+        (found,) = self.shares.teams_over_share(0.0)
         self.assertEqual(("llm", 0, team_number("much")), (found.service, found.tier, found.team))
         self.assertAlmostEqual(5.0, found.times)
-        self.assertAlmostEqual(5.0, self.shares.beside_others(Ask("much"), 0.0))
+        self.assertAlmostEqual(5.0, self.shares.relative_standing(Ask("much"), 0.0))
 
     def test_but_not_to_teams_that_ask_no_more(self) -> None:
         self.run_for("much", 10)
         self.run_for("some", 2)
-        self.shares.note_ask(Ask("much"), 6.0)
+        self.shares.note_demand(Ask("much"), 6.0)
         self.assertFalse(self.over("much", 6.0))
 
     def test_even_teams_are_served_as_they_come(self) -> None:
--- a/tests/soak/client.py
+++ b/tests/soak/client.py
@@ -7,7 +7,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from tests.requests.rig import Got
+from tests.requests.rig import ReceivedAnswer
 from tests.requests.rig import read_answer
 from tests.requests.rig import request_bytes
 from tests.soak.engine import DEADLY
@@ -33,7 +33,7 @@
 }
 _KINDS = ("any", "any", "common", "once", "stream")
 _PATIENCE_SECONDS = 5.0
-_NOTHING = Got(0, {}, b"", False)
+_NOTHING = ReceivedAnswer(0, {}, b"", False)
 
 
 class Client:
@@ -80,7 +80,7 @@
             )
         )
 
-    async def _exchange(self, attempt: str, body: bytes, path: str) -> Got:
+    async def _exchange(self, attempt: str, body: bytes, path: str) -> ReceivedAnswer:
         headers = f"Deadline-Ms: {int(DEADLINE_SECONDS * 1000)}\r\n"
         try:
             async with asyncio.timeout(_PATIENCE_SECONDS):
--- a/tests/soak/engine.py
+++ b/tests/soak/engine.py
@@ -18,7 +18,7 @@
     import random
 
     from lotushill.standin.metadata_store import MetadataStore
-    from tests.requests.rig import Seen
+    from tests.requests.rig import ReceivedRequest
     from tests.soak.ledger import Ledger
 
 DEADLY = b"every engine that begins this ends"
@@ -92,7 +92,7 @@
         if self._server is None:
             return
         server, self._server = self._server, None
-        await server.end()
+        await server.close()
         self._later(self._come_back())
 
     async def drain(self) -> None:
@@ -126,7 +126,7 @@
         for task in self._tasks:
             task.cancel()
         if self._server is not None:
-            await self._server.end()
+            await self._server.close()
 
     async def _end_drained(self) -> None:
         await asyncio.sleep(_DRAIN_SECONDS + 0.5)
@@ -141,7 +141,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, seen: Seen) -> None:
+    async def _answer(self, seen: ReceivedRequest) -> None:
         now = time.monotonic()
         server = self._server
         if seen.headers.get("target-instance") != self.name or server is None:
@@ -170,9 +170,9 @@
             await self._stream_events(seen)
             return
         await asyncio.sleep(self._rng.uniform(0.01, 0.15))
-        seen.whole(f"{seen.id} done".encode(), f"200 OK{self._words(seen)}")
+        seen.answer_whole(f"{seen.id} done".encode(), f"200 OK{self._words(seen)}")
 
-    def _words(self, seen: Seen) -> str:
+    def _words(self, seen: ReceivedRequest) -> str:
         """Return what an answer says of its engine, as headers, and note that it was said."""
         now, words = time.monotonic(), ""
         if self._leaving == self.life:
@@ -183,7 +183,7 @@
         self._ledger.limit_words.append(LimitWord(seen.id, self.life, now, self._limit))
         return words if self._limit == math.inf else f"{words}\r\nServer-Limit: {self._limit:g}"
 
-    async def _stream_events(self, seen: Seen) -> None:
+    async def _stream_events(self, seen: ReceivedRequest) -> None:
         """Send the events that come after the last one that the request names."""
         seen.answer(f"200 OK{self._words(seen)}\r\nTransfer-Encoding: chunked\r\n{SIGNED}")
         done = int(seen.headers.get("last-event-id") or 0)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -33,7 +33,7 @@
 from tests.soak.plan import draw_words
 
 if TYPE_CHECKING:
-    from tests.requests.rig import Seen
+    from tests.requests.rig import ReceivedRequest
     from tests.soak.plan import Step
 
 _GATEWAYS = 4
@@ -146,7 +146,7 @@
                 await self._gateways.end()
                 for engine in self._engines:
                     await engine.stop()
-                await self._decoy.end()
+                await self._decoy.close()
                 self._server.abort()
                 serving.cancel()
                 await asyncio.gather(serving, return_exceptions=True)
@@ -279,7 +279,7 @@
         spec = {**SPEC, "version": self._version, "routes": [idempotent, once, stream]}
         self._store.put("config", "main", spec)
 
-    async def _count_odd(self, seen: Seen) -> None:
+    async def _count_odd(self, seen: ReceivedRequest) -> None:
         self._ledger.odd_requests += 1
         seen.reset()
 
--- a/tests/starting/test_starting.py
+++ b/tests/starting/test_starting.py
@@ -8,20 +8,20 @@
 
 from lotushill.membership.schedulers import SMALL_FLEET
 from lotushill.routing.upstream import Upstream
-from lotushill.starting.draw import Seen
-from lotushill.starting.draw import draw
-from lotushill.starting.knowledge import START_SECONDS
-from lotushill.starting.knowledge import Start
-from lotushill.starting.patience import LONGEST_WAIT
-from lotushill.starting.patience import ready_retry
-from lotushill.starting.patience import ready_wait
+from lotushill.starting.draw import UpstreamCredit
+from lotushill.starting.draw import draw_upstream
+from lotushill.starting.ready_wait import MAX_READY_WAIT_SECONDS
+from lotushill.starting.ready_wait import ready_retry_after_seconds
+from lotushill.starting.ready_wait import ready_wait_seconds
+from lotushill.starting.startup_phase import STARTUP_SECONDS
+from lotushill.starting.startup_phase import StartupPhase
 
 UPSTREAMS = [Upstream(f"e{n}", "llm", f"10.0.0.{n}:1", "h0", 16, False) for n in range(20)]
 
 
 class TestKnowledge(unittest.TestCase):
     def setUp(self) -> None:
-        self.start = Start(SMALL_FLEET, 100.0)
+        self.start = StartupPhase(SMALL_FLEET, 100.0)
 
     def test_few_of_many_are_not_taken_for_a_small_fleet(self) -> None:
         self.assertFalse(self.start.knows_fleet(3, 82, False, 100.3))
@@ -40,38 +40,40 @@
         self.assertFalse(self.start.knows_fleet(1, 0, False, 100.0))
 
     def test_later_few_members_are_one_side_of_a_cut(self) -> None:
-        self.assertTrue(self.start.knows_fleet(3, 82, False, 100.0 + START_SECONDS))
+        self.assertTrue(self.start.knows_fleet(3, 82, False, 100.0 + STARTUP_SECONDS))
 
 
 class TestDraw(unittest.TestCase):
     def test_gateways_that_know_nothing_spread(self) -> None:
-        seen = [Seen(item, 0, 0) for item in UPSTREAMS]
-        taken = Counter(draw(seen, random.Random(n))[0].id for n in range(2000))
+        seen = [UpstreamCredit(item, 0, 0) for item in UPSTREAMS]
+        taken = Counter(draw_upstream(seen, random.Random(n))[0].id for n in range(2000))
         self.assertEqual(20, len(taken))
         self.assertLess(max(taken.values()), 1.5 * 2000 / 20)
 
     def test_one_that_has_not_answered_gets_no_second(self) -> None:
-        seen = [Seen(item, 1, 0) for item in UPSTREAMS[1:]] + [Seen(UPSTREAMS[0], 0, 0)]
+        seen = [UpstreamCredit(item, 1, 0) for item in UPSTREAMS[1:]] + [
+            UpstreamCredit(UPSTREAMS[0], 0, 0)
+        ]
         for number in range(50):
-            self.assertEqual([UPSTREAMS[0]], draw(seen, random.Random(number)))
+            self.assertEqual([UPSTREAMS[0]], draw_upstream(seen, random.Random(number)))
 
     def test_credit_grows_with_answers(self) -> None:
-        seen = [Seen(UPSTREAMS[0], 3, 3), Seen(UPSTREAMS[1], 1, 0)]
-        self.assertEqual([UPSTREAMS[0]], draw(seen, random.Random(1)))
+        seen = [UpstreamCredit(UPSTREAMS[0], 3, 3), UpstreamCredit(UPSTREAMS[1], 1, 0)]
+        self.assertEqual([UPSTREAMS[0]], draw_upstream(seen, random.Random(1)))
 
     def test_nobody_is_refused_for_want_of_credit(self) -> None:
-        seen = [Seen(UPSTREAMS[0], 2, 0), Seen(UPSTREAMS[1], 1, 0)]
-        self.assertEqual([UPSTREAMS[1]], draw(seen, random.Random(1)))
-        self.assertEqual([], draw([], random.Random(1)))
+        seen = [UpstreamCredit(UPSTREAMS[0], 2, 0), UpstreamCredit(UPSTREAMS[1], 1, 0)]
+        self.assertEqual([UPSTREAMS[1]], draw_upstream(seen, random.Random(1)))
+        self.assertEqual([], draw_upstream([], random.Random(1)))
 
 
 class TestPatience(unittest.TestCase):
     def test_no_client_has_left_by_then(self) -> None:
         for left in (0.3, 1.0, 2.7, 15.0):
-            self.assertLess(ready_wait(left), left / 3.0)
-            self.assertLessEqual(ready_wait(left), LONGEST_WAIT)
+            self.assertLess(ready_wait_seconds(left), left / 3.0)
+            self.assertLessEqual(ready_wait_seconds(left), MAX_READY_WAIT_SECONDS)
 
     def test_those_turned_away_come_back_at_different_times(self) -> None:
         rng = random.Random(1)
-        times = sorted(ready_retry(rng.random()) for _ in range(100))
+        times = sorted(ready_retry_after_seconds(rng.random()) for _ in range(100))
         self.assertGreater(times[80] - times[20], 0.3)
--- a/tests/waiting/entries.py
+++ b/tests/waiting/entries.py
@@ -11,7 +11,7 @@
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import Service
 from lotushill.routing.upstream import Upstream
-from lotushill.waiting.entry import Waiting
+from lotushill.waiting.entry import QueueEntry
 
 SLOTS = 4
 SERVICE = Service("llm", 100, EngineProfile(SLOTS, 500_000, 6))
@@ -38,15 +38,15 @@
     return Need("llm", "letter", 1.5, 0.5, 10.0, True, tokens, 50, parts, 2)
 
 
-def waiting(key: int, need: Need, since: float = 100.0, asker: str = "gw") -> Waiting:
+def waiting(key: int, need: Need, since: float = 100.0, asker: str = "gw") -> QueueEntry:
     """Return a request that came at some moment, and asked then."""
-    return Waiting(key, need, asker, since, since)
+    return QueueEntry(key, need, asker, since, since)
 
 
 def placed(number: int, upstream: str, need: Need, seconds: float = 2.0) -> Placed:
     """Return news of a request that runs."""
     return Placed(
-        number, upstream, 0, need.prompt_tokens, need.gap, seconds, 0.0,
+        number, upstream, 0, need.prompt_tokens, need.target_gap, seconds, 0.0,
         began=True, route=route_number(need.route), tier=need.tier, prompt=need.prompt_tokens,
     )  # fmt: skip
 
--- a/tests/waiting/test_line.py
+++ b/tests/waiting/test_line.py
@@ -15,10 +15,10 @@
 from lotushill.placement.messages import Began
 from lotushill.placement.messages import Ended
 from lotushill.routing.service import Service
-from lotushill.waiting.entry import Held
-from lotushill.waiting.entry import Waiting
-from lotushill.waiting.line import WaitingLine
-from lotushill.waiting.turns import Rivals
+from lotushill.waiting.admission_queue import AdmissionQueue
+from lotushill.waiting.entry import Queued
+from lotushill.waiting.entry import QueueEntry
+from lotushill.waiting.slot_turns import RemoteQueues
 from tests.waiting.entries import SERVICE
 from tests.waiting.entries import UPSTREAMS
 from tests.waiting.entries import chat
@@ -37,7 +37,7 @@
 class LeastFirst:
     """Shares of teams by name."""
 
-    def ahead_by(self, need: Need, now: float) -> float:
+    def excess_standing(self, need: Need, now: float) -> float:
         del now
         return {"had much": 3.0, "had some": 1.5}.get(need.team, 0.0)
 
@@ -53,9 +53,9 @@
 class TestLine(unittest.TestCase):
     def setUp(self) -> None:
         self.fleet = filled_fleet(START)
-        self.line = WaitingLine(self.fleet, Rivals("s0"))
+        self.line = AdmissionQueue(self.fleet, RemoteQueues("s0"))
 
-    def place(self, entry: Waiting, now: float = START) -> Choice | NoChoice | Held:
+    def place(self, entry: QueueEntry, now: float = START) -> Choice | NoChoice | Queued:
         return self.line.place(entry, SERVICE, UPSTREAMS, now)
 
     def due(self, now: float) -> list[tuple[int, bool]]:
@@ -72,21 +72,21 @@
         self.fleet.end(Ended(number), now)
 
     def test_nothing_waits_while_engines_have_room(self) -> None:
-        line = WaitingLine(Fleet("z"), Rivals("s0"))
+        line = AdmissionQueue(Fleet("z"), RemoteQueues("s0"))
         found = line.place(waiting(1, letter()), SERVICE, UPSTREAMS, START)
         self.assertIsInstance(found, Choice)
-        self.assertEqual(0, len(line.room))
+        self.assertEqual(0, len(line.requests))
 
     def test_a_plain_service_has_no_line(self) -> None:
         plain = Service("app", 100, None)
         self.assertIsInstance(self.line.place(waiting(1, chat()), plain, UPSTREAMS, START), Choice)
 
     def test_what_finds_no_slot_waits_and_is_placed_when_one_comes_free(self) -> None:
-        self.assertIsInstance(self.place(waiting(1, chat())), Held)
+        self.assertIsInstance(self.place(waiting(1, chat())), Queued)
         self.assertEqual([], self.due(START + 0.01))
         self.end(1_003, START + 0.02)
         self.assertEqual([(1, True)], self.due(START + 0.02))
-        self.assertEqual(0, len(self.line.room))
+        self.assertEqual(0, len(self.line.requests))
 
     def test_each_slot_is_given_once(self) -> None:
         for key in range(1, 6):
@@ -108,15 +108,15 @@
         """Held here it would hear of a free slot later than the engine that frees it."""
         slow = replace(chat(), target=60.0)
         self.assertIsInstance(self.place(waiting(1, slow)), Choice)
-        self.assertIsInstance(self.place(waiting(2, chat())), Held)
+        self.assertIsInstance(self.place(waiting(2, chat())), Queued)
         later = START + 0.01
         found = self.place(waiting(3, slow, later), later)
-        self.assertIsInstance(found, Held, "it stands behind the other")
+        self.assertIsInstance(found, Queued, "it stands behind the other")
 
     def test_a_newcomer_does_not_overtake_those_that_wait(self) -> None:
         self.place(waiting(1, chat()))
         self.end(1_003, START + 0.02)
-        self.assertIsInstance(self.place(waiting(2, chat(), START + 0.02), START + 0.02), Held)
+        self.assertIsInstance(self.place(waiting(2, chat(), START + 0.02), START + 0.02), Queued)
         self.assertEqual([(1, True)], self.due(START + 0.03))
 
     def test_who_can_be_in_time_goes_before_who_cannot(self) -> None:
@@ -134,7 +134,9 @@
         ):
             with self.subTest(first=first):
                 self.fleet = filled_fleet(START)
-                line = self.line = WaitingLine(self.fleet, Rivals("s0"), LeastFirst(), Told())
+                line = self.line = AdmissionQueue(
+                    self.fleet, RemoteQueues("s0"), LeastFirst(), Told()
+                )
                 for key, need in enumerate(needs):
                     line.place(waiting(key, need), SERVICE, UPSTREAMS, START)
                 for number in (1_002, 1_003, 1_004):
@@ -144,17 +146,17 @@
 
     def test_a_long_one_is_given_up_as_soon_as_it_cannot_be_in_time(self) -> None:
         entry = waiting(1, letter())
-        self.assertIsInstance(self.place(entry), Held)
+        self.assertIsInstance(self.place(entry), Queued)
         target = START + entry.need.target
         self.assertEqual([], self.due(target - 0.5))
         self.assertEqual([(1, False)], self.due(target))
-        self.assertEqual(0, len(self.line.room))
+        self.assertEqual(0, len(self.line.requests))
 
     def test_a_short_one_waits_as_long_as_its_client(self) -> None:
         entry = waiting(1, chat())
         self.place(entry)
         self.assertEqual([], self.due(START + 1.0))
-        self.assertEqual([(1, False)], self.due(START + entry.need.patience))
+        self.assertEqual([(1, False)], self.due(START + entry.need.first_event_timeout))
 
     def test_a_refusal_after_a_wait_is_final(self) -> None:
         self.place(waiting(1, letter()))
@@ -178,7 +180,7 @@
         self.assertIsInstance(self.place(waiting(90, chat(), now), now), NoChoice)
         self.end(1_002, now)
         self.fleet.start(placed(2_000, "e0", letter()), SERVICE, now)
-        self.assertIsInstance(self.place(waiting(91, chat(), now), now), Held)
+        self.assertIsInstance(self.place(waiting(91, chat(), now), now), Queued)
 
     def test_what_began_after_a_wait_in_an_engine_counts_from_then(self) -> None:
         """Queued for six seconds it would be forgotten, and begin while urgent ones are refused."""
@@ -192,16 +194,16 @@
         self.place(waiting(1, chat(), START))
         self.place(waiting(2, chat(), START + 0.01), START + 0.01)
         for moment in (0.2, 0.4):
-            renewed = replace(waiting(1, chat(), START), renewed=START + moment)
-            self.assertIsInstance(self.place(renewed, START + moment), Held)
-        self.assertEqual(2, len(self.line.room))
+            renewed = replace(waiting(1, chat(), START), renewed_at=START + moment)
+            self.assertIsInstance(self.place(renewed, START + moment), Queued)
+        self.assertEqual(2, len(self.line.requests))
         self.end(1_003, START + 0.41)
         self.assertEqual([(1, True)], self.due(START + 0.41))
 
     def test_one_that_comes_from_another_holder_keeps_its_place(self) -> None:
         self.place(waiting(1, chat(), START + 0.1), START + 0.1)
         moved = waiting(2, replace(chat(), waited=0.2), START)
-        self.place(replace(moved, renewed=START + 0.2), START + 0.2)
+        self.place(replace(moved, renewed_at=START + 0.2), START + 0.2)
         self.end(1_003, START + 0.21)
         self.assertEqual([(2, True)], self.due(START + 0.21))
 
--- a/tests/waiting/test_turns.py
+++ b/tests/waiting/test_turns.py
@@ -4,31 +4,31 @@
 
 import unittest
 
-from lotushill.waiting.turns import TURN_SECONDS
-from lotushill.waiting.turns import Rivals
-from lotushill.waiting.turns import Turns
+from lotushill.waiting.slot_turns import TURN_SECONDS
+from lotushill.waiting.slot_turns import RemoteQueues
+from lotushill.waiting.slot_turns import SlotTurns
 
 NAMES = [f"s{n}" for n in range(8)]
 
 
-def schedulers(tiers: dict[str, dict[int, int]], now: float = 0.0) -> dict[str, Turns]:
+def schedulers(tiers: dict[str, dict[int, int]], now: float = 0.0) -> dict[str, SlotTurns]:
     """Return the turns of schedulers that have heard what waits at each other."""
     found = {}
     for name in tiers:
-        rivals = Rivals(name)
+        rivals = RemoteQueues(name)
         for other, waiting in tiers.items():
             if other != name:
-                rivals.note(other, "llm", waiting, now)
-        found[name] = Turns(rivals)
+                rivals.set_counts(other, "llm", waiting, now)
+        found[name] = SlotTurns(rivals)
     return found
 
 
-def takers(all_turns: dict[str, Turns], tier: int, free: int, now: float) -> list[str]:
+def takers(all_turns: dict[str, SlotTurns], tier: int, free: int, now: float) -> list[str]:
     """Return who takes slots of one engine, each as many as it may before news come."""
     found = []
     for name, turns in all_turns.items():
         left = free
-        turns.look("e0", free, now)
+        turns.note_free_slots("e0", free, now)
         while turns.may_take("llm", tier, "e0", left, now):
             turns.note_taken("e0", now)
             found.append(name)
@@ -50,7 +50,7 @@
         owner = takers(turns, 2, 1, 0.0)[0]
         others = {name: item for name, item in turns.items() if name != owner}
         for item in others.values():
-            item.look("e0", 1, TURN_SECONDS * 0.9)
+            item.note_free_slots("e0", 1, TURN_SECONDS * 0.9)
         self.assertEqual(1, len(takers(others, 2, 1, TURN_SECONDS * 1.5)))
 
     def test_the_most_urgent_go_first(self) -> None:
@@ -73,5 +73,5 @@
         """All would otherwise fill it at once when it comes back."""
         turns = schedulers({name: {2: 5} for name in NAMES}, now=9.9)
         for item in turns.values():
-            item.look("e0", 16, 1.0)
+            item.note_free_slots("e0", 16, 1.0)
         self.assertEqual(16, len(takers(turns, 2, 16, 10.0)))
