--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -513,28 +513,28 @@
     Break(
         "duties: engines that are taken away are replaced",
         "duties/engine_sizing.py",
-        "missing = sum(self._lost.count(hall) for hall in dry) - cover",
+        "missing = sum(self._lost_engines.count(hall) for hall in short_halls) - cover",
         "missing = 0",
         "tests.duties.test_reclaim",
     ),
     Break(
         "duties: a successor waits a whole lease",
         "duties/lease.py",
-        "return now - self._seen_at >= self._options.seconds + patience",
+        "return now - self._revision_changed_at >= self._options.seconds + extra_wait",
         "return True",
         "tests.duties",
     ),
     Break(
         "duties: one that lost stays out",
         "duties/lease.py",
-        "_REST_LEASES = 2.0",
-        "_REST_LEASES = 0.0",
+        "_BACKOFF_LEASES = 2.0",
+        "_BACKOFF_LEASES = 0.0",
         "tests.duties",
     ),
     Break(
         "duties: acts end with the lease where tokens are not checked",
         "duties/lease.py",
-        "return fresh or self._options.fenced",
+        "return is_fresh or self._options.fenced",
         "return True",
         "tests.duties",
     ),
@@ -549,9 +549,9 @@
         "duties: counts are recorded before they are reported",
         "duties/usage_duty.py",
         "for window in sorted(record.reports.keys() - self._reported):\n"
-        "                if not await self._report_one(window, record.reports[window]):",
+        "                if not await self._report_window(window, record.reports[window]):",
         "for window in sorted(self._recorded.keys() - self._reported):\n"
-        "                if not await self._report_one(window, self._recorded[window]):",
+        "                if not await self._report_window(window, self._recorded[window]):",
         "tests.duties",
     ),
     Break(
@@ -585,7 +585,7 @@
     Break(
         "a request that ends upstreams is held after three",
         "quarantine/suspect.py",
-        "return len(self.failed_upstreams) >= ENDS_TO_HOLD\n\n    def is_clear",
+        "return len(self.failed_upstreams) >= FAILURES_TO_HOLD\n\n    def is_clear",
         "return False\n\n    def is_clear",
         "tests.quarantine.test_quarantine",
     ),
@@ -641,8 +641,8 @@
     Break(
         "suspects of one team cannot push out those of another",
         "quarantine/quarantine.py",
-        "_MOST_OF_TEAM = 256",
-        "_MOST_OF_TEAM = 10**9",
+        "_MAX_SUSPECTS_PER_TEAM = 256",
+        "_MAX_SUSPECTS_PER_TEAM = 10**9",
         "tests.quarantine",
     ),
     Break(
@@ -942,15 +942,15 @@
     Break(
         "after an end apart nothing of the group is tried for a pause",
         "quarantine/isolation.py",
-        "evidence.tried_after = now + evidence.pause",
-        "evidence.tried_after = now",
+        "evidence.paused_until = now + evidence.pause",
+        "evidence.paused_until = now",
         "tests.quarantine.test_isolation",
     ),
     Break(
         "whole answers speak for a group that was beside the ends",
         "quarantine/isolation.py",
-        "_WHOLE_PER_END = 2.0",
-        "_WHOLE_PER_END = 1e9",
+        "_BYSTANDER_COMPLETIONS_PER_FAILURE = 2.0",
+        "_BYSTANDER_COMPLETIONS_PER_FAILURE = 1e9",
         "tests.quarantine.test_isolation",
     ),
     Break(
--- a/src/lotushill/duties/call_health.py
+++ b/src/lotushill/duties/call_health.py
@@ -5,7 +5,7 @@
 from lotushill.platform.duty_api import CallEnd
 
 _FAILING_SECONDS = 4.0
-_MOST_UNANSWERED = 3
+_MAX_UNANSWERED = 3
 """Number of unanswered calls after which the holder hands over.
 
 `_FAILING_SECONDS` must have passed as well. Another gateway may reach the platform. Single calls
@@ -17,24 +17,26 @@
     """Counts the unanswered calls since the last answered one."""
 
     def __init__(self) -> None:
-        self._since: float | None = None
+        self._failing_since: float | None = None
         self._unanswered = 0
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Reset the count of unanswered calls."""
-        self._since = None
+        self._failing_since = None
         self._unanswered = 0
 
-    def note(self, end: CallEnd, began: float) -> None:
-        """Record the result of a call that started at `began`."""
-        if end in (CallEnd.DONE, CallEnd.REFUSED):
-            self.forget()
+    def record(self, result: CallEnd, started_at: float) -> None:
+        """Record the result of a call that started at `started_at`."""
+        if result in (CallEnd.DONE, CallEnd.REFUSED):
+            self.reset()
             return
         self._unanswered += 1
-        if self._since is None:
-            self._since = began
+        if self._failing_since is None:
+            self._failing_since = started_at
 
-    def silent(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Return whether the platform appears to be unreachable from this gateway."""
-        failing = self._since is not None and now - self._since > _FAILING_SECONDS
-        return failing and self._unanswered >= _MOST_UNANSWERED
+        is_failing = (
+            self._failing_since is not None and now - self._failing_since > _FAILING_SECONDS
+        )
+        return is_failing and self._unanswered >= _MAX_UNANSWERED
--- a/src/lotushill/duties/duty_record.py
+++ b/src/lotushill/duties/duty_record.py
@@ -52,7 +52,7 @@
     bases: dict[str, int] = field(default_factory=dict)
     """Number of engines of each service that existed before anything was ordered."""
 
-    def is_of(self, holder: str, life: int) -> bool:
+    def is_held_by(self, holder: str, life: int) -> bool:
         """Return whether a given process of a given gateway holds the duties."""
         return self.holder == holder and self.life == life
 
@@ -64,8 +64,8 @@
         "life": record.life,
         "beat": record.beat,
         "settled": record.settled,
-        "reports": _plain(record.reports),
-        "checkpoint": {"at": record.checkpoint.at, "windows": _plain(record.checkpoint.windows)},
+        "reports": _to_plain(record.reports),
+        "checkpoint": {"at": record.checkpoint.at, "windows": _to_plain(record.checkpoint.windows)},
         "orders": {
             place: [orders.ordinary, orders.reclaimable] for place, orders in record.orders.items()
         },
@@ -82,8 +82,8 @@
             life=int(spec["life"]),
             beat=int(spec["beat"]),
             settled=int(spec["settled"]),
-            reports=_windows(spec["reports"]),
-            checkpoint=Checkpoint(float(checkpoint["at"]), _windows(checkpoint["windows"])),
+            reports=_from_plain(spec["reports"]),
+            checkpoint=Checkpoint(float(checkpoint["at"]), _from_plain(checkpoint["windows"])),
             orders={
                 str(place): StandingOrders(int(ordinary), int(reclaimable))
                 for place, (ordinary, reclaimable) in spec["orders"].items()
@@ -94,11 +94,11 @@
         return None
 
 
-def _plain(windows: WindowCounts) -> dict[str, Counts]:
+def _to_plain(windows: WindowCounts) -> dict[str, Counts]:
     return {str(window): counts for window, counts in windows.items()}
 
 
-def _windows(value: Any) -> WindowCounts:
+def _from_plain(value: Any) -> WindowCounts:
     return {
         int(window): {str(team): int(count) for team, count in counts.items()}
         for window, counts in value.items()
--- a/src/lotushill/duties/duty_runner.py
+++ b/src/lotushill/duties/duty_runner.py
@@ -33,26 +33,26 @@
     def __init__(
         self,
         name: str,
-        life: int,
+        incarnation: int,
         settings: DutySettings,
         store: Store,
         platform: Platform,
-        sight: FleetAccess,
+        fleet: FleetAccess,
         time: TrueTime,
         log: EventLog,
         clock: Callable[[], float],
     ) -> None:
-        """Create the part of process `life` of the gateway `name`."""
+        """Create the part of process `incarnation` of the gateway `name`."""
         self._settings = settings
         self._clock = clock
         options = LeaseOptions(settings.lease_seconds, settings.fenced)
-        self.lease = Lease(name, life, options, clock())
+        self.lease = Lease(name, incarnation, options, clock())
         health = CallHealth()
         self._ownership = Ownership(
-            self.lease, store, sight, health, log, clock, settings.lease_seconds
+            self.lease, store, fleet, health, log, clock, settings.lease_seconds
         )
-        self.usage = UsageDuty(settings, self._ownership, platform, sight, time, health, log, clock)
-        self._orders = OrderDuty(self._ownership, platform, sight, health, log, clock)
+        self.usage = UsageDuty(settings, self._ownership, platform, fleet, time, health, log, clock)
+        self._orders = OrderDuty(self._ownership, platform, fleet, health, log, clock)
 
     async def run(self) -> None:
         """Perform the duties of this gateway until cancelled.
@@ -87,9 +87,9 @@
         record = self._ownership.record
         return {
             "holder": record.holder if record else None,
-            "held_here": self.lease.held,
+            "held_here": self.lease.is_held,
             "token": self.lease.token,
-            "seconds": round(self._clock() - self.lease.since, 1),
+            "seconds": round(self._clock() - self.lease.last_transition_at, 1),
             "settled_window": record.settled if record else None,
             "unreported": sorted(record.reports) if record else [],
             "orders": {
--- a/src/lotushill/duties/lost_engines.py
+++ b/src/lotushill/duties/lost_engines.py
@@ -9,7 +9,7 @@
 
 from collections import deque
 
-_SPAN_SECONDS = 20.0
+_TRACKING_SECONDS = 20.0
 """Seconds for which lost engines are tracked: two starts of an engine and a wait between them.
 
 Engines that are not back by then are not replaced.
@@ -24,7 +24,7 @@
         """Decreasing numbers of engines, each with the last time at which so many served."""
         self._lost: dict[str, int] = {}
 
-    def note(self, hall: str, serving: int, ordered: int | None, now: float) -> None:
+    def record(self, hall: str, serving: int, ordered: int | None, now: float) -> None:
         """Record how many engines of a hall serve and do not leave, and how many are ordered.
 
         Engines that were returned are not lost, so at most the engines missing from the order count
@@ -35,10 +35,10 @@
         while served and served[-1][1] <= serving:
             served.pop()
         served.append((now, serving))
-        while served[0][0] <= now - _SPAN_SECONDS:
+        while served[0][0] <= now - _TRACKING_SECONDS:
             served.popleft()
-        most = served[0][1] if ordered is None else min(served[0][1], ordered)
-        self._lost[hall] = max(0, most - serving)
+        expected = served[0][1] if ordered is None else min(served[0][1], ordered)
+        self._lost[hall] = max(0, expected - serving)
 
     def count(self, hall: str) -> int:
         """Return the number of lost engines of a hall."""
--- a/src/lotushill/duties/standing_engines.py
+++ b/src/lotushill/duties/reclaimable_engines.py
@@ -10,7 +10,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-_SLACK_SECONDS = 1.5
+_ENTRY_DELAY_SECONDS = 1.5
 """Extra seconds after the start of an engine until its entry is known.
 
 The entry is written with the next heartbeat of the engine and read a little later.
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Standing:
+class EngineCounts:
     """Numbers of engines of one hall."""
 
     ordinary: int
@@ -27,7 +27,7 @@
     """Number of engines of both kinds that serve and do not leave."""
 
 
-class StandingEngines:
+class ReclaimableEngines:
     """Distinguishes the reclaimable engines of each hall from the ordinary ones."""
 
     def __init__(self) -> None:
@@ -35,22 +35,22 @@
         """Increasing numbers of ordinary engines, each with the last time so few were ordered."""
         self._reclaimable: dict[str, int] = {}
 
-    def note(
-        self, hall: str, engines: Standing, boot_seconds: float, dry: bool, now: float
+    def record(
+        self, hall: str, counts: EngineCounts, boot_seconds: float, is_short: bool, now: float
     ) -> None:
-        """Record the engines of a hall; in a `dry` hall no reclaimable ones are available."""
-        ordinary, serving = engines.ordinary, engines.serving
+        """Record the engines of a hall; if `is_short`, no reclaimable ones are available."""
+        ordinary, serving = counts.ordinary, counts.serving
         orders = self._ordinary.setdefault(hall, deque())
         while orders and orders[-1][1] >= ordinary:
             orders.pop()
         orders.append((now, ordinary))
-        while orders[0][0] <= now - boot_seconds - _SLACK_SECONDS:
+        while orders[0][0] <= now - boot_seconds - _ENTRY_DELAY_SECONDS:
             orders.popleft()
         others = max(0, serving - orders[0][1])
         # In a shortage, new engines are ordinary ones that serve earlier than expected.
-        most = self._reclaimable.get(hall, others) if dry else others
-        self._reclaimable[hall] = min(most, others)
+        upper_bound = self._reclaimable.get(hall, others) if is_short else others
+        self._reclaimable[hall] = min(upper_bound, others)
 
-    def reclaimable(self, hall: str) -> int:
+    def count(self, hall: str) -> int:
         """Return an upper estimate of the reclaimable engines that serve in a hall."""
         return self._reclaimable.get(hall, 0)
--- a/src/lotushill/duties/request_counter.py
+++ b/src/lotushill/duties/request_counter.py
@@ -18,7 +18,7 @@
 
 _WINDOWS_KEPT = 16
 """Number of windows that are kept because a holder may still request them."""
-_MOST_COUNTS = 40
+_MAX_COUNTS_PER_PAGE = 40
 """Limit of the counts in one datagram."""
 
 
@@ -47,7 +47,7 @@
             return
         window = self.window()
         if window not in self._windows:
-            self._forget(window)
+            self._discard_old(window)
         self._windows[window][team] += 1
 
     def increment_running(self, service: str) -> None:
@@ -72,15 +72,15 @@
         demand = tuple(
             ServiceDemand(service, running) for service, running in self._running.items()
         )
-        for at in range(0, max(1, len(counts)), _MOST_COUNTS):
+        for start in range(0, max(1, len(counts)), _MAX_COUNTS_PER_PAGE):
             yield WorkPage(
                 self._name,
                 age=self._clock() - self._started,
                 wall=self._time.wall(),
-                counts=tuple(counts[at : at + _MOST_COUNTS]),
-                demand=demand if at == 0 else (),
+                counts=tuple(counts[start : start + _MAX_COUNTS_PER_PAGE]),
+                demand=demand if start == 0 else (),
             )
 
-    def _forget(self, newest: int) -> None:
+    def _discard_old(self, newest: int) -> None:
         for window in [item for item in self._windows if item <= newest - _WINDOWS_KEPT]:
             del self._windows[window]
--- a/src/lotushill/duties/true_time.py
+++ b/src/lotushill/duties/true_time.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_KEPT_SECONDS = 15.0
+_SAMPLE_SECONDS = 15.0
 """Seconds for which a sample of another host's clock is used."""
 
 
@@ -43,5 +43,5 @@
         """Add a sample of another host's clock, and set the offset to the median of all."""
         clock = self._clock()
         self._samples[member] = (wall - clock, clock)
-        fresh = [offset for offset, at in self._samples.values() if clock - at < _KEPT_SECONDS]
+        fresh = [offset for offset, at in self._samples.values() if clock - at < _SAMPLE_SECONDS]
         self._offset = median_low([*fresh, self._wall() - clock])
--- a/src/lotushill/duties/usage_duty.py
+++ b/src/lotushill/duties/usage_duty.py
@@ -29,27 +29,27 @@
     from lotushill.links.messages import WorkPage
     from lotushill.process.settings import DutySettings
 
-_PULL_SECONDS = 0.3
+_PULL_INTERVAL_SECONDS = 0.3
 """Interval in seconds at which the counts of all gateways are collected.
 
 What a gateway counts within it is lost together with its host.
 """
-_PULLS_A_SECOND = 100.0
+_MAX_PULLS_PER_SECOND = 100.0
 """Limit of the requests for counts per second; a larger fleet is collected less often."""
-_AFTER_CLOSE_SECONDS = 0.4
+_CLOSE_DELAY_SECONDS = 0.4
 """Seconds after the close of a window at which the counts of all gateways are collected.
 
 Counts that are recorded and reported early are not lost together with the holder.
 """
-_LONGEST_SETTLE_SECONDS = 5.0
+_MAX_SETTLE_SECONDS = 5.0
 """Seconds after the close of a window until it is settled without unresponsive gateways.
 
 This is half of the time within which a report is due.
 """
-_FIRST_WINDOWS = 3
+_INITIAL_WINDOWS = 3
 """Number of past windows that a gateway collects before it has read a record."""
-_RETRY_SECONDS = 0.5
-_MOST_SILENT_SHOWN = 5
+_RETRY_INTERVAL_SECONDS = 0.5
+_MAX_SILENT_LOGGED = 5
 
 
 class UsageDuty:
@@ -60,7 +60,7 @@
         settings: DutySettings,
         ownership: Ownership,
         platform: Platform,
-        sight: FleetAccess,
+        fleet: FleetAccess,
         time: TrueTime,
         health: CallHealth,
         log: EventLog,
@@ -69,7 +69,7 @@
         self._settings = settings
         self._ownership = ownership
         self._platform = platform
-        self._sight = sight
+        self._fleet = fleet
         self._time = time
         self._health = health
         self._log = log
@@ -83,7 +83,7 @@
     def receive(self, page: WorkPage) -> None:
         """Merge the counts that a gateway reports."""
         self._time.add_sample(page.sender, page.wall)
-        self._ledger.take(page, self._time.now())
+        self._ledger.merge_page(page, self._time.now())
 
     def newest_window(self) -> int:
         """Return the number of the window that is open now."""
@@ -97,7 +97,7 @@
         """Continue from the record of the former holder."""
         self._recorded = {}
         self._reported = set()
-        self._ledger.go_on_from(former.checkpoint)
+        self._ledger.restore(former.checkpoint)
 
     def add_to(self, record: DutyRecord) -> DutyRecord:
         """Return the record with the windows that were settled and reported since."""
@@ -120,52 +120,52 @@
         """Request the counts of all gateways, until cancelled."""
         own = self._ownership.lease.name
         while True:
-            if not self._ownership.collects():
-                await anyio.sleep(_PULL_SECONDS)
+            if not self._ownership.is_collector():
+                await anyio.sleep(_PULL_INTERVAL_SECONDS)
                 continue
-            members = list(self._sight.members())
-            since = self._first_of_interest()
-            for page in self._sight.own_pages(since):
+            members = list(self._fleet.members())
+            since = self._first_pulled_window()
+            for page in self._fleet.own_pages(since):
                 self.receive(page)
             for member in members:
                 if member.name != own:
-                    self._sight.send_pull(WorkPull(own, since, self._time.now()), member.address)
-            self._settle(members)
+                    self._fleet.send_pull(WorkPull(own, since, self._time.now()), member.address)
+            self._settle_closed(members)
             await anyio.sleep(self._until_next_pull(len(members)))
 
-    def _first_of_interest(self) -> int:
+    def _first_pulled_window(self) -> int:
         record = self._ownership.record
-        return record.settled + 1 if record else self.newest_window() - _FIRST_WINDOWS
+        return record.settled + 1 if record else self.newest_window() - _INITIAL_WINDOWS
 
     def _until_next_pull(self, members: int) -> float:
         """Return the seconds until the next collection, which follows the close of a window."""
-        usual = max(_PULL_SECONDS, members / _PULLS_A_SECOND)
+        interval = max(_PULL_INTERVAL_SECONDS, members / _MAX_PULLS_PER_SECOND)
         seconds = self._settings.report_window_seconds
         into_window = self._time.now() % seconds
-        after_close = (_AFTER_CLOSE_SECONDS - into_window) % seconds
-        return min(usual, max(TICK_SECONDS, after_close))
+        after_close = (_CLOSE_DELAY_SECONDS - into_window) % seconds
+        return min(interval, max(TICK_SECONDS, after_close))
 
-    def _settle(self, members: list[MemberState]) -> None:
+    def _settle_closed(self, members: list[MemberState]) -> None:
         """Settle the closed windows for which all gateways have reported since the close."""
         record = self._ownership.record
         if record is None:
             return
         # A candidate also discards settled windows; otherwise it would store every window forever.
-        self._ledger.forget(record.settled)
-        if not self._ownership.lease.held or not self._settings.reports_usage:
+        self._ledger.discard_settled(record.settled)
+        if not self._ownership.lease.is_held or not self._settings.reports_usage:
             return
         first = max((record.settled, *self._recorded)) + 1
         for window in range(first, self.newest_window()):
             closed = (window + 1) * self._settings.report_window_seconds
-            silent = [item.name for item in members if not self._has_told(item.name, closed)]
-            if silent and self._time.now() - closed < _LONGEST_SETTLE_SECONDS:
+            silent = [item.name for item in members if not self._has_reported(item.name, closed)]
+            if silent and self._time.now() - closed < _MAX_SETTLE_SECONDS:
                 return
-            self._fix(window, silent)
+            self._settle_window(window, silent)
 
-    def _has_told(self, member: str, closed: float) -> bool:
-        return self._ledger.heard_after(member, closed + TICK_SECONDS)
+    def _has_reported(self, member: str, closed: float) -> bool:
+        return self._ledger.has_reported_after(member, closed + TICK_SECONDS)
 
-    def _fix(self, window: int, silent: list[str]) -> None:
+    def _settle_window(self, window: int, silent: list[str]) -> None:
         counts = self._ledger.total(window)
         self._recorded[window] = counts
         self._log.note(
@@ -173,7 +173,7 @@
             window=window,
             requests=sum(counts.values()),
             teams=len(counts),
-            silent=silent[:_MOST_SILENT_SHOWN],
+            silent=silent[:_MAX_SILENT_LOGGED],
         )
 
     async def report(self) -> None:
@@ -184,22 +184,22 @@
             if record is None or not self._ownership.lease.may_act(self._clock()):
                 continue
             for window in sorted(record.reports.keys() - self._reported):
-                if not await self._report_one(window, record.reports[window]):
+                if not await self._report_window(window, record.reports[window]):
                     break
 
-    async def _report_one(self, window: int, counts: Counts) -> bool:
+    async def _report_window(self, window: int, counts: Counts) -> bool:
         lease = self._ownership.lease
         token = lease.token
         if token is None or not lease.may_act(self._clock()):
             return False
-        began = self._clock()
-        end = await self._platform.report_usage(window, counts, Signature(lease.name, token))
-        self._health.note(end, began)
-        self._log.note("usage.reported", window=window, end=end.value, token=token)
-        if end is CallEnd.DONE:
+        started_at = self._clock()
+        result = await self._platform.report_usage(window, counts, Signature(lease.name, token))
+        self._health.record(result, started_at)
+        self._log.note("usage.reported", window=window, end=result.value, token=token)
+        if result is CallEnd.DONE:
             self._reported.add(window)
             return True
-        if end is CallEnd.REFUSED and lease.token == token:
+        if result is CallEnd.REFUSED and lease.token == token:
             self._ownership.lose("a report was refused")
-        await anyio.sleep(_RETRY_SECONDS)
+        await anyio.sleep(_RETRY_INTERVAL_SECONDS)
         return False
--- a/src/lotushill/duties/usage_ledger.py
+++ b/src/lotushill/duties/usage_ledger.py
@@ -15,7 +15,7 @@
     from lotushill.duties.duty_record import Counts
     from lotushill.links.messages import WorkPage
 
-_SAME_LIFE_SECONDS = 0.5
+_SAME_START_SECONDS = 0.5
 """Seconds within which reported start times belong to the same process.
 
 Two starts of one gateway are further apart; reports of the same start differ slightly.
@@ -23,12 +23,12 @@
 
 
 @dataclass
-class _Life:
+class _Process:
     """The counts of one process of one gateway."""
 
     started: float
     """True time of the start of the process."""
-    heard: float
+    last_page_at: float
     """True time of the last page of the process."""
     windows: dict[int, Counter[str]] = field(default_factory=dict)
 
@@ -43,42 +43,42 @@
 
     def __init__(self) -> None:
         self._checkpoint = Checkpoint()
-        self._lives: dict[str, list[_Life]] = {}
+        self._processes: dict[str, list[_Process]] = {}
 
-    def go_on_from(self, checkpoint: Checkpoint) -> None:
+    def restore(self, checkpoint: Checkpoint) -> None:
         """Set the checkpoint of a former holder, in addition to the counts received here."""
         self._checkpoint = checkpoint
 
-    def take(self, page: WorkPage, now: float) -> None:
+    def merge_page(self, page: WorkPage, now: float) -> None:
         """Merge a page that arrived at the true time `now`."""
-        life = self._life(page.sender, now - page.age)
-        life.heard = now
-        for told in page.counts:
-            teams = life.windows.setdefault(told.window, Counter())
-            teams[told.team] = max(teams[told.team], told.count)
+        process = self._process(page.sender, now - page.age)
+        process.last_page_at = now
+        for entry in page.counts:
+            teams = process.windows.setdefault(entry.window, Counter())
+            teams[entry.team] = max(teams[entry.team], entry.count)
 
-    def heard_after(self, sender: str, moment: float) -> bool:
+    def has_reported_after(self, sender: str, moment: float) -> bool:
         """Return whether a gateway reported its counts after a given true time."""
-        lives = self._lives.get(sender, [])
-        return bool(lives) and lives[-1].heard > moment
+        processes = self._processes.get(sender, [])
+        return bool(processes) and processes[-1].last_page_at > moment
 
     def total(self, window: int) -> Counts:
         """Return the known number of requests of each team that started in a window."""
         known = Counter(self._checkpoint.windows.get(window, {}))
         old: Counter[str] = Counter()
         new: Counter[str] = Counter()
-        for lives in self._lives.values():
-            for life in lives:
-                is_new = life.started >= self._checkpoint.at
-                (new if is_new else old).update(life.windows.get(window, {}))
+        for processes in self._processes.values():
+            for process in processes:
+                is_new = process.started >= self._checkpoint.at
+                (new if is_new else old).update(process.windows.get(window, {}))
         return dict((known | old) + new)
 
     def open_windows(self, after: int) -> set[int]:
         """Return the windows after a given one that have counts."""
         known = set(self._checkpoint.windows)
-        for lives in self._lives.values():
-            for life in lives:
-                known.update(life.windows)
+        for processes in self._processes.values():
+            for process in processes:
+                known.update(process.windows)
         return {window for window in known if window > after}
 
     def checkpoint(self, after: int, now: float) -> Checkpoint:
@@ -86,21 +86,23 @@
         windows = {window: self.total(window) for window in sorted(self.open_windows(after))}
         return Checkpoint(now, windows)
 
-    def forget(self, settled: int) -> None:
+    def discard_settled(self, settled: int) -> None:
         """Discard the windows up to and including `settled`."""
-        for name, lives in list(self._lives.items()):
-            for life in lives:
-                _drop(life.windows, settled)
-            self._lives[name] = [life for life in lives[:-1] if life.windows] + lives[-1:]
-
-    def _life(self, sender: str, started: float) -> _Life:
-        lives = self._lives.setdefault(sender, [])
-        if not lives or started - lives[-1].started > _SAME_LIFE_SECONDS:
-            lives.append(_Life(started, started))
-        return lives[-1]
-
-
-def _drop(windows: dict[int, Counter[str]], settled: int) -> None:
-    found: Iterable[int] = [window for window in windows if window <= settled]
-    for window in found:
+        for name, processes in list(self._processes.items()):
+            for process in processes:
+                _discard(process.windows, settled)
+            self._processes[name] = [
+                process for process in processes[:-1] if process.windows
+            ] + processes[-1:]
+
+    def _process(self, sender: str, started: float) -> _Process:
+        processes = self._processes.setdefault(sender, [])
+        if not processes or started - processes[-1].started > _SAME_START_SECONDS:
+            processes.append(_Process(started, started))
+        return processes[-1]
+
+
+def _discard(windows: dict[int, Counter[str]], settled: int) -> None:
+    settled_windows: Iterable[int] = [window for window in windows if window <= settled]
+    for window in settled_windows:
         del windows[window]
--- a/src/lotushill/quarantine/failure_watch.py
+++ b/src/lotushill/quarantine/failure_watch.py
@@ -11,13 +11,13 @@
 
     from lotushill.quarantine.group import Group
 
-_SECONDS = 12.0
+_WATCH_SECONDS = 12.0
 """Seconds for which an interrupted request is watched.
 
 An upstream that failed unannounced stays listed for three of its heartbeats, which are about 1.2 s
 each, and for three more if the store was unavailable.
 """
-_MOST = 1024
+_MAX_REQUESTS = 1024
 
 
 class Listing(Enum):
@@ -47,12 +47,12 @@
     """Stores interrupted requests for a bounded time, until their upstream is no longer listed."""
 
     def __init__(self) -> None:
-        self._cuts: list[tuple[InterruptedRequest, float]] = []
+        self._interrupted: list[tuple[InterruptedRequest, float]] = []
 
-    def add(self, cut: InterruptedRequest, now: float) -> None:
+    def add(self, request: InterruptedRequest, now: float) -> None:
         """Store a request that was interrupted by an upstream that may have failed."""
-        self._cuts.append((cut, now + _SECONDS))
-        del self._cuts[:-_MOST]
+        self._interrupted.append((request, now + _WATCH_SECONDS))
+        del self._interrupted[:-_MAX_REQUESTS]
 
     def pop_failed(
         self, state_of: Callable[[str], Listing], now: float
@@ -61,13 +61,15 @@
 
         Requests interrupted by a planned shutdown are dropped.
         """
-        if not self._cuts:
+        if not self._interrupted:
             return []
-        states = {cut.upstream: state_of(cut.upstream) for cut, _ in self._cuts}
-        ended = [cut for cut, _ in self._cuts if states[cut.upstream] is Listing.GONE]
-        self._cuts = [
-            (cut, until)
-            for cut, until in self._cuts
-            if now < until and states[cut.upstream] is Listing.SERVING
+        states = {request.upstream: state_of(request.upstream) for request, _ in self._interrupted}
+        failed = [
+            request for request, _ in self._interrupted if states[request.upstream] is Listing.GONE
         ]
-        return ended
+        self._interrupted = [
+            (request, until)
+            for request, until in self._interrupted
+            if now < until and states[request.upstream] is Listing.SERVING
+        ]
+        return failed
--- a/src/lotushill/quarantine/group.py
+++ b/src/lotushill/quarantine/group.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from lotushill.routing.demand import PromptPart
 
-_MOST_PATH = 120
+_MAX_PATH_LENGTH = 120
 
 
 @dataclass(frozen=True)
@@ -34,7 +34,7 @@
     last part of a prompt is specific to the request, so the part before it identifies the prompt.
     """
     caller = f"{team} on {route}"
-    path = target.partition(b"?")[0].decode("latin-1")[:_MOST_PATH]
+    path = target.partition(b"?")[0].decode("latin-1")[:_MAX_PATH_LENGTH]
     labels = [caller, f"{caller}, {path}"]
     if len(parts) > 1:
         labels.append(f"{caller}, prompt {parts[-2].id:x}")
--- a/src/lotushill/quarantine/hold_store.py
+++ b/src/lotushill/quarantine/hold_store.py
@@ -21,26 +21,26 @@
     from lotushill.quarantine.hold_view import HoldView
     from lotushill.quarantine.quarantine import Quarantine
 
-_SETTLED_SECONDS = 0.5
+_WRITE_DELAY_SECONDS = 0.5
 """Seconds for which a hold must persist before it is written.
 
 Within this time other gateways may report that the request is known good.
 """
-_TAKEN_OVER_SECONDS = (4.0, 30.0)
+_PEER_WRITE_DELAY_SECONDS = (4.0, 30.0)
 """Range of the random delay after which a gateway writes a hold that only others observed.
 
 It does so only if they have not written it. Hundreds of gateways that write at the same moment
 would use up the write rate of the store.
 """
-_AWAY_SECONDS = (1.0, 3.0)
+_RETRY_DELAY_SECONDS = (1.0, 3.0)
 """Range of the random delay between two attempts while the store is unavailable."""
-_MOST_STORED = 512
+_MAX_STORED = 512
 """Limit of the objects of this kind in the store.
 
 At the limit the oldest object of the same team is deleted, or the oldest of all if the team has
 none.
 """
-_MOST_CALLS = 4
+_MAX_CALLS = 4
 """Limit of the writes, and of the deletions, per reconciliation.
 
 Many simultaneous suspects thus use only a small part of the request rate of the store.
@@ -81,43 +81,43 @@
         self._wall = wall
         self._due: dict[bytes, float] = {}
         """Holds that are not in the store, with the time at which this gateway writes them."""
-        self._away_until = float("-inf")
+        self._retry_at = float("-inf")
         self._written: set[bytes] = set()
         """Holds written by this gateway that the view does not contain yet."""
 
     async def reconcile(self) -> None:
         """Write holds that are due and delete those that were cleared; retry after an outage."""
         now = self._clock()
-        if now < self._away_until:
+        if now < self._retry_at:
             return
-        due = self._settled(now)
-        vain = self._quarantine.stored_but_cleared()
+        due = self._due_identities(now)
+        cleared = self._quarantine.stored_but_cleared()
         try:
-            for identity in due[:_MOST_CALLS]:
+            for identity in due[:_MAX_CALLS]:
                 await self._write(identity)
-            for identity in vain[:_MOST_CALLS]:
+            for identity in cleared[:_MAX_CALLS]:
                 await self._store.delete(KIND, identity.hex())
         except StoreError as error:
-            self._away_until = self._clock() + self._rng.uniform(*_AWAY_SECONDS)
+            self._retry_at = self._clock() + self._rng.uniform(*_RETRY_DELAY_SECONDS)
             self._log.note("quarantine.unwritten", error=repr(error))
 
-    def _settled(self, now: float) -> list[bytes]:
+    def _due_identities(self, now: float) -> list[bytes]:
         unstored = set(self._quarantine.unstored())
-        self._due = {item: self._due.get(item) or self._when(item, now) for item in unstored}
+        self._due = {item: self._due.get(item) or self._write_time(item, now) for item in unstored}
         self._written &= unstored
         return [item for item, due in self._due.items() if now >= due and item not in self._written]
 
-    def _when(self, identity: bytes, now: float) -> float:
+    def _write_time(self, identity: bytes, now: float) -> float:
         suspect = self._quarantine.find(identity)
-        if suspect is not None and suspect.seen_here:
-            return now + _SETTLED_SECONDS
-        return now + self._rng.uniform(*_TAKEN_OVER_SECONDS)
+        if suspect is not None and suspect.observed_locally:
+            return now + _WRITE_DELAY_SECONDS
+        return now + self._rng.uniform(*_PEER_WRITE_DELAY_SECONDS)
 
     async def _write(self, identity: bytes) -> None:
         suspect = self._quarantine.find(identity)
         if suspect is None:
             return
-        await self._make_room(suspect.team)
+        await self._evict_if_full(suspect.team)
         hold = StoredHold(
             suspect.team, suspect.path, tuple(suspect.failed_upstreams), round(self._wall(), 3)
         )
@@ -128,10 +128,10 @@
             pass
         self._written.add(identity)
 
-    async def _make_room(self, team: str) -> None:
+    async def _evict_if_full(self, team: str) -> None:
         holds = self._view.holds
-        if len(holds) < _MOST_STORED:
+        if len(holds) < _MAX_STORED:
             return
-        same = [item for item, hold in holds.items() if hold.team == team]
-        oldest = min(same or holds, key=lambda item: holds[item].since)
+        of_same_team = [item for item, hold in holds.items() if hold.team == team]
+        oldest = min(of_same_team or holds, key=lambda item: holds[item].since)
         await self._store.delete(KIND, oldest.hex())
--- a/src/lotushill/quarantine/hold_view.py
+++ b/src/lotushill/quarantine/hold_view.py
@@ -35,6 +35,6 @@
 
     def _read(self, objects: dict[str, Any]) -> None:
         self.objects = objects
-        found = {name: read_hold(name, spec) for name, spec in objects.items()}
-        self.holds = dict(item for item in found.values() if item is not None)
-        self.faults = {name: "is no hold" for name, item in found.items() if item is None}
+        holds_by_name = {name: read_hold(name, spec) for name, spec in objects.items()}
+        self.holds = dict(item for item in holds_by_name.values() if item is not None)
+        self.faults = {name: "is no hold" for name, item in holds_by_name.items() if item is None}
--- a/src/lotushill/quarantine/quarantine.py
+++ b/src/lotushill/quarantine/quarantine.py
@@ -16,8 +16,8 @@
     from lotushill.links.quarantine_messages import SuspectState
     from lotushill.quarantine.stored_hold import StoredHold
 
-_MOST_SUSPECTS = 2048
-_MOST_OF_TEAM = 256
+_MAX_SUSPECTS = 2048
+_MAX_SUSPECTS_PER_TEAM = 256
 """Limit of the suspects of one team, so that one team cannot evict the suspects of another."""
 
 
@@ -30,9 +30,9 @@
 
     def __init__(self) -> None:
         self._suspects: OrderedDict[bytes, Suspect] = OrderedDict()
-        self._of_team: Counter[str] = Counter()
+        self._counts_by_team: Counter[str] = Counter()
         self._stored: dict[bytes, StoredHold] = {}
-        self._whole = CompletedRequests()
+        self._completed = CompletedRequests()
 
     def __len__(self) -> int:
         return len(self._suspects)
@@ -45,9 +45,9 @@
     def is_held(self, identity: bytes, now: float) -> bool:
         """Return whether a request must not reach any upstream."""
         suspect = self._suspects.get(identity)
-        if suspect is not None and suspect.held(now):
+        if suspect is not None and suspect.is_held(now):
             return True
-        return identity in self._stored and (suspect is None or not suspect.proven)
+        return identity in self._stored and (suspect is None or not suspect.known_good)
 
     def failure_count(self, identity: bytes) -> int:
         """Return the number of upstreams that failed during a request since it was last cleared."""
@@ -66,19 +66,19 @@
         self, identity: bytes, team: str, path: str, upstream: str, now: float
     ) -> bool:
         """Record that an upstream failed while it had the request; return whether that is new."""
-        suspect = self._suspect(identity, team, path, now)
-        suspect.seen_here = True
-        return suspect.add(upstream, now)
+        suspect = self._get_or_add(identity, team, path, now)
+        suspect.observed_locally = True
+        return suspect.add_failure(upstream, now)
 
     def merge_peer_state(self, state: SuspectState, now: float) -> bool:
         """Merge the evidence of a peer against a request; return whether any of it is new."""
-        suspect = self._suspect(state.identity, state.team, state.path, now)
-        news = [suspect.add(upstream, now) for upstream in state.upstreams]
-        return any(news)
+        suspect = self._get_or_add(state.identity, state.team, state.path, now)
+        is_new = [suspect.add_failure(upstream, now) for upstream in state.upstreams]
+        return any(is_new)
 
     def record_completion(self, identity: bytes, now: float) -> bool:
         """Record that a request completed; return whether this clears a suspect."""
-        self._whole.note(identity, now)
+        self._completed.add(identity, now)
         return self.clear(identity)
 
     def clear(self, identity: bytes) -> bool:
@@ -93,18 +93,18 @@
         """Record that a request completed before any upstream failed during it."""
         suspect = self._suspects.get(identity)
         if suspect is not None:
-            suspect.prove(now)
+            suspect.mark_known_good(now)
 
     def has_completed(self, identity: bytes, now: float) -> bool:
         """Return whether a request completed at this gateway, which peers may not know."""
-        return self._whole.knows(identity, now)
+        return self._completed.has_completed(identity, now)
 
     def replace_stored(self, holds: Mapping[bytes, StoredHold]) -> list[bytes]:
         """Replace the stored holds; return the identities released in the store since then."""
         released = [identity for identity in self._stored if identity not in holds]
         for identity in released:
             suspect = self._suspects.get(identity)
-            if suspect is not None and not suspect.proven:
+            if suspect is not None and not suspect.known_good:
                 suspect.release()
         self._stored = dict(holds)
         return released
@@ -114,7 +114,7 @@
         return [
             identity
             for identity, suspect in self._suspects.items()
-            if suspect.held_for_good and identity not in self._stored
+            if suspect.is_held_indefinitely and identity not in self._stored
         ]
 
     def stored_but_cleared(self) -> list[bytes]:
@@ -122,44 +122,46 @@
         return [
             identity
             for identity in self._stored
-            if (suspect := self._suspects.get(identity)) is not None and suspect.proven
+            if (suspect := self._suspects.get(identity)) is not None and suspect.known_good
         ]
 
     def expire(self, now: float) -> None:
         """Remove the suspects that have had no evidence, late updates included, for some time."""
-        old = [
+        expired = [
             identity
             for identity, suspect in self._suspects.items()
             if suspect.is_clear(now) and identity not in self._stored
         ]
-        for identity in old:
-            self._forget(identity)
-
-    def _suspect(self, identity: bytes, team: str, path: str, now: float) -> Suspect:
-        found = self._suspects.get(identity)
-        if found is None:
-            self._make_room(team)
-            found = self._suspects[identity] = Suspect(team, path)
-            found.proven = self._whole.knows(identity, now)
-            self._of_team[team] += 1
-        self._suspects.move_to_end(identity)
-        return found
-
-    def _make_room(self, team: str) -> None:
-        if self._of_team[team] >= _MOST_OF_TEAM:
-            same = [item for item, suspect in self._suspects.items() if suspect.team == team]
-            self._forget_one(same)
-        elif len(self._suspects) >= _MOST_SUSPECTS:
-            self._forget_one(self._suspects)
+        for identity in expired:
+            self._remove(identity)
 
-    def _forget_one(self, candidates: Iterable[bytes]) -> None:
+    def _get_or_add(self, identity: bytes, team: str, path: str, now: float) -> Suspect:
+        suspect = self._suspects.get(identity)
+        if suspect is None:
+            self._evict_if_full(team)
+            suspect = self._suspects[identity] = Suspect(team, path)
+            suspect.known_good = self._completed.has_completed(identity, now)
+            self._counts_by_team[team] += 1
+        self._suspects.move_to_end(identity)
+        return suspect
+
+    def _evict_if_full(self, team: str) -> None:
+        if self._counts_by_team[team] >= _MAX_SUSPECTS_PER_TEAM:
+            of_same_team = [
+                item for item, suspect in self._suspects.items() if suspect.team == team
+            ]
+            self._evict_one(of_same_team)
+        elif len(self._suspects) >= _MAX_SUSPECTS:
+            self._evict_one(self._suspects)
+
+    def _evict_one(self, candidates: Iterable[bytes]) -> None:
         """Evict the least recently updated suspect; held ones only if there are no others."""
-        among = list(candidates)
-        loose = (item for item in among if not self._suspects[item].held_for_good)
-        self._forget(next(loose, among[0]))
+        identities = list(candidates)
+        evictable = (item for item in identities if not self._suspects[item].is_held_indefinitely)
+        self._remove(next(evictable, identities[0]))
 
-    def _forget(self, identity: bytes) -> None:
+    def _remove(self, identity: bytes) -> None:
         team = self._suspects.pop(identity).team
-        self._of_team[team] -= 1
-        if not self._of_team[team]:
-            del self._of_team[team]
+        self._counts_by_team[team] -= 1
+        if not self._counts_by_team[team]:
+            del self._counts_by_team[team]
--- a/src/lotushill/quarantine/recent_counts.py
+++ b/src/lotushill/quarantine/recent_counts.py
@@ -12,29 +12,29 @@
 class RecentCounts(Generic[Key]):
     """Counts occurrences over the last one to two windows, for a bounded number of keys."""
 
-    def __init__(self, window: float, most: int) -> None:
-        """Count over `window` seconds; more than `most` keys in one window are not counted."""
-        self._window = window
-        self._most = most
+    def __init__(self, window_seconds: float, max_keys: int) -> None:
+        """Count over `window_seconds`; keys beyond `max_keys` in one window are not counted."""
+        self._window_seconds = window_seconds
+        self._max_keys = max_keys
         self._counts: Counter[Key] = Counter()
-        self._former: Counter[Key] = Counter()
-        self._began = float("-inf")
+        self._previous_counts: Counter[Key] = Counter()
+        self._window_start = float("-inf")
 
-    def note(self, key: Key, now: float) -> None:
+    def add(self, key: Key, now: float) -> None:
         """Count one occurrence of a key."""
-        self._turn(now)
-        if key in self._counts or len(self._counts) < self._most:
+        self._advance(now)
+        if key in self._counts or len(self._counts) < self._max_keys:
             self._counts[key] += 1
 
     def count(self, key: Key, now: float) -> int:
         """Return the number of recent occurrences of a key."""
-        self._turn(now)
-        return self._counts[key] + self._former[key]
+        self._advance(now)
+        return self._counts[key] + self._previous_counts[key]
 
-    def _turn(self, now: float) -> None:
-        age = now - self._began
-        if age < self._window:
+    def _advance(self, now: float) -> None:
+        age = now - self._window_start
+        if age < self._window_seconds:
             return
-        self._former = self._counts if age < 2 * self._window else Counter()
+        self._previous_counts = self._counts if age < 2 * self._window_seconds else Counter()
         self._counts = Counter()
-        self._began = now
+        self._window_start = now
--- a/src/lotushill/quarantine/repeat_schedule.py
+++ b/src/lotushill/quarantine/repeat_schedule.py
@@ -8,7 +8,7 @@
 
 Item = TypeVar("Item")
 
-_REPEAT_SECONDS = (0.0, 0.15, 0.5, 1.2)
+_REPEAT_DELAYS_SECONDS = (0.0, 0.15, 0.5, 1.2)
 """Delays in seconds after the event at which an update is sent.
 
 If one datagram in ten is lost, one gateway in 10,000 misses all four.
@@ -31,7 +31,7 @@
 
     def schedule_repeats(self, item: Item, now: float) -> None:
         """Schedule an item for now and for several repetitions."""
-        self._times[item] = [now + after for after in _REPEAT_SECONDS]
+        self._times[item] = [now + delay for delay in _REPEAT_DELAYS_SECONDS]
 
     def schedule_once(self, item: Item, when: float) -> None:
         """Schedule an item once, at a given time."""
@@ -45,9 +45,9 @@
         """Return the items that are due, and remove the times that have passed."""
         due = [item for item, times in self._times.items() if times[0] <= now]
         for item in due:
-            left = [at for at in self._times[item] if at > now]
-            if left:
-                self._times[item] = left
+            remaining = [at for at in self._times[item] if at > now]
+            if remaining:
+                self._times[item] = remaining
             else:
                 del self._times[item]
         return due
--- a/src/lotushill/quarantine/stored_hold.py
+++ b/src/lotushill/quarantine/stored_hold.py
@@ -9,7 +9,7 @@
 
 KIND = "lotushill-quarantine"
 """The kind in the store that has one object for each held request, named by its identity."""
-_LATEST = 2**37
+_MAX_TIME = 2**37
 """Upper bound of valid times in seconds since 1970, far beyond any real time."""
 
 
@@ -43,20 +43,20 @@
     identity = _identity(name)
     if identity is None:
         return None
-    told = spec if isinstance(spec, dict) else {}
-    team, path, since = told.get("team"), told.get("path"), told.get("since")
-    upstreams = told.get("upstreams")
-    listed = upstreams if isinstance(upstreams, list) else []
+    fields = spec if isinstance(spec, dict) else {}
+    team, path, since = fields.get("team"), fields.get("path"), fields.get("since")
+    upstreams = fields.get("upstreams")
+    upstream_list = upstreams if isinstance(upstreams, list) else []
     return identity, StoredHold(
         team if isinstance(team, str) else "",
         path if isinstance(path, str) else "",
-        tuple(item for item in listed if isinstance(item, str)),
+        tuple(item for item in upstream_list if isinstance(item, str)),
         _seconds(since),
     )
 
 
 def _seconds(value: Any) -> float:
-    return float(value) if type(value) in (int, float) and 0 <= value < _LATEST else 0.0
+    return float(value) if type(value) in (int, float) and 0 <= value < _MAX_TIME else 0.0
 
 
 def _identity(name: str) -> bytes | None:
--- a/src/lotushill/quarantine/update_schedule.py
+++ b/src/lotushill/quarantine/update_schedule.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     import random
 
-_HELD_REPEAT_SECONDS = 2.0
+_HELD_REPEAT_INTERVAL_SECONDS = 2.0
 """Interval in seconds at which a hold that is not in the store is sent again.
 
 Gateways that join receive it this way.
@@ -39,13 +39,13 @@
         self._rng = rng
         self._suspects: RepeatSchedule[bytes] = RepeatSchedule()
         self._cleared: set[bytes] = set()
-        self._proofs: dict[bytes, float] = {}
+        self._known_good: dict[bytes, float] = {}
 
     def next_due(self) -> float:
         """Return the time at which the next update is due, or infinity if there is none."""
         if self._cleared:
             return -math.inf
-        return min([self._suspects.next_due(), *self._proofs.values()])
+        return min([self._suspects.next_due(), *self._known_good.values()])
 
     def schedule_failure(self, identity: bytes, now: float) -> None:
         """Schedule the update on an upstream failure for now and for several repetitions."""
@@ -54,33 +54,33 @@
     def schedule_held_repeat(self, identity: bytes, now: float) -> None:
         """Schedule another update on a request that is held and not in the store."""
         if identity not in self._suspects:
-            self._suspects.schedule_once(identity, now + _HELD_REPEAT_SECONDS)
+            self._suspects.schedule_once(identity, now + _HELD_REPEAT_INTERVAL_SECONDS)
 
     def schedule_cleared(self, identity: bytes) -> None:
         """Schedule the update that a request completed after its failures; cancel all others."""
         self._suspects.cancel(identity)
-        self._proofs.pop(identity, None)
+        self._known_good.pop(identity, None)
         self._cleared.add(identity)
 
     def schedule_known_good(self, identity: bytes, now: float) -> None:
         """Schedule the update that a request is known good, unless a peer sends it first."""
-        if identity not in self._proofs:
-            self._proofs[identity] = now + self._rng.uniform(0.0, KNOWN_GOOD_JITTER_SECONDS)
+        if identity not in self._known_good:
+            self._known_good[identity] = now + self._rng.uniform(0.0, KNOWN_GOOD_JITTER_SECONDS)
 
     def cancel_known_good(self, identity: bytes) -> None:
         """Cancel the update that a request is known good, since a peer has sent it."""
-        self._proofs.pop(identity, None)
+        self._known_good.pop(identity, None)
 
     def cancel(self, identity: bytes) -> None:
         """Cancel all updates against a request that a peer has cleared."""
         self._suspects.cancel(identity)
-        self._proofs.pop(identity, None)
+        self._known_good.pop(identity, None)
 
     def pop_due(self, now: float) -> DueUpdates:
         """Return the updates that are due, and remove them from the schedule."""
         suspects = self._suspects.pop_due(now)
-        proofs = [item for item, at in self._proofs.items() if at <= now]
-        for identity in proofs:
-            del self._proofs[identity]
+        known_good = [item for item, at in self._known_good.items() if at <= now]
+        for identity in known_good:
+            del self._known_good[identity]
         cleared, self._cleared = self._cleared, set()
-        return DueUpdates(tuple(suspects), tuple(cleared), tuple(proofs))
+        return DueUpdates(tuple(suspects), tuple(cleared), tuple(known_good))
--- a/tests/duties/test_call_health.py
+++ b/tests/duties/test_call_health.py
@@ -9,14 +9,14 @@
 class TestCallHealth(unittest.TestCase):
     def test_single_unanswered_call_does_not_count(self) -> None:
         health = CallHealth()
-        health.note(CallEnd.UNANSWERED, 0.0)
-        self.assertFalse(health.silent(60.0))
+        health.record(CallEnd.UNANSWERED, 0.0)
+        self.assertFalse(health.is_unresponsive(60.0))
 
     def test_several_unanswered_calls_count_until_one_is_answered(self) -> None:
         health = CallHealth()
-        for began in (0.0, 2.0, 3.5):
-            health.note(CallEnd.UNANSWERED, began)
-        self.assertFalse(health.silent(3.9))
-        self.assertTrue(health.silent(5.0))
-        health.note(CallEnd.REFUSED, 5.0)
-        self.assertFalse(health.silent(60.0))
+        for started_at in (0.0, 2.0, 3.5):
+            health.record(CallEnd.UNANSWERED, started_at)
+        self.assertFalse(health.is_unresponsive(3.9))
+        self.assertTrue(health.is_unresponsive(5.0))
+        health.record(CallEnd.REFUSED, 5.0)
+        self.assertFalse(health.is_unresponsive(60.0))
--- a/tests/duties/test_duty_keeper.py
+++ b/tests/duties/test_duty_runner.py
@@ -13,7 +13,7 @@
 
 from lotushill.duties.duty_record import from_spec
 from tests.duties.virtual_duties import LEASE
-from tests.duties.virtual_duties import Node
+from tests.duties.virtual_duties import Host
 from tests.duties.virtual_duties import World
 from tests.duties.virtual_time import run_virtual
 
@@ -33,53 +33,53 @@
     return run
 
 
-async def started(count: int = 5, fenced: bool = True, seed: int = 1) -> World:
+async def start_fleet(count: int = 5, fenced: bool = True, seed: int = 1) -> World:
     world = World(count, fenced, seed)
-    for node in world.nodes:
-        node.start()
+    for host in world.hosts:
+        host.start()
     await world.serve(8.0)
     return world
 
 
 class TestDuties(unittest.TestCase):
-    def check(self, world: World) -> None:
+    def check_invariants(self, world: World) -> None:
         """Check the invariants against the calls that the platform received."""
-        self.assertEqual(world.platform.differing, [])
+        self.assertEqual(world.platform.differing_windows, [])
         owners: dict[tuple[str, int], str] = {}
         for call in world.platform.calls:
-            self.assertEqual(owners.setdefault((call.subject, call.token), call.node), call.node)
-        self.check_turns(world)
+            self.assertEqual(owners.setdefault((call.subject, call.token), call.host), call.host)
+        self.check_no_alternation(world)
 
-    def check_turns(self, world: World) -> None:
+    def check_no_alternation(self, world: World) -> None:
         """Check that no holder acts again within a lease after another one has acted."""
         by_subject: dict[str, list[tuple[str, float]]] = {}
         for call in world.platform.calls:
-            if call.taken:
-                by_subject.setdefault(call.subject, []).append((call.node, call.at))
+            if call.accepted:
+                by_subject.setdefault(call.subject, []).append((call.host, call.at))
         for calls in by_subject.values():
             last: dict[str, float] = {}
-            for (before, _), (node, at) in zip([("", 0.0), *calls], calls):
-                if node != before and node in last:
-                    self.assertGreaterEqual(at - last[node], LEASE)
-                last[node] = at
+            for (before, _), (host, at) in zip([("", 0.0), *calls], calls):
+                if host != before and host in last:
+                    self.assertGreaterEqual(at - last[host], LEASE)
+                last[host] = at
 
     @in_virtual_time
     async def test_without_faults_every_window_is_reported_exactly(self) -> None:
-        world = await started()
+        world = await start_fleet()
         await world.serve(60.0)
         world.end()
         self.assertGreater(len(world.closed_windows()), 8)
         for window in world.closed_windows():
-            told, truth = world.platform.reports[window], world.truth[window]
-            for team, count in truth.items():
+            reported, true_counts = world.platform.reports[window], world.true_counts[window]
+            for team, count in true_counts.items():
                 # A request that starts within milliseconds of a border may count on either side.
-                self.assertAlmostEqual(told[team], count, delta=1)
-        self.assertEqual(len({call.node for call in world.platform.calls}), 1)
-        self.check(world)
+                self.assertAlmostEqual(reported[team], count, delta=1)
+        self.assertEqual(len({call.host for call in world.platform.calls}), 1)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_a_killed_holder_is_followed_and_no_window_is_missed(self) -> None:
-        world = await started()
+        world = await start_fleet()
         for _ in range(3):
             await world.serve(11.0)
             holder = world.holder()
@@ -89,13 +89,13 @@
             holder.start()
         await world.serve(25.0)
         world.end()
-        self.assertGreaterEqual(len({call.node for call in world.platform.calls}), 2)
-        self.assertEqual(world.wrong(), [])
-        self.check(world)
+        self.assertGreaterEqual(len({call.host for call in world.platform.calls}), 2)
+        self.assertEqual(world.wrong_windows(), [])
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_a_stopped_holder_hands_over_within_a_second(self) -> None:
-        world = await started()
+        world = await start_fleet()
         holder = world.holder()
         assert holder is not None
         await holder.stop()
@@ -104,17 +104,17 @@
         world.end()
         self.assertIsNotNone(follower)
         self.assertIsNot(follower, holder)
-        self.check(world)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_stopping_gateway_does_not_acquire_the_duties_again(self) -> None:
         """A planned shutdown takes longer than the time for which a former holder stays out."""
-        world = await started(count=1)
+        world = await start_fleet(count=1)
         holder = world.holder()
         assert holder is not None
-        await holder.keeper.hand_over()
+        await holder.runner.hand_over()
         await world.serve(10.0)
-        self.assertFalse(holder.keeper.lease.held)
+        self.assertFalse(holder.runner.lease.is_held)
         world.end()
 
     @in_virtual_time
@@ -122,8 +122,8 @@
         """A later version may have written it, whose reports would otherwise be sent again."""
         world = World(3)
         world.store.create("lotushill-duties", "main", {"form": 2})
-        for node in world.nodes:
-            node.start()
+        for host in world.hosts:
+            host.start()
         await world.serve(12.0)
         self.assertIsNone(world.holder())
         self.assertEqual(world.store.get("lotushill-duties", "main")["spec"], {"form": 2})
@@ -132,47 +132,47 @@
     @in_virtual_time
     async def test_windows_stored_by_candidates_are_bounded(self) -> None:
         """A candidate must discard settled windows too, or it would store every window forever."""
-        world = await started()
+        world = await start_fleet()
         await world.serve(60.0)
-        for node in world.nodes:
-            self.assertLessEqual(len(node.keeper.usage.open_windows()), 4)
+        for host in world.hosts:
+            self.assertLessEqual(len(host.runner.usage.open_windows()), 4)
         world.end()
 
     @in_virtual_time
     async def test_after_all_power_is_lost_the_open_window_is_reported_from_the_store(
         self,
     ) -> None:
-        world = await started()
+        world = await start_fleet()
         await world.serve(9.0)
-        for node in world.nodes:
-            node.kill()
+        for host in world.hosts:
+            host.kill()
         await asyncio.sleep(1.0)
-        for node in world.nodes:
-            node.start()
+        for host in world.hosts:
+            host.start()
         await world.serve(30.0)
         world.end()
         # No gateway knows the requests that started within the last second before the outage.
-        self.assertLessEqual(len(world.wrong()), 1)
-        self.check(world)
+        self.assertLessEqual(len(world.wrong_windows()), 1)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_a_former_holder_that_wakes_up_changes_nothing(self) -> None:
         for fenced in (True, False):
-            world = await started(fenced=fenced)
+            world = await start_fleet(fenced=fenced)
             holder = world.holder()
             assert holder is not None
-            holder.thawed.clear()
+            holder.not_frozen.clear()
             await world.serve(9.0)
-            holder.thawed.set()
+            holder.not_frozen.set()
             await world.serve(20.0)
             self.assertIsNot(world.holder(), holder)
             world.end()
-            self.assertEqual(world.platform.differing, [])
+            self.assertEqual(world.platform.differing_windows, [])
 
     @in_virtual_time
     async def test_holder_without_the_store_stops_after_a_refused_call(self) -> None:
         """The refusal is the same as the one in a shortage of reclaimable engines."""
-        world = await started()
+        world = await start_fleet()
         holder = world.holder()
         assert holder is not None
         holder.store_cut = True
@@ -183,14 +183,16 @@
         await world.serve(12.0)
         world.end()
         refused = [
-            call.at for call in world.platform.calls if call.node == holder.name and not call.taken
+            call.at
+            for call in world.platform.calls
+            if call.host == holder.name and not call.accepted
         ]
         self.assertLessEqual(len([at for at in refused if at > refused[0] + LEASE]), 3)
-        self.check(world)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_without_checked_tokens_a_holder_without_the_store_stops_acting(self) -> None:
-        world = await started(fenced=False)
+        world = await start_fleet(fenced=False)
         holder = world.holder()
         assert holder is not None
         holder.store_cut = True
@@ -200,26 +202,26 @@
         late = [
             call
             for call in world.platform.calls
-            if call.node == holder.name and call.at > cut_at + LEASE
+            if call.host == holder.name and call.at > cut_at + LEASE
         ]
         self.assertEqual(late, [])
-        self.check(world)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_a_holder_that_the_platform_does_not_answer_is_followed(self) -> None:
-        world = await started()
+        world = await start_fleet()
         holder = world.holder()
         assert holder is not None
         holder.api_cut = True
         await world.serve(40.0)
         world.end()
-        self.assertLessEqual(len(world.wrong()), 1)
-        self.check(world)
+        self.assertLessEqual(len(world.wrong_windows()), 1)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_reports_that_are_carried_out_late_are_the_same(self) -> None:
-        world = await started()
-        world.platform.late_share = 0.5
+        world = await start_fleet()
+        world.platform.late_fraction = 0.5
         await world.serve(15.0)
         holder = world.holder()
         assert holder is not None
@@ -227,46 +229,46 @@
         await world.serve(30.0)
         world.end()
         await asyncio.sleep(13.0)
-        self.check(world)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_writes_without_answers_make_no_second_holder(self) -> None:
-        world = await started()
-        world.lost_share = 0.4
+        world = await start_fleet()
+        world.lost_fraction = 0.4
         await world.serve(30.0)
-        world.lost_share = 0.0
+        world.lost_fraction = 0.0
         await world.serve(20.0)
         world.end()
-        self.check(world)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_an_outage_of_the_store_costs_reports_and_never_doubles_one(self) -> None:
-        world = await started()
+        world = await start_fleet()
         world.store_down = True
         await world.serve(8.0)
         world.store_down = False
         await world.serve(25.0)
         world.end()
-        self.assertLessEqual(len(world.wrong()), 2)
-        self.check(world)
+        self.assertLessEqual(len(world.wrong_windows()), 2)
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_a_clock_that_is_seconds_off_shifts_no_window(self) -> None:
-        world = await started()
-        for node in world.nodes[:2]:
-            node.kill()
-            node.clock_step = 3.0
-            node.start()
+        world = await start_fleet()
+        for host in world.hosts[:2]:
+            host.kill()
+            host.clock_step = 3.0
+            host.start()
         await world.serve(2.0)
         missed_before = int(1_700_000_000.0 + world.now()) // 5 + 1
         await world.serve(40.0)
         world.end()
-        self.assertEqual([item for item in world.wrong() if item[0] > missed_before], [])
-        self.check(world)
+        self.assertEqual([item for item in world.wrong_windows() if item[0] > missed_before], [])
+        self.check_invariants(world)
 
     @in_virtual_time
     async def test_reclaimable_engines_replace_ordinary_ones(self) -> None:
-        world = await started()
+        world = await start_fleet()
         await world.serve(20.0)
         world.end()
         engines = world.platform.engines
@@ -276,7 +278,7 @@
 
     @in_virtual_time
     async def test_new_holder_continues_from_existing_orders(self) -> None:
-        world = await started()
+        world = await start_fleet()
         holder = world.holder()
         assert holder is not None
         before = dict(world.platform.engines)
@@ -298,19 +300,19 @@
         @settings(max_examples=40, deadline=None)
         @given(st.integers(3, 9), st.booleans(), st.lists(acts, min_size=2, max_size=7))
         def play(count: int, fenced: bool, plan: list[tuple[str, bool, int, float]]) -> None:
-            run_virtual(self.play(count, fenced, plan))
+            run_virtual(self.inject_faults(count, fenced, plan))
 
         play()
 
-    async def play(
+    async def inject_faults(
         self, count: int, fenced: bool, plan: list[tuple[str, bool, int, float]]
     ) -> None:
         """Inject faults in sequence and overlapping, then end all of them."""
-        world = await started(count, fenced, seed=len(plan))
+        world = await start_fleet(count, fenced, seed=len(plan))
         running: list[Awaitable[None]] = []
         for kind, on_holder, index, seconds in plan:
-            node = (world.holder() if on_holder else None) or world.nodes[index % count]
-            running.append(asyncio.ensure_future(self.trouble(world, kind, node, seconds)))
+            host = (world.holder() if on_holder else None) or world.hosts[index % count]
+            running.append(asyncio.ensure_future(self.inject_fault(world, kind, host, seconds)))
             await world.serve(seconds * 0.6, rate=10.0)
         await asyncio.gather(*running)
         await world.serve(26.0, rate=10.0)
@@ -318,38 +320,38 @@
         world.end()
         await asyncio.sleep(13.0)
         if fenced:
-            self.check(world)
+            self.check_invariants(world)
         else:
-            self.assertEqual(world.platform.differing, [])
+            self.assertEqual(world.platform.differing_windows, [])
         # Once all faults have ended, the duties are performed again.
-        self.assertEqual([item for item in world.wrong() if item[0] == newest], [])
+        self.assertEqual([item for item in world.wrong_windows() if item[0] == newest], [])
 
-    async def trouble(self, world: World, kind: str, node: Node, seconds: float) -> None:
+    async def inject_fault(self, world: World, kind: str, host: Host, seconds: float) -> None:
         """Inject one fault for some time."""
         if kind == "kill":
-            node.kill()
+            host.kill()
         elif kind == "stop":
-            await node.stop()
+            await host.stop()
         elif kind == "freeze":
-            node.thawed.clear()
+            host.not_frozen.clear()
         elif kind in ("store", "api", "peers"):
-            setattr(node, f"{kind}_cut", True)
+            setattr(host, f"{kind}_cut", True)
         elif kind == "step":
-            node.clock_step = 2.0
+            host.clock_step = 2.0
         elif kind == "lost":
-            world.lost_share = 0.4
+            world.lost_fraction = 0.4
         elif kind == "late":
-            world.platform.late_share = 0.5
+            world.platform.late_fraction = 0.5
         else:
             world.store_down = True
         await asyncio.sleep(seconds)
-        node.thawed.set()
-        node.store_cut = node.api_cut = node.peers_cut = False
-        node.clock_step = 0.0
-        world.lost_share = world.platform.late_share = 0.0
+        host.not_frozen.set()
+        host.store_cut = host.api_cut = host.peers_cut = False
+        host.clock_step = 0.0
+        world.lost_fraction = world.platform.late_fraction = 0.0
         world.store_down = False
-        if not node.alive:
-            node.start()
+        if not host.alive:
+            host.start()
 
 
 class TestRecord(unittest.TestCase):
--- a/tests/duties/test_true_time.py
+++ b/tests/duties/test_true_time.py
@@ -8,10 +8,10 @@
 class Clocks:
     def __init__(self) -> None:
         self.steady = 100.0
-        self.off = 0.0
+        self.error = 0.0
 
     def wall(self) -> float:
-        return 1_000_000.0 + self.steady + self.off
+        return 1_000_000.0 + self.steady + self.error
 
 
 class TestTrueTime(unittest.TestCase):
@@ -21,7 +21,7 @@
 
     def test_step_of_the_local_clock_has_no_effect(self) -> None:
         before = self.time.now()
-        self.clocks.off = 3.0
+        self.clocks.error = 3.0
         self.assertEqual(self.time.now(), before)
 
     def test_a_minority_of_wrong_clocks_does_not_show(self) -> None:
@@ -31,7 +31,7 @@
         self.assertAlmostEqual(self.time.now(), truth, delta=0.002)
 
     def test_process_started_with_a_wrong_clock_follows_the_others(self) -> None:
-        self.clocks.off = 5.0
+        self.clocks.error = 5.0
         time = TrueTime(self.clocks.wall, lambda: self.clocks.steady)
         for member in ("a", "b", "c"):
             time.add_sample(member, 1_000_100.0)
--- a/tests/duties/virtual_duties.py
+++ b/tests/duties/virtual_duties.py
@@ -44,11 +44,11 @@
 
 WINDOW = 5.0
 LEASE = 3.0
-LATE = 10.0
+REPORT_DEADLINE_SECONDS = 10.0
 """Seconds after the close of a window within which its report is due."""
 EPOCH = 1_700_000_000.0
-TRAVEL = 0.002
-DETECT = 1.5
+NETWORK_DELAY_SECONDS = 0.002
+DETECTION_SECONDS = 1.5
 """Seconds until other gateways consider an unresponsive gateway lost."""
 SERVICE = Service("llm", 100, EngineProfile(12, 100_000, 10), ScalingProfile(1, 28, 0.22))
 TEAMS = ("bakery", "kiosk", "pharmacy")
@@ -59,10 +59,10 @@
     """One call that the platform carried out."""
 
     at: float
-    node: str
+    host: str
     subject: str
     token: int
-    taken: bool
+    accepted: bool
 
 
 class FakePlatform:
@@ -72,31 +72,31 @@
         self.fenced = fenced
         self.rng = rng
         self.down = False
-        self.late_share = 0.0
-        self.none_reclaimable: set[str] = set()
+        self.late_fraction = 0.0
+        self.halls_without_reclaimable: set[str] = set()
         self.calls: list[Call] = []
         self.reports: dict[int, dict[str, int]] = {}
         self.reported_at: dict[int, float] = {}
-        self.differing: list[int] = []
+        self.differing_windows: list[int] = []
         self.engines: dict[tuple[str, bool], int] = {}
         self._tokens: dict[str, int] = {}
 
-    def carry_out(self, node: str, subject: str, token: int) -> bool:
+    def carry_out(self, host: str, subject: str, token: int) -> bool:
         """Record a call with a token, and return whether it is accepted."""
         newest = self._tokens.get(subject, 0)
-        taken = token >= newest or not self.fenced
+        accepted = token >= newest or not self.fenced
         self._tokens[subject] = max(newest, token)
-        self.calls.append(Call(asyncio.get_running_loop().time(), node, subject, token, taken))
-        return taken
+        self.calls.append(Call(asyncio.get_running_loop().time(), host, subject, token, accepted))
+        return accepted
 
     def take_report(self, window: int, counts: dict[str, int]) -> None:
         """Store the first report of a window, and record later ones that differ."""
         if self.reports.setdefault(window, counts) != counts:
-            self.differing.append(window)
+            self.differing_windows.append(window)
         self.reported_at.setdefault(window, asyncio.get_running_loop().time())
 
 
-class Node:
+class Host:
     """One host that may be killed, frozen or cut off, and whose clock may step."""
 
     def __init__(self, world: World, index: int) -> None:
@@ -105,8 +105,8 @@
         self.address = f"10.0.0.{index}:7"
         self.alive = False
         self.seen_alive = False
-        self.thawed = asyncio.Event()
-        self.thawed.set()
+        self.not_frozen = asyncio.Event()
+        self.not_frozen.set()
         self.store_cut = False
         self.api_cut = False
         self.peers_cut = False
@@ -122,12 +122,12 @@
         self.time = TrueTime(lambda: EPOCH + world.now() + self.clock_step, world.now)
         self.work = RequestCounter(self.name, WINDOW, self.time, world.now)
         self.lines: list[bytes] = []
-        self.keeper = DutyRunner(
+        self.runner = DutyRunner(
             self.name,
             self.life,
             DutySettings("10.9.9.9:1", LEASE, world.platform.fenced, WINDOW),
-            NodeStore(self),
-            NodePlatform(self),
+            HostStore(self),
+            HostPlatform(self),
             FleetAccess(
                 members=self._members,
                 reads_store=lambda: not self.store_cut and self in world.readers(),
@@ -143,10 +143,10 @@
             EventLog(self.name, self.lines.append, world.now),
             world.now,
         )
-        self.task = asyncio.get_running_loop().create_task(self.keeper.run())
-        asyncio.get_running_loop().call_later(DETECT, self._noticed)
+        self.task = asyncio.get_running_loop().create_task(self.runner.run())
+        asyncio.get_running_loop().call_later(DETECTION_SECONDS, self._update_seen_alive)
 
-    def _noticed(self) -> None:
+    def _update_seen_alive(self) -> None:
         self.seen_alive = self.alive
 
     def kill(self) -> None:
@@ -154,11 +154,11 @@
         self.alive = False
         if self.task is not None:
             self.task.cancel()
-        asyncio.get_running_loop().call_later(DETECT, self._noticed)
+        asyncio.get_running_loop().call_later(DETECTION_SECONDS, self._update_seen_alive)
 
     async def stop(self) -> None:
         """End the process by a planned shutdown."""
-        await self.keeper.hand_over()
+        await self.runner.hand_over()
         self.kill()
 
     def begin_request(self, team: str) -> None:
@@ -166,49 +166,55 @@
         if self.alive:
             self.work.record_start(team)
             window = int((EPOCH + self.world.now()) // WINDOW)
-            counts = self.world.truth.setdefault(window, {})
+            counts = self.world.true_counts.setdefault(window, {})
             counts[team] = counts.get(team, 0) + 1
 
     def _members(self) -> list[MemberState]:
         return [
             MemberState(
-                node.name,
-                node.address,
+                host.name,
+                host.address,
                 "h",
                 "r",
-                node.life,
+                host.life,
                 MemberPhase.ALIVE,
                 contact=StoreContact.READING,
             )
-            for node in self.world.nodes
-            if node is self or (node.seen_alive and not node.peers_cut and not self.peers_cut)
+            for host in self.world.hosts
+            if host is self or (host.seen_alive and not host.peers_cut and not self.peers_cut)
         ]
 
     def _send(self, message: WorkPull, address: str) -> None:
-        target = next(node for node in self.world.nodes if node.address == address)
-        asyncio.get_running_loop().call_later(TRAVEL, self._arrive, message, target)
+        target = next(host for host in self.world.hosts if host.address == address)
+        asyncio.get_running_loop().call_later(
+            NETWORK_DELAY_SECONDS, self._receive_pull, message, target
+        )
 
-    def _arrive(self, message: WorkPull, target: Node) -> None:
-        if not target.hears(self):
+    def _receive_pull(self, message: WorkPull, target: Host) -> None:
+        if not target.receives_from(self):
             return
         target.time.set_time(message.now)
         for page in target.work.pages(message.since):
-            asyncio.get_running_loop().call_later(TRAVEL, self._answered, page, target)
+            asyncio.get_running_loop().call_later(
+                NETWORK_DELAY_SECONDS, self._receive_page, page, target
+            )
 
-    def _answered(self, page: WorkPage, source: Node) -> None:
-        if self.hears(source):
-            self.keeper.receive(page)
+    def _receive_page(self, page: WorkPage, source: Host) -> None:
+        if self.receives_from(source):
+            self.runner.receive(page)
 
-    def hears(self, other: Node) -> bool:
+    def receives_from(self, other: Host) -> bool:
         """Return whether datagrams of another host arrive here."""
-        return self.alive and self.thawed.is_set() and not self.peers_cut and not other.peers_cut
+        return (
+            self.alive and self.not_frozen.is_set() and not self.peers_cut and not other.peers_cut
+        )
 
 
-class NodeStore:
+class HostStore:
     """Access of one host to the store."""
 
-    def __init__(self, node: Node) -> None:
-        self._node = node
+    def __init__(self, host: Host) -> None:
+        self._host = host
 
     async def get(self, kind: str, name: str, stale: bool = False) -> StoredObject | None:
         """Return one object."""
@@ -237,58 +243,58 @@
             raise StoreUnavailableError(str(error.status)) from error
 
     async def _call(self, act: Any) -> Any:
-        node, world = self._node, self._node.world
-        await node.thawed.wait()
-        if world.store_down or node.store_cut:
+        host, world = self._host, self._host.world
+        await host.not_frozen.wait()
+        if world.store_down or host.store_cut:
             await asyncio.sleep(world.rng.choice((0.01, 2.0)))
             raise StoreUnavailableError("down")
-        await asyncio.sleep(TRAVEL)
-        if world.rng.random() < world.lost_share:
-            await self._lose(act)
-        found = act(world.store)
-        await asyncio.sleep(TRAVEL)
-        await node.thawed.wait()
-        return found
-
-    async def _lose(self, act: Any) -> None:
+        await asyncio.sleep(NETWORK_DELAY_SECONDS)
+        if world.rng.random() < world.lost_fraction:
+            await self._lose_answer(act)
+        result = act(world.store)
+        await asyncio.sleep(NETWORK_DELAY_SECONDS)
+        await host.not_frozen.wait()
+        return result
+
+    async def _lose_answer(self, act: Any) -> None:
         """Carry out a call now or seconds later, without ever answering."""
-        world = self._node.world
+        world = self._host.world
         asyncio.get_running_loop().call_later(
-            world.rng.choice((0.0, 3.0)), _quietly, act, world.store
+            world.rng.choice((0.0, 3.0)), _call_ignoring_errors, act, world.store
         )
         await asyncio.sleep(2.0)
         raise StoreUnavailableError("no answer")
 
 
-class NodePlatform:
+class HostPlatform:
     """Access of one host to the calls of the platform."""
 
-    def __init__(self, node: Node) -> None:
-        self._node = node
+    def __init__(self, host: Host) -> None:
+        self._host = host
 
     async def report_usage(
         self, window: int, counts: Mapping[str, int], signature: Signature
     ) -> CallEnd:
         """Report a window."""
-        platform, told = self._node.world.platform, dict(counts)
+        platform, reported = self._host.world.platform, dict(counts)
 
         def act() -> CallEnd:
-            if not platform.carry_out(self._node.name, "usage", signature.token):
+            if not platform.carry_out(self._host.name, "usage", signature.token):
                 return CallEnd.REFUSED
-            platform.take_report(window, told)
+            platform.take_report(window, reported)
             return CallEnd.DONE
 
         return await self._call(act)
 
     async def order(self, order: EngineOrder, signature: Signature) -> CallEnd:
         """Order engines."""
-        platform = self._node.world.platform
+        platform = self._host.world.platform
 
         def act() -> CallEnd:
             subject = f"{order.service}/{order.hall}"
-            if not platform.carry_out(self._node.name, subject, signature.token):
+            if not platform.carry_out(self._host.name, subject, signature.token):
                 return CallEnd.REFUSED
-            if order.reclaimable and order.hall in platform.none_reclaimable:
+            if order.reclaimable and order.hall in platform.halls_without_reclaimable:
                 return CallEnd.REFUSED
             platform.engines[order.hall, order.reclaimable] = order.engines
             return CallEnd.DONE
@@ -296,20 +302,20 @@
         return await self._call(act)
 
     async def _call(self, act: Any) -> CallEnd:
-        node, platform = self._node, self._node.world.platform
-        await node.thawed.wait()
-        if platform.down or node.api_cut:
+        host, platform = self._host, self._host.world.platform
+        await host.not_frozen.wait()
+        if platform.down or host.api_cut:
             await asyncio.sleep(1.5)
             return CallEnd.UNANSWERED
-        await asyncio.sleep(TRAVEL)
-        if platform.rng.random() < platform.late_share:
+        await asyncio.sleep(NETWORK_DELAY_SECONDS)
+        if platform.rng.random() < platform.late_fraction:
             asyncio.get_running_loop().call_later(platform.rng.uniform(2.0, 12.0), act)
             await asyncio.sleep(1.5)
             return CallEnd.UNANSWERED
-        end: CallEnd = act()
-        await asyncio.sleep(TRAVEL)
-        await node.thawed.wait()
-        return end
+        result: CallEnd = act()
+        await asyncio.sleep(NETWORK_DELAY_SECONDS)
+        await host.not_frozen.wait()
+        return result
 
 
 @dataclass
@@ -320,18 +326,18 @@
     fenced: bool = True
     seed: int = 1
     store_down: bool = False
-    lost_share: float = 0.0
-    truth: dict[int, dict[str, int]] = field(default_factory=dict)
+    lost_fraction: float = 0.0
+    true_counts: dict[int, dict[str, int]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         self.store = MetadataStore()
         self.platform = FakePlatform(self.fenced, random.Random(self.seed + 1))
         self.view = UpstreamView()
-        self.stand(14)
-        self.nodes = [Node(self, index) for index in range(self.count)]
+        self.set_engines(14)
+        self.hosts = [Host(self, index) for index in range(self.count)]
 
-    def stand(self, engines: int) -> None:
+    def set_engines(self, engines: int) -> None:
         """Give each of two halls the given number of engines."""
         self.view.replace(
             [
@@ -346,48 +352,50 @@
         """Return the time of the event loop."""
         return asyncio.get_running_loop().time()
 
-    def readers(self) -> list[Node]:
+    def readers(self) -> list[Host]:
         """Return the hosts that read the store, which are the first ones that it serves."""
-        return [node for node in self.nodes if node.alive and not node.store_cut][:4]
+        return [host for host in self.hosts if host.alive and not host.store_cut][:4]
 
-    def holder(self) -> Node | None:
+    def holder(self) -> Host | None:
         """Return the host that considers itself the holder, the one with the newest token."""
-        held = [node for node in self.nodes if node.alive and node.keeper.lease.held]
-        return max(held, key=lambda node: node.keeper.lease.token or 0, default=None)
+        held = [host for host in self.hosts if host.alive and host.runner.lease.is_held]
+        return max(held, key=lambda host: host.runner.lease.token or 0, default=None)
 
     async def serve(self, seconds: float, rate: float = 40.0) -> None:
         """Start requests at random hosts for some time."""
         ends = self.now() + seconds
         while self.now() < ends:
             await asyncio.sleep(1.0 / rate)
-            self.rng.choice(self.nodes).begin_request(self.rng.choice(TEAMS))
+            self.rng.choice(self.hosts).begin_request(self.rng.choice(TEAMS))
 
     def end(self) -> None:
         """Stop all processes."""
-        for node in self.nodes:
-            node.kill()
+        for host in self.hosts:
+            host.kill()
 
     def closed_windows(self) -> list[int]:
         """Return the windows whose reports are due by now, without the first one."""
         newest = int((EPOCH + self.now() - 10.0) // WINDOW)
-        return sorted(window for window in self.truth if window < newest)[1:]
+        return sorted(window for window in self.true_counts if window < newest)[1:]
 
-    def wrong(self) -> list[tuple[int, str]]:
+    def wrong_windows(self) -> list[tuple[int, str]]:
         """Return the windows reported late, never, or with an error of more than a twentieth."""
-        found = []
+        wrong = []
         for window in self.closed_windows():
-            told, truth = self.platform.reports.get(window), self.truth[window]
-            due = (window + 1) * WINDOW + LATE
-            if told is None:
-                found.append((window, "never reported"))
+            reported, true_counts = self.platform.reports.get(window), self.true_counts[window]
+            due = (window + 1) * WINDOW + REPORT_DEADLINE_SECONDS
+            if reported is None:
+                wrong.append((window, "never reported"))
             elif EPOCH + self.platform.reported_at[window] > due:
-                found.append((window, "late"))
-            elif any(abs(told.get(team, 0) - n) > max(1, 0.05 * n) for team, n in truth.items()):
-                found.append((window, f"{told} for {truth}"))
-        return found
+                wrong.append((window, "late"))
+            elif any(
+                abs(reported.get(team, 0) - n) > max(1, 0.05 * n) for team, n in true_counts.items()
+            ):
+                wrong.append((window, f"{reported} for {true_counts}"))
+        return wrong
 
 
-def _quietly(act: Any, store: MetadataStore) -> None:
+def _call_ignoring_errors(act: Any, store: MetadataStore) -> None:
     try:
         act(store)
     except StoreStatusError:
--- a/tests/quarantine/test_fleet.py
+++ b/tests/quarantine/test_fleet.py
@@ -6,7 +6,7 @@
 
 from tests.quarantine.virtual_fleet import COMMON
 from tests.quarantine.virtual_fleet import DEADLY
-from tests.quarantine.virtual_fleet import MATE
+from tests.quarantine.virtual_fleet import SAME_TEAM
 from tests.quarantine.virtual_fleet import TICK
 from tests.quarantine.virtual_fleet import VARYING
 from tests.quarantine.virtual_fleet import VirtualFleet
@@ -24,12 +24,12 @@
     others: float,
     storm: float = 0.0,
     varying: bool = False,
-    mates: float = 0.0,
+    same_team: float = 0.0,
 ) -> None:
     """Send requests at rates per second; half of the upstreams fail every `storm` seconds.
 
-    With `varying` each deadly request has a different body; `mates` are harmless requests of the
-    same team.
+    With `varying` each deadly request has a different body; `same_team` is the rate of harmless
+    requests of the same team.
     """
     due = fleet.now + storm
     number = 0
@@ -38,9 +38,9 @@
             number += 1
             varied = VARYING + f"{fleet.now:.2f}-{number}".encode()
             await fleet.arrive(varied if varying else DEADLY, 0.1)
-        if fleet.rng.random() < mates * TICK:
+        if fleet.rng.random() < same_team * TICK:
             number += 1
-            await fleet.arrive(MATE + f"{fleet.now:.2f}-{number}".encode(), 1.0)
+            await fleet.arrive(SAME_TEAM + f"{fleet.now:.2f}-{number}".encode(), 1.0)
         for _ in range(round(others * TICK + fleet.rng.random() - 0.5)):
             number += 1
             common = fleet.rng.random() < 0.25
@@ -48,7 +48,7 @@
             await fleet.arrive(identity, fleet.rng.uniform(0.2, 2.0))
         if storm and fleet.now >= due:
             due += storm
-            await fleet.end_share(0.5)
+            await fleet.fail_fraction(0.5)
         await fleet.step()
 
 
@@ -64,12 +64,12 @@
                     await run(fleet, 8.0, deadly=3.0, others=50.0)
                     fleet.outcomes.clear()
                     await run(fleet, 10.0, deadly=3.0, others=50.0)
-                    third = fleet.deadly_ends[2]
+                    third = fleet.deadly_failures[2]
                     late = [at for at in fleet.deadly_sent if at > third + CONTACT_SECONDS]
                     self.assertEqual([], late)
-                    self.assertLessEqual(len(fleet.deadly_ends), 5)
-                    self.assertGreaterEqual(fleet.share_whole(b"other"), 0.97)
-                    self.assertGreaterEqual(fleet.share_whole(COMMON), 0.97)
+                    self.assertLessEqual(len(fleet.deadly_failures), 5)
+                    self.assertGreaterEqual(fleet.completed_fraction(b"other"), 0.97)
+                    self.assertGreaterEqual(fleet.completed_fraction(COMMON), 0.97)
 
     async def test_gateway_without_own_observations_holds_after_peer_updates(self) -> None:
         fleet = VirtualFleet(9, 9, 1)
@@ -93,13 +93,13 @@
                     fleet = VirtualFleet(gateways, upstreams, seed, loss=0.1)
                     await run(fleet, 5.0, deadly=0.0, others=50.0)
                     await run(fleet, 1.0, deadly=3.0, others=50.0, varying=True)
-                    while len(fleet.deadly_ends) < 3:
+                    while len(fleet.deadly_failures) < 3:
                         await run(fleet, 0.5, deadly=3.0, others=50.0, varying=True)
                     await run(fleet, 5.0, deadly=3.0, others=50.0, varying=True)
                     fleet.outcomes.clear()
                     await run(fleet, 24.0, deadly=3.0, others=50.0, varying=True)
-                    self.assertGreaterEqual(fleet.share_whole(b"other"), 0.97)
-                    self.assertGreaterEqual(fleet.share_whole(COMMON), 0.97)
+                    self.assertGreaterEqual(fleet.completed_fraction(b"other"), 0.97)
+                    self.assertGreaterEqual(fleet.completed_fraction(COMMON), 0.97)
 
     async def test_a_gateway_that_starts_anew_keeps_apart_what_the_others_do(self) -> None:
         fleet = VirtualFleet(9, 9, 1, loss=0.1)
@@ -115,11 +115,11 @@
         for seed in range(3):
             fleet = VirtualFleet(9, 9, seed, loss=0.1)
             await run(fleet, 5.0, deadly=0.0, others=50.0)
-            await run(fleet, 7.0, deadly=3.0, others=50.0, varying=True, mates=3.0)
+            await run(fleet, 7.0, deadly=3.0, others=50.0, varying=True, same_team=3.0)
             fleet.outcomes.clear()
-            await run(fleet, 24.0, deadly=3.0, others=50.0, varying=True, mates=3.0)
+            await run(fleet, 24.0, deadly=3.0, others=50.0, varying=True, same_team=3.0)
             with self.subTest(seed=seed):
-                self.assertGreaterEqual(fleet.share_whole(MATE), 0.97)
+                self.assertGreaterEqual(fleet.completed_fraction(SAME_TEAM), 0.97)
 
 
 class TestNobodyToBlame(unittest.IsolatedAsyncioTestCase):
@@ -137,11 +137,11 @@
 
     async def test_no_group_is_kept_apart_however_few_its_requests_are(self) -> None:
         for gateways, upstreams in FLEETS:
-            for mates in (0.3, 3.0):
+            for same_team in (0.3, 3.0):
                 fleet = VirtualFleet(gateways, upstreams, 4, loss=0.1)
-                await run(fleet, 5.0, deadly=0.0, others=50.0, mates=mates)
+                await run(fleet, 5.0, deadly=0.0, others=50.0, same_team=same_team)
                 fleet.outcomes.clear()
-                await run(fleet, 30.0, deadly=0.0, others=50.0, storm=3.0, mates=mates)
+                await run(fleet, 30.0, deadly=0.0, others=50.0, storm=3.0, same_team=same_team)
                 isolated = {kind for kind, outcome in fleet.outcomes if outcome == "isolated"}
-                with self.subTest(gateways=gateways, mates=mates):
+                with self.subTest(gateways=gateways, same_team=same_team):
                     self.assertEqual(set(), isolated)
--- a/tests/quarantine/test_hold_store.py
+++ b/tests/quarantine/test_hold_store.py
@@ -22,11 +22,11 @@
     def __init__(self) -> None:
         self.objects: dict[str, Any] = {}
         self.calls: list[str] = []
-        self.away = False
+        self.is_away = False
 
     async def create(self, kind: str, name: str, spec: Any) -> object:
         self.calls.append(f"create {name}")
-        if self.away:
+        if self.is_away:
             raise StoreUnavailableError("away")
         if name in self.objects:
             raise RevisionConflictError
@@ -54,7 +54,7 @@
             lambda: 1.7e9,
         )
 
-    async def pass_time(self, seconds: float) -> None:
+    async def advance(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.5)):
             self.now += 0.5
             await self.holds.reconcile()
@@ -67,7 +67,7 @@
         self.hold()
         await self.holds.reconcile()
         self.assertEqual({}, self.store.objects)
-        await self.pass_time(5.0)
+        await self.advance(5.0)
         self.assertEqual([f"create {ONE.hex()}"], self.store.calls)
         self.assertEqual(["a", "b", "c"], self.store.objects[ONE.hex()]["upstreams"])
 
@@ -75,29 +75,29 @@
         self.hold()
         await self.holds.reconcile()
         self.quarantine.clear(ONE)
-        await self.pass_time(5.0)
+        await self.advance(5.0)
         self.assertEqual([], self.store.calls)
 
     async def test_hold_written_by_another_gateway_is_not_written_again(self) -> None:
         self.store.objects[ONE.hex()] = {}
         self.hold()
-        await self.pass_time(5.0)
+        await self.advance(5.0)
         self.assertEqual(1, len(self.store.calls))
 
     async def test_an_outage_is_tried_again_now_and_then(self) -> None:
-        self.store.away = True
+        self.store.is_away = True
         self.hold()
-        await self.pass_time(30.0)
+        await self.advance(30.0)
         self.assertLess(len(self.store.calls), 30)
-        self.store.away = False
-        await self.pass_time(4.0)
+        self.store.is_away = False
+        await self.advance(4.0)
         self.assertIn(ONE.hex(), self.store.objects)
 
     async def test_what_only_others_saw_is_left_to_them_for_some_seconds(self) -> None:
         self.quarantine.merge_peer_state(SuspectState(ONE, "team", "/p", ("a", "b", "c")), self.now)
-        await self.pass_time(3.5)
+        await self.advance(3.5)
         self.assertEqual([], self.store.calls)
-        await self.pass_time(30.0)
+        await self.advance(30.0)
         self.assertEqual(1, len(self.store.calls))
 
     async def test_hold_is_deleted_after_the_request_completed(self) -> None:
@@ -118,6 +118,6 @@
         }
         self.view.replace(specs, 1)
         self.hold()
-        await self.pass_time(1.5)
+        await self.advance(1.5)
         oldest = (1).to_bytes(16, "big").hex()
         self.assertEqual([f"delete {oldest}", f"create {ONE.hex()}"], self.store.calls)
--- a/tests/quarantine/test_isolation.py
+++ b/tests/quarantine/test_isolation.py
@@ -28,23 +28,23 @@
     def setUp(self) -> None:
         self.isolation = Isolation()
 
-    def end(self, group: Group, *times: float, whole: int = 0) -> None:
+    def record_failures(self, group: Group, *times: float, whole: int = 0) -> None:
         for at in times:
             self.isolation.record_upstream_failure(group, f"u{at}", "gw", whole, at)
 
     def test_three_rounds_of_failures_isolate(self) -> None:
-        self.end(PATH, 1.0, 2.1)
+        self.record_failures(PATH, 1.0, 2.1)
         self.assertFalse(self.isolation.is_isolated((PATH,), 3.0))
-        self.end(PATH, 3.2)
+        self.record_failures(PATH, 3.2)
         self.assertTrue(self.isolation.is_isolated((CALLER, PATH), 3.2))
         self.assertEqual(frozenset(("s",)), self.isolation.isolated_services(3.2))
 
     def test_simultaneous_failures_do_not_isolate(self) -> None:
-        self.end(PATH, 1.0, 1.1, 1.2, 1.3, 1.4, 1.9)
+        self.record_failures(PATH, 1.0, 1.1, 1.2, 1.3, 1.4, 1.9)
         self.assertFalse(self.isolation.is_isolated((PATH,), 2.0))
 
     def test_old_failures_do_not_isolate(self) -> None:
-        self.end(PATH, 1.0, 2.1, 13.0)
+        self.record_failures(PATH, 1.0, 2.1, 13.0)
         self.assertFalse(self.isolation.is_isolated((PATH,), 13.0))
 
     def test_failure_reported_by_several_gateways_counts_once(self) -> None:
@@ -53,11 +53,11 @@
         self.assertFalse(self.isolation.is_isolated((PATH,), 10.0))
 
     def test_group_with_mostly_completed_requests_is_a_bystander(self) -> None:
-        self.end(CALLER, 1.0, 2.1, 3.2, whole=7)
+        self.record_failures(CALLER, 1.0, 2.1, 3.2, whole=7)
         self.assertFalse(self.isolation.is_isolated((CALLER,), 3.2))
 
     def test_completions_reported_later_end_the_isolation(self) -> None:
-        self.end(CALLER, 1.0, 2.1, 3.2)
+        self.record_failures(CALLER, 1.0, 2.1, 3.2)
         self.assertTrue(self.isolation.needs_completion_reports(CALLER, 3.3))
         for number in range(12):
             self.isolation.record_peer_completions(CALLER, f"gw{number}", 4, 3.3)
@@ -76,47 +76,47 @@
         self.assertTrue(self.isolation.is_isolated((CALLER,), at))
 
     def test_many_other_groups_do_not_evict_an_isolated_one(self) -> None:
-        self.end(PATH, 1.0, 2.1, 3.2)
+        self.record_failures(PATH, 1.0, 2.1, 3.2)
         for number in range(600):
-            self.end(Group("s", f"other {number}"), 4.0 + number / 1000)
+            self.record_failures(Group("s", f"other {number}"), 4.0 + number / 1000)
         self.assertTrue(self.isolation.is_isolated((PATH,), 5.0))
 
     def test_smallest_of_nested_groups_is_isolated(self) -> None:
         for at in (1.0, 2.1, 3.2):
-            self.end(PATH, at)
-            self.end(CALLER, at)
+            self.record_failures(PATH, at)
+            self.record_failures(CALLER, at)
         self.assertEqual([PATH], self.isolation.isolated_groups(3.2))
 
     def test_caller_is_isolated_if_no_smaller_group_explains_the_failures(self) -> None:
         for number, at in enumerate((1.0, 2.1, 3.2)):
-            self.end(Group("s", f"bakery on r, /p/{number}"), at)
-            self.end(CALLER, at)
+            self.record_failures(Group("s", f"bakery on r, /p/{number}"), at)
+            self.record_failures(CALLER, at)
         self.assertEqual([CALLER], self.isolation.isolated_groups(3.2))
 
     def test_pause_doubles_with_each_failure_during_isolation(self) -> None:
-        self.end(PATH, 1.0, 2.1, 3.2)
+        self.record_failures(PATH, 1.0, 2.1, 3.2)
         self.assertEqual(0.0, self.isolation.retry_delay((PATH,), 3.3))
         waits = []
         at = 4.0
         for _ in range(7):
-            self.end(PATH, at)
+            self.record_failures(PATH, at)
             waits.append(round(self.isolation.retry_delay((PATH,), at), 3))
             at += waits[-1] + 0.1
         self.assertEqual([1.0, 2.0, 4.0, 8.0, 16.0, 30.0, 30.0], waits)
         self.assertTrue(self.isolation.is_isolated((PATH,), at))
 
     def test_completions_do_not_end_the_isolation_of_a_confirmed_cause(self) -> None:
-        self.end(PATH, 1.0, 2.1, 3.2, 4.0)
+        self.record_failures(PATH, 1.0, 2.1, 3.2, 4.0)
         self.isolation.record_peer_completions(PATH, "gw1", 100, 4.1)
         self.assertTrue(self.isolation.is_isolated((PATH,), 4.2))
 
     def test_isolation_ends_and_its_evidence_expires(self) -> None:
-        self.end(PATH, 1.0, 2.1, 3.2)
+        self.record_failures(PATH, 1.0, 2.1, 3.2)
         self.assertFalse(self.isolation.is_isolated((PATH,), 24.0))
         self.isolation.expire(24.0)
         self.assertTrue(self.isolation.is_empty)
 
     def test_evidence_is_bounded(self) -> None:
         for number in range(5000):
-            self.end(Group("s", f"g{number}"), float(number))
+            self.record_failures(Group("s", f"g{number}"), float(number))
         self.assertLessEqual(len(self.isolation._evidence), 512)
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -19,12 +19,12 @@
     def setUp(self) -> None:
         self.quarantine = Quarantine()
 
-    def end(self, identity: bytes, *upstreams: str, team: str = "team") -> None:
+    def record_failures(self, identity: bytes, *upstreams: str, team: str = "team") -> None:
         for upstream in upstreams:
             self.quarantine.record_upstream_failure(identity, team, "/p", upstream, 5.0)
 
     def test_observed_and_reported_failures_count_together(self) -> None:
-        self.end(ONE, "a")
+        self.record_failures(ONE, "a")
         self.assertTrue(
             self.quarantine.merge_peer_state(SuspectState(ONE, "team", "/p", ("a", "b", "c")), 5.0)
         )
@@ -38,23 +38,23 @@
         self.assertFalse(self.quarantine.is_held(ONE, 5.0))
 
     def test_a_release_counts_also_where_the_ends_are_known(self) -> None:
-        self.end(ONE, "a", "b", "c")
+        self.record_failures(ONE, "a", "b", "c")
         self.quarantine.replace_stored({ONE: HOLD})
         self.quarantine.replace_stored({})
         self.assertFalse(self.quarantine.is_held(ONE, 5.0))
-        self.end(ONE, "a", "b", "c", "d", "e")
+        self.record_failures(ONE, "a", "b", "c", "d", "e")
         self.assertFalse(self.quarantine.is_held(ONE, 5.0))
-        self.end(ONE, "f")
+        self.record_failures(ONE, "f")
         self.assertTrue(self.quarantine.is_held(ONE, 5.0))
 
     def test_view_older_than_the_hold_releases_nothing(self) -> None:
-        self.end(ONE, "a", "b", "c")
+        self.record_failures(ONE, "a", "b", "c")
         self.quarantine.replace_stored({TWO: HOLD})
         self.assertTrue(self.quarantine.is_held(ONE, 5.0))
         self.assertEqual([ONE], self.quarantine.unstored())
 
     def test_cleared_request_is_not_held_and_is_to_leave_the_store(self) -> None:
-        self.end(ONE, "a", "b")
+        self.record_failures(ONE, "a", "b")
         self.quarantine.replace_stored({ONE: HOLD})
         self.quarantine.clear(ONE)
         self.assertFalse(self.quarantine.is_held(ONE, 5.0))
@@ -62,25 +62,25 @@
 
     def test_request_that_completed_here_before_its_failures_is_known_good(self) -> None:
         self.quarantine.record_completion(ONE, 1.0)
-        self.end(ONE, "a", "b", "c", "d")
+        self.record_failures(ONE, "a", "b", "c", "d")
         self.assertFalse(self.quarantine.is_held(ONE, 5.0))
 
     def test_one_team_cannot_push_the_suspects_of_another_out(self) -> None:
-        self.end(ONE, "a", "b", "c", team="other")
+        self.record_failures(ONE, "a", "b", "c", team="other")
         for number in range(5000):
-            self.end(number.to_bytes(16, "big"), "a", "b", "c", team="many")
+            self.record_failures(number.to_bytes(16, "big"), "a", "b", "c", team="many")
         self.assertTrue(self.quarantine.is_held(ONE, 5.0))
         self.assertLess(len(self.quarantine), 300)
 
     def test_held_request_is_evicted_after_mere_suspects(self) -> None:
-        self.end(ONE, "a", "b", "c")
+        self.record_failures(ONE, "a", "b", "c")
         for number in range(1000):
-            self.end(number.to_bytes(16, "big"), "a")
+            self.record_failures(number.to_bytes(16, "big"), "a")
         self.assertTrue(self.quarantine.is_held(ONE, 5.0))
 
     def test_only_cleared_suspects_expire(self) -> None:
-        self.end(ONE, "a")
-        self.end(TWO, "a")
+        self.record_failures(ONE, "a")
+        self.record_failures(TWO, "a")
         self.quarantine.clear(ONE)
         self.quarantine.expire(20.0)
         self.assertEqual(2, len(self.quarantine))
@@ -89,7 +89,7 @@
         self.assertEqual(1, self.quarantine.failure_count(TWO))
 
     def test_cleared_request_is_not_held_again_while_still_in_the_store(self) -> None:
-        self.end(ONE, "a", "b", "c")
+        self.record_failures(ONE, "a", "b", "c")
         self.quarantine.replace_stored({ONE: HOLD})
         self.quarantine.clear(ONE)
         self.quarantine.expire(1000.0)
@@ -105,7 +105,7 @@
 
     def test_quarantine_is_empty_until_something_is_suspected(self) -> None:
         self.assertTrue(self.quarantine.is_empty)
-        self.end(ONE, "a")
+        self.record_failures(ONE, "a")
         self.assertFalse(self.quarantine.is_empty)
 
 
--- a/tests/quarantine/virtual_fleet.py
+++ b/tests/quarantine/virtual_fleet.py
@@ -36,11 +36,11 @@
 COMMON = b"common----------"
 VARYING = b"varying"
 """Identity prefix of requests of one caller that each crash an upstream with different bytes."""
-_BACK_SECONDS = 2.0
+_RESTART_SECONDS = 2.0
 _FIRST_EVENT_SECONDS = 0.25
 """Running time in seconds after which an interrupted request has begun to respond."""
 SERVICE = Service("s", 50, None)
-MATE = b"mate"
+SAME_TEAM = b"mate"
 """Identity prefix of harmless requests of the same team on another path."""
 
 
@@ -94,37 +94,39 @@
         self._numbers = itertools.count(1)
         self._view = UpstreamView()
         self._running: dict[str, list[Arrival]] = {}
-        self._back: list[float] = []
+        self._restarts: list[float] = []
         self._revision = 0
         self.quarantines = [Quarantine() for _ in range(gateways)]
         self.isolations = [Isolation() for _ in range(gateways)]
         self.wards = [
             IsolationPolicy(item, self._view, lambda: self.now) for item in self.isolations
         ]
-        self.keepers = [self._keeper(number) for number in range(gateways)]
+        self.keepers = [self._new_keeper(number) for number in range(gateways)]
         self.alive = set(range(gateways))
         self.outcomes: Counter[tuple[bytes, str]] = Counter()
         """Number of arrivals by identity (or "other") and outcome."""
-        self.deadly_ends: list[float] = []
+        self.deadly_failures: list[float] = []
         self.deadly_sent: list[float] = []
         self.datagrams = 0
         for _ in range(upstreams):
             self._start_upstream()
         self._list_upstreams()
 
-    def _keeper(self, number: int) -> QuarantineKeeper:
+    def _new_keeper(self, number: int) -> QuarantineKeeper:
         log, rng = EventLog("gw", lambda _: None), random.Random(number)
 
-        def tell(news: SuspectNews | ClearedNews | GroupNews) -> None:
-            self._tell(number, news)
+        def broadcast(update: SuspectNews | ClearedNews | GroupNews) -> None:
+            self._broadcast(number, update)
 
         return QuarantineKeeper(
             f"gw-{number}",
             self.quarantines[number],
-            GroupKeeper(f"gw-{number}", self.isolations[number], tell, log, rng, lambda: self.now),
+            GroupKeeper(
+                f"gw-{number}", self.isolations[number], broadcast, log, rng, lambda: self.now
+            ),
             self._view,
             self._has_ended,
-            tell,
+            broadcast,
             log,
             rng,
             lambda: self.now,
@@ -135,16 +137,16 @@
         self.quarantines[number] = Quarantine()
         self.isolations[number] = Isolation()
         self.wards[number] = IsolationPolicy(self.isolations[number], self._view, lambda: self.now)
-        self.keepers[number] = self._keeper(number)
+        self.keepers[number] = self._new_keeper(number)
 
     async def _has_ended(self, upstream: Upstream) -> bool:
         return upstream.id not in self._running
 
-    def _tell(self, sender: int, news: SuspectNews | ClearedNews | GroupNews) -> None:
+    def _broadcast(self, sender: int, update: SuspectNews | ClearedNews | GroupNews) -> None:
         for number in self.alive - {sender}:
             self.datagrams += 1
             if self.rng.random() >= self._loss:
-                self.keepers[number].receive(news)
+                self.keepers[number].receive(update)
 
     def _start_upstream(self) -> None:
         self._running[f"u{next(self._numbers)}"] = []
@@ -154,38 +156,38 @@
         found = [Upstream(name, "s", "10.0.0.1:1", "z", 8, False) for name in self._running]
         self._view.replace(found, self._revision)
 
-    async def end_upstream(self, name: str) -> None:
+    async def fail_upstream(self, name: str) -> None:
         """End an upstream with all requests that run there; another starts some seconds later."""
         lost = self._running.pop(name)
-        self._back.append(self.now + _BACK_SECONDS)
+        self._restarts.append(self.now + _RESTART_SECONDS)
         for arrival in lost:
-            await self._cut(arrival, name)
+            await self._interrupt(arrival, name)
 
-    async def end_share(self, share: float) -> None:
+    async def fail_fraction(self, fraction: float) -> None:
         """End a fraction of the upstreams at once."""
         names = list(self._running)
-        lost = {name: self._running.pop(name) for name in names[: round(share * len(names))]}
-        self._back += [self.now + _BACK_SECONDS] * len(lost)
+        lost = {name: self._running.pop(name) for name in names[: round(fraction * len(names))]}
+        self._restarts += [self.now + _RESTART_SECONDS] * len(lost)
         for name, arrivals in lost.items():
             for arrival in arrivals:
-                await self._cut(arrival, name)
+                await self._interrupt(arrival, name)
 
     async def arrive(self, identity: bytes, seconds: float) -> None:
         """Send a request that runs for `seconds` to a random gateway."""
         gateway = self.rng.choice(sorted(self.alive))
-        kind = next((kind for kind in (VARYING, MATE) if identity.startswith(kind)), b"p")
+        kind = next((kind for kind in (VARYING, SAME_TEAM) if identity.startswith(kind)), b"p")
         team = "team" if kind == b"p" else "caller"
         await self._send(Arrival(identity, gateway, seconds, team, b"/" + kind))
 
     async def _send(self, arrival: Arrival) -> None:
         keeper = self.keepers[arrival.gateway]
         if keeper.holds(arrival.as_request()):
-            return self._note(arrival, "held")
+            return self._count_outcome(arrival, "held")
         if not self._running:
-            return self._note(arrival, "none")
+            return self._count_outcome(arrival, "none")
         name = self._choose(arrival)
         if name is None:
-            return self._note(arrival, "isolated")
+            return self._count_outcome(arrival, "isolated")
         arrival.sent += 1
         if is_deadly(arrival.identity):
             self.deadly_sent.append(self.now)
@@ -207,7 +209,7 @@
         choice = Choice(upstream, 0.0, 0.0, 0, 0, 0.0, running=running)
         return name if ward.admits(request, choice) else None
 
-    async def _cut(self, arrival: Arrival, upstream: str) -> None:
+    async def _interrupt(self, arrival: Arrival, upstream: str) -> None:
         keeper = self.keepers[arrival.gateway]
         found = self._view.find(upstream)
         if arrival.gateway not in self.alive or found is None:
@@ -219,23 +221,23 @@
             arrival.ends = 0.5
             await self._send(arrival)
         else:
-            self._note(arrival, "cut")
+            self._count_outcome(arrival, "cut")
 
-    def _note(self, arrival: Arrival, outcome: str) -> None:
+    def _count_outcome(self, arrival: Arrival, outcome: str) -> None:
         kind = b"other"
         if arrival.identity in (DEADLY, COMMON):
             kind = arrival.identity
         elif is_deadly(arrival.identity):
             kind = VARYING
-        elif arrival.identity.startswith(MATE):
-            kind = MATE
+        elif arrival.identity.startswith(SAME_TEAM):
+            kind = SAME_TEAM
         self.outcomes[kind, outcome] += 1
 
     async def step(self) -> None:
         """Advance the time by one tick."""
         self.now += TICK
-        while self._back and self._back[0] <= self.now:
-            self._back.pop(0)
+        while self._restarts and self._restarts[0] <= self.now:
+            self._restarts.pop(0)
             self._start_upstream()
             self._list_upstreams()
         for name in list(self._running):
@@ -247,16 +249,16 @@
     async def _finish_at(self, name: str) -> None:
         done = [item for item in self._running.get(name, []) if item.ends <= self.now]
         if any(is_deadly(item.identity) for item in done):
-            self.deadly_ends.append(self.now)
-            await self.end_upstream(name)
+            self.deadly_failures.append(self.now)
+            await self.fail_upstream(name)
             self._list_upstreams()
             return
         for arrival in done:
             self._running[name].remove(arrival)
             self.keepers[arrival.gateway].note_whole(arrival.as_request())
-            self._note(arrival, "whole")
+            self._count_outcome(arrival, "whole")
 
-    def share_whole(self, kind: bytes) -> float:
+    def completed_fraction(self, kind: bytes) -> float:
         """Return the fraction of the arrivals of a kind that completed."""
         total = sum(count for (of, _), count in self.outcomes.items() if of == kind)
         return self.outcomes[kind, "whole"] / max(1, total)
--- a/tests/requests/test_suspension.py
+++ b/tests/requests/test_suspension.py
@@ -91,11 +91,11 @@
             lease = Lease("one", 1, options, clocks.clock())
             other = Lease("two", 1, options, clocks.clock())
             clocks.run(10.0)
-            lease.take(7, clocks.clock())
+            lease.acquire(7, clocks.clock())
             other.observe(7, clocks.clock())
             clocks.run(before)
             clocks.suspend(seconds)
-            taken = other.may_take(_record_of_one(), clocks.clock())
+            taken = other.may_acquire(_record_of_one(), clocks.clock())
             with self.subTest(seconds=seconds, before=before):
                 self.assertFalse(taken and lease.may_act(clocks.clock()))
 
