--- a/tests/duties/virtual_duties.py
+++ b/tests/duties/virtual_duties.py
@@ -111,20 +111,20 @@
         self.api_cut = False
         self.peers_cut = False
         self.clock_step = 0.0
-        self.life = 0
+        self.incarnation = 0
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Start a new process."""
         world = self.world
-        self.life += 1
+        self.incarnation += 1
         self.alive = True
         self.time = TrueTime(lambda: EPOCH + world.now() + self.clock_step, world.now)
         self.work = RequestCounter(self.name, WINDOW, self.time, world.now)
         self.lines: list[bytes] = []
         self.runner = DutyRunner(
             self.name,
-            self.life,
+            self.incarnation,
             DutySettings("10.9.9.9:1", LEASE, world.platform.fenced, WINDOW),
             HostStore(self),
             HostPlatform(self),
@@ -176,7 +176,7 @@
                 host.address,
                 "h",
                 "r",
-                host.life,
+                host.incarnation,
                 MemberPhase.ALIVE,
                 contact=StoreContact.READING,
             )
--- a/tests/quarantine/test_isolation.py
+++ b/tests/quarantine/test_isolation.py
@@ -28,9 +28,9 @@
     def setUp(self) -> None:
         self.isolation = Isolation()
 
-    def record_failures(self, group: Group, *times: float, whole: int = 0) -> None:
+    def record_failures(self, group: Group, *times: float, completions: int = 0) -> None:
         for at in times:
-            self.isolation.record_upstream_failure(group, f"u{at}", "gw", whole, at)
+            self.isolation.record_upstream_failure(group, f"u{at}", "gw", completions, at)
 
     def test_three_rounds_of_failures_isolate(self) -> None:
         self.record_failures(PATH, 1.0, 2.1)
@@ -53,7 +53,7 @@
         self.assertFalse(self.isolation.is_isolated((PATH,), 10.0))
 
     def test_group_with_mostly_completed_requests_is_a_bystander(self) -> None:
-        self.record_failures(CALLER, 1.0, 2.1, 3.2, whole=7)
+        self.record_failures(CALLER, 1.0, 2.1, 3.2, completions=7)
         self.assertFalse(self.isolation.is_isolated((CALLER,), 3.2))
 
     def test_completions_reported_later_end_the_isolation(self) -> None:
