--- a/src/lotushill/duties/call_health.py
+++ b/src/lotushill/duties/call_health.py
@@ -1,37 +1,42 @@
-"""Whether the platform answers the holder of the duties. Pure, with the clock passed in."""
+"""Tracks whether the platform answers the holder of the duties; the time is an argument."""
 
 from __future__ import annotations
 
 from lotushill.platform.duty_api import CallEnd
 
 _FAILING_SECONDS = 4.0
-_MOST_UNANSWERED = 3
-"""After so many calls and so long without an answer the holder hands over: others may reach the
-platform. Single calls go without an answer while orders are carried out late."""
+_MAX_UNANSWERED = 3
+"""Number of unanswered calls after which the holder hands over.
+
+`_FAILING_SECONDS` must have passed as well. Another gateway may reach the platform. Single calls
+remain unanswered while the platform carries out orders late.
+"""
 
 
 class CallHealth:
-    """Counts the calls without an answer since the last one that had one."""
+    """Counts the unanswered calls since the last answered one."""
 
     def __init__(self) -> None:
-        self._since: float | None = None
+        self._failing_since: float | None = None
         self._unanswered = 0
 
-    def forget(self) -> None:
-        """Begin anew."""
-        self._since = None
+    def reset(self) -> None:
+        """Reset the count of unanswered calls."""
+        self._failing_since = None
         self._unanswered = 0
 
-    def note(self, end: CallEnd, began: float) -> None:
-        """Note how a call ended that began at some moment."""
-        if end in (CallEnd.DONE, CallEnd.REFUSED):
-            self.forget()
+    def record(self, result: CallEnd, started_at: float) -> None:
+        """Record the result of a call that started at `started_at`."""
+        if result in (CallEnd.DONE, CallEnd.REFUSED):
+            self.reset()
             return
         self._unanswered += 1
-        if self._since is None:
-            self._since = began
-
-    def silent(self, now: float) -> bool:
-        """Return whether the platform cannot be reached from here, as far as is known."""
-        failing = self._since is not None and now - self._since > _FAILING_SECONDS
-        return failing and self._unanswered >= _MOST_UNANSWERED
+        if self._failing_since is None:
+            self._failing_since = started_at
+
+    def is_unresponsive(self, now: float) -> bool:
+        """Return whether the platform appears to be unreachable from this gateway."""
+        is_failing = (
+            self._failing_since is not None and now - self._failing_since > _FAILING_SECONDS
+        )
+        return is_failing and self._unanswered >= _MAX_UNANSWERED
--- a/src/lotushill/duties/duty_runner.py
+++ b/src/lotushill/duties/duty_runner.py
@@ -1,4 +1,4 @@
-"""Does the duties while this gateway holds them, and takes them over where nobody does."""
+"""Performs the duties while this gateway holds them, and takes them over if no gateway does."""
 
 from __future__ import annotations
 
@@ -28,36 +28,37 @@
 
 
 class DutyRunner:
-    """One gateway's part in the duties."""
+    """Performs the part of one gateway in the duties."""
 
     def __init__(
         self,
         name: str,
-        life: int,
+        incarnation: int,
         settings: DutySettings,
         store: Store,
         platform: Platform,
-        sight: FleetAccess,
+        fleet: FleetAccess,
         time: TrueTime,
         log: EventLog,
         clock: Callable[[], float],
     ) -> None:
-        """Serve as process `life` of the gateway `name`."""
+        """Create the part of process `incarnation` of the gateway `name`."""
         self._settings = settings
         self._clock = clock
         options = LeaseOptions(settings.lease_seconds, settings.fenced)
-        self.lease = Lease(name, life, options, clock())
+        self.lease = Lease(name, incarnation, options, clock())
         health = CallHealth()
         self._ownership = Ownership(
-            self.lease, store, sight, health, log, clock, settings.lease_seconds
+            self.lease, store, fleet, health, log, clock, settings.lease_seconds
         )
-        self.usage = UsageDuty(settings, self._ownership, platform, sight, time, health, log, clock)
-        self._orders = OrderDuty(self._ownership, platform, sight, health, log, clock)
+        self.usage = UsageDuty(settings, self._ownership, platform, fleet, time, health, log, clock)
+        self._orders = OrderDuty(self._ownership, platform, fleet, health, log, clock)
 
     async def run(self) -> None:
-        """Do what falls to this gateway, for ever.
+        """Perform the duties of this gateway until cancelled.
 
-        Several loops, so that a silent store or platform keeps none of the others.
+        Several loops run side by side, so that an unresponsive store or platform delays only its
+        own loop.
         """
         async with anyio.create_task_group() as group:
             group.start_soon(
@@ -73,22 +74,22 @@
                 group.start_soon(self._orders.run)
 
     async def hand_over(self) -> None:
-        """Let another gateway hold the duties from now on, since this one stops."""
+        """Hand the duties over to another gateway because this one stops."""
         await self._ownership.retire()
 
     def receive(self, page: WorkPage) -> None:
-        """Take in what a gateway counted and has to do."""
+        """Merge the request counts and the demand that a gateway reports."""
         self.usage.receive(page)
         self._orders.receive(page)
 
     def status(self) -> dict[str, object]:
-        """Return what operators ask of the duties."""
+        """Return the state of the duties for operators."""
         record = self._ownership.record
         return {
             "holder": record.holder if record else None,
-            "held_here": self.lease.held,
+            "held_here": self.lease.is_held,
             "token": self.lease.token,
-            "seconds": round(self._clock() - self.lease.since, 1),
+            "seconds": round(self._clock() - self.lease.last_transition_at, 1),
             "settled_window": record.settled if record else None,
             "unreported": sorted(record.reports) if record else [],
             "orders": {
@@ -98,7 +99,7 @@
         }
 
     def _first_record(self) -> DutyRecord:
-        """Return the record of a fleet that never had one: windows count from now on."""
+        """Return the first record of a fleet, which counts the windows from now on."""
         return DutyRecord("", 0, settled=self.usage.newest_window() - 1)
 
     def _begin(self, former: DutyRecord) -> None:
--- a/src/lotushill/duties/request_counter.py
+++ b/src/lotushill/duties/request_counter.py
@@ -1,4 +1,4 @@
-"""What one gateway counts of its requests for the holder of the duties."""
+"""Counts of the requests of one gateway, for the holder of the duties."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     from lotushill.duties.true_time import TrueTime
 
 _WINDOWS_KEPT = 16
-"""Windows that a holder may still ask for."""
-_MOST_COUNTS = 40
-"""Counts told in one datagram."""
+"""Number of windows that are kept because a holder may still request them."""
+_MAX_COUNTS_PER_PAGE = 40
+"""Limit of the counts in one datagram."""
 
 
 class RequestCounter:
-    """Requests that began at an upstream, by team and window; and those in progress."""
+    """Counts requests started at an upstream by team and window, and requests in progress."""
 
     def __init__(
         self, name: str, window_seconds: float, time: TrueTime, clock: Callable[[], float]
     ) -> None:
-        """Count for the gateway `name`; a window is so many seconds of true time."""
+        """Count for the gateway `name`; a window lasts `window_seconds` of true time."""
         self._name = name
         self._window_seconds = window_seconds
         self._time = time
@@ -42,26 +42,26 @@
         return int(self._time.now() // self._window_seconds)
 
     def record_start(self, team: str) -> None:
-        """Count a request that began at an upstream now."""
+        """Count a request that starts at an upstream now."""
         if not team:
             return
         window = self.window()
         if window not in self._windows:
-            self._forget(window)
+            self._discard_old(window)
         self._windows[window][team] += 1
 
     def increment_running(self, service: str) -> None:
-        """Count in a request that is to be served."""
+        """Increment the number of requests in progress for a service."""
         self._running[service] += 1
 
     def decrement_running(self, service: str) -> None:
-        """Count out a request."""
+        """Decrement the number of requests in progress for a service."""
         self._running[service] -= 1
 
     def pages(self, since: int) -> Iterator[WorkPage]:
-        """Yield what is known of the windows from `since` on, in parts that fit a datagram.
+        """Yield the counts of the windows from `since` on, in pages that fit a datagram.
 
-        Counts only ever rise, so that pages may be lost, come twice or in any order.
+        Counts only increase, so pages may be lost, duplicated or reordered.
         """
         counts = [
             TeamCount(window, team, count)
@@ -72,15 +72,15 @@
         demand = tuple(
             ServiceDemand(service, running) for service, running in self._running.items()
         )
-        for at in range(0, max(1, len(counts)), _MOST_COUNTS):
+        for start in range(0, max(1, len(counts)), _MAX_COUNTS_PER_PAGE):
             yield WorkPage(
                 self._name,
                 age=self._clock() - self._started,
                 wall=self._time.wall(),
-                counts=tuple(counts[at : at + _MOST_COUNTS]),
-                demand=demand if at == 0 else (),
+                counts=tuple(counts[start : start + _MAX_COUNTS_PER_PAGE]),
+                demand=demand if start == 0 else (),
             )
 
-    def _forget(self, newest: int) -> None:
+    def _discard_old(self, newest: int) -> None:
         for window in [item for item in self._windows if item <= newest - _WINDOWS_KEPT]:
             del self._windows[window]
--- a/src/lotushill/duties/usage_duty.py
+++ b/src/lotushill/duties/usage_duty.py
@@ -1,4 +1,4 @@
-"""Reports of usage: counts of all gateways, fixed once for each window, recorded, then sent."""
+"""Usage reports: counts of all gateways, settled once for each window, recorded, then sent."""
 
 from __future__ import annotations
 
@@ -29,30 +29,38 @@
     from lotushill.links.messages import WorkPage
     from lotushill.process.settings import DutySettings
 
-_PULL_SECONDS = 0.3
-"""Between two looks at the counts of all gateways: what one counts in it is lost with its host."""
-_PULLS_A_SECOND = 100.0
-"""Of all gateways; in a larger fleet the looks are further apart."""
-_AFTER_CLOSE_SECONDS = 0.4
-"""After a window has closed all gateways are asked at once: what is recorded and reported early is
-not lost with the holder."""
-_LONGEST_SETTLE_SECONDS = 5.0
-"""A gateway that is silent is waited for no longer: half of the time in which a report is due."""
-_FIRST_WINDOWS = 3
-"""Windows back that a gateway asks for which has not read a record yet."""
-_RETRY_SECONDS = 0.5
-_MOST_SILENT_SHOWN = 5
+_PULL_INTERVAL_SECONDS = 0.3
+"""Interval in seconds at which the counts of all gateways are collected.
+
+What a gateway counts within it is lost together with its host.
+"""
+_MAX_PULLS_PER_SECOND = 100.0
+"""Limit of the requests for counts per second; a larger fleet is collected less often."""
+_CLOSE_DELAY_SECONDS = 0.4
+"""Seconds after the close of a window at which the counts of all gateways are collected.
+
+Counts that are recorded and reported early are not lost together with the holder.
+"""
+_MAX_SETTLE_SECONDS = 5.0
+"""Seconds after the close of a window until it is settled without unresponsive gateways.
+
+This is half of the time within which a report is due.
+"""
+_INITIAL_WINDOWS = 3
+"""Number of past windows that a gateway collects before it has read a record."""
+_RETRY_INTERVAL_SECONDS = 0.5
+_MAX_SILENT_LOGGED = 5
 
 
 class UsageDuty:
-    """Collects, fixes and reports while the duties are held; a candidate collects as well."""
+    """Collects, settles and reports usage while the duties are held; candidates also collect."""
 
     def __init__(
         self,
         settings: DutySettings,
         ownership: Ownership,
         platform: Platform,
-        sight: FleetAccess,
+        fleet: FleetAccess,
         time: TrueTime,
         health: CallHealth,
         log: EventLog,
@@ -61,38 +69,38 @@
         self._settings = settings
         self._ownership = ownership
         self._platform = platform
-        self._sight = sight
+        self._fleet = fleet
         self._time = time
         self._health = health
         self._log = log
         self._clock = clock
         self._ledger = UsageLedger()
         self._recorded: WindowCounts = {}
-        """Windows that are to be recorded with the next write, and those that were."""
+        """Counts of settled windows, both recorded and to be recorded with the next write."""
         self._reported: set[int] = set()
-        """Windows whose reports the platform has taken."""
+        """Windows whose reports the platform has accepted."""
 
     def receive(self, page: WorkPage) -> None:
-        """Take in what a gateway counted."""
+        """Merge the counts that a gateway reports."""
         self._time.add_sample(page.sender, page.wall)
-        self._ledger.take(page, self._time.now())
+        self._ledger.merge_page(page, self._time.now())
 
     def newest_window(self) -> int:
         """Return the number of the window that is open now."""
         return int(self._time.now() // self._settings.report_window_seconds)
 
     def open_windows(self) -> set[int]:
-        """Return the windows of which counts are remembered."""
+        """Return the windows for which counts are stored."""
         return self._ledger.open_windows(-1)
 
     def begin(self, former: DutyRecord) -> None:
-        """Go on from the record of the former holder."""
+        """Continue from the record of the former holder."""
         self._recorded = {}
         self._reported = set()
-        self._ledger.go_on_from(former.checkpoint)
+        self._ledger.restore(former.checkpoint)
 
     def add_to(self, record: DutyRecord) -> DutyRecord:
-        """Return the record with what was fixed and reported since."""
+        """Return the record with the windows that were settled and reported since."""
         pending = {
             window: counts
             for window, counts in {**record.reports, **self._recorded}.items()
@@ -103,63 +111,61 @@
         return replace(record, settled=settled, reports=pending, checkpoint=checkpoint)
 
     def has_unrecorded(self) -> bool:
-        """Return whether windows were fixed that no record holds yet."""
+        """Return whether there are settled windows that no record contains yet."""
         record = self._ownership.record
         settled = record.settled if record else -1
         return any(window > settled for window in self._recorded)
 
-    # Counts
-
     async def collect(self) -> None:
-        """Ask all gateways for their counts, for ever."""
+        """Request the counts of all gateways, until cancelled."""
         own = self._ownership.lease.name
         while True:
-            if not self._ownership.collects():
-                await anyio.sleep(_PULL_SECONDS)
+            if not self._ownership.is_collector():
+                await anyio.sleep(_PULL_INTERVAL_SECONDS)
                 continue
-            members = list(self._sight.members())
-            since = self._first_of_interest()
-            for page in self._sight.own_pages(since):
+            members = list(self._fleet.members())
+            since = self._first_pulled_window()
+            for page in self._fleet.own_pages(since):
                 self.receive(page)
             for member in members:
                 if member.name != own:
-                    self._sight.send_pull(WorkPull(own, since, self._time.now()), member.address)
-            self._settle(members)
+                    self._fleet.send_pull(WorkPull(own, since, self._time.now()), member.address)
+            self._settle_closed(members)
             await anyio.sleep(self._until_next_pull(len(members)))
 
-    def _first_of_interest(self) -> int:
+    def _first_pulled_window(self) -> int:
         record = self._ownership.record
-        return record.settled + 1 if record else self.newest_window() - _FIRST_WINDOWS
+        return record.settled + 1 if record else self.newest_window() - _INITIAL_WINDOWS
 
     def _until_next_pull(self, members: int) -> float:
-        """Return the seconds until all are asked again: soon after a window has closed."""
-        usual = max(_PULL_SECONDS, members / _PULLS_A_SECOND)
+        """Return the seconds until the next collection, which follows the close of a window."""
+        interval = max(_PULL_INTERVAL_SECONDS, members / _MAX_PULLS_PER_SECOND)
         seconds = self._settings.report_window_seconds
         into_window = self._time.now() % seconds
-        after_close = (_AFTER_CLOSE_SECONDS - into_window) % seconds
-        return min(usual, max(TICK_SECONDS, after_close))
+        after_close = (_CLOSE_DELAY_SECONDS - into_window) % seconds
+        return min(interval, max(TICK_SECONDS, after_close))
 
-    def _settle(self, members: list[MemberState]) -> None:
-        """Fix the counts of windows that have closed and that all gateways told of since."""
+    def _settle_closed(self, members: list[MemberState]) -> None:
+        """Settle the closed windows for which all gateways have reported since the close."""
         record = self._ownership.record
         if record is None:
             return
-        # Also where another gateway holds the duties: a candidate would keep every window for ever.
-        self._ledger.forget(record.settled)
-        if not self._ownership.lease.held or not self._settings.reports_usage:
+        # A candidate also discards settled windows; otherwise it would store every window forever.
+        self._ledger.discard_settled(record.settled)
+        if not self._ownership.lease.is_held or not self._settings.reports_usage:
             return
         first = max((record.settled, *self._recorded)) + 1
         for window in range(first, self.newest_window()):
             closed = (window + 1) * self._settings.report_window_seconds
-            silent = [item.name for item in members if not self._has_told(item.name, closed)]
-            if silent and self._time.now() - closed < _LONGEST_SETTLE_SECONDS:
+            silent = [item.name for item in members if not self._has_reported(item.name, closed)]
+            if silent and self._time.now() - closed < _MAX_SETTLE_SECONDS:
                 return
-            self._fix(window, silent)
+            self._settle_window(window, silent)
 
-    def _has_told(self, member: str, closed: float) -> bool:
-        return self._ledger.heard_after(member, closed + TICK_SECONDS)
+    def _has_reported(self, member: str, closed: float) -> bool:
+        return self._ledger.has_reported_after(member, closed + TICK_SECONDS)
 
-    def _fix(self, window: int, silent: list[str]) -> None:
+    def _settle_window(self, window: int, silent: list[str]) -> None:
         counts = self._ledger.total(window)
         self._recorded[window] = counts
         self._log.note(
@@ -167,35 +173,33 @@
             window=window,
             requests=sum(counts.values()),
             teams=len(counts),
-            silent=silent[:_MOST_SILENT_SHOWN],
+            silent=silent[:_MAX_SILENT_LOGGED],
         )
 
-    # Reports
-
     async def report(self) -> None:
-        """Send what is recorded and not yet reported, for ever."""
+        """Send the recorded windows that are not reported yet, until cancelled."""
         while True:
             await anyio.sleep(TICK_SECONDS)
             record = self._ownership.record
             if record is None or not self._ownership.lease.may_act(self._clock()):
                 continue
             for window in sorted(record.reports.keys() - self._reported):
-                if not await self._report_one(window, record.reports[window]):
+                if not await self._report_window(window, record.reports[window]):
                     break
 
-    async def _report_one(self, window: int, counts: Counts) -> bool:
+    async def _report_window(self, window: int, counts: Counts) -> bool:
         lease = self._ownership.lease
         token = lease.token
         if token is None or not lease.may_act(self._clock()):
             return False
-        began = self._clock()
-        end = await self._platform.report_usage(window, counts, Signature(lease.name, token))
-        self._health.note(end, began)
-        self._log.note("usage.reported", window=window, end=end.value, token=token)
-        if end is CallEnd.DONE:
+        started_at = self._clock()
+        result = await self._platform.report_usage(window, counts, Signature(lease.name, token))
+        self._health.record(result, started_at)
+        self._log.note("usage.reported", window=window, end=result.value, token=token)
+        if result is CallEnd.DONE:
             self._reported.add(window)
             return True
-        if end is CallEnd.REFUSED and lease.token == token:
+        if result is CallEnd.REFUSED and lease.token == token:
             self._ownership.lose("a report was refused")
-        await anyio.sleep(_RETRY_SECONDS)
+        await anyio.sleep(_RETRY_INTERVAL_SECONDS)
         return False
--- a/src/lotushill/quarantine/failure_watch.py
+++ b/src/lotushill/quarantine/failure_watch.py
@@ -1,4 +1,4 @@
-"""Requests that were cut, while it is not known whether their upstream ended."""
+"""Interrupted requests for which it is not yet known whether their upstream failed."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 
     from lotushill.quarantine.group import Group
 
-_SECONDS = 12.0
-"""An upstream that ended without a word is listed for three of its heartbeats, which are some
-1.2 s, and then three more where the store was away."""
-_MOST = 1024
+_WATCH_SECONDS = 12.0
+"""Seconds for which an interrupted request is watched.
+
+An upstream that failed unannounced stays listed for three of its heartbeats, which are about 1.2 s
+each, and for three more if the store was unavailable.
+"""
+_MAX_REQUESTS = 1024
 
 
 class Listing(Enum):
-    """What the list of upstreams says of one."""
+    """Status of an upstream in the list of upstreams."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -27,38 +30,46 @@
 
 @dataclass(frozen=True)
 class InterruptedRequest:
-    """One request that lost its upstream."""
+    """One request that lost the connection to its upstream."""
 
     identity: bytes
     team: str
     path: str
     upstream: str
     groups: tuple[Group, ...] = ()
-    """Its groups where no event of it had come, so that it may be what its upstream ended by."""
+    """The groups of the request if no event of its response had arrived, otherwise empty.
+
+    Only a request without any event can be the cause of the upstream failure.
+    """
 
 
 class FailureWatch:
-    """Keeps cuts until their upstream is seen to be gone, for a bounded time."""
+    """Stores interrupted requests for a bounded time, until their upstream is no longer listed."""
 
     def __init__(self) -> None:
-        self._cuts: list[tuple[InterruptedRequest, float]] = []
+        self._interrupted: list[tuple[InterruptedRequest, float]] = []
 
-    def add(self, cut: InterruptedRequest, now: float) -> None:
-        """Note a cut by an upstream that may have ended."""
-        self._cuts.append((cut, now + _SECONDS))
-        del self._cuts[:-_MOST]
+    def add(self, request: InterruptedRequest, now: float) -> None:
+        """Store a request that was interrupted by an upstream that may have failed."""
+        self._interrupted.append((request, now + _WATCH_SECONDS))
+        del self._interrupted[:-_MAX_REQUESTS]
 
     def pop_failed(
         self, state_of: Callable[[str], Listing], now: float
     ) -> list[InterruptedRequest]:
-        """Return the cuts whose upstream is gone without a word, and forget planned ends."""
-        if not self._cuts:
+        """Remove and return the requests whose upstream failed unannounced.
+
+        Requests interrupted by a planned shutdown are dropped.
+        """
+        if not self._interrupted:
             return []
-        states = {cut.upstream: state_of(cut.upstream) for cut, _ in self._cuts}
-        ended = [cut for cut, _ in self._cuts if states[cut.upstream] is Listing.GONE]
-        self._cuts = [
-            (cut, until)
-            for cut, until in self._cuts
-            if now < until and states[cut.upstream] is Listing.SERVING
+        states = {request.upstream: state_of(request.upstream) for request, _ in self._interrupted}
+        failed = [
+            request for request, _ in self._interrupted if states[request.upstream] is Listing.GONE
+        ]
+        self._interrupted = [
+            (request, until)
+            for request, until in self._interrupted
+            if now < until and states[request.upstream] is Listing.SERVING
         ]
-        return ended
+        return failed
--- a/src/lotushill/quarantine/hold_store.py
+++ b/src/lotushill/quarantine/hold_store.py
@@ -1,4 +1,4 @@
-"""Writes what is held to the platform's store, and takes away what was cleared."""
+"""Writes held requests to the platform's store, and removes those that were cleared."""
 
 from __future__ import annotations
 
@@ -21,33 +21,46 @@
     from lotushill.quarantine.hold_view import HoldView
     from lotushill.quarantine.quarantine import Quarantine
 
-_SETTLED_SECONDS = 0.5
-"""A hold is written when it has stood for so long: until then others may speak for the request."""
-_TAKEN_OVER_SECONDS = (4.0, 30.0)
-"""After a moment between these a gateway writes what others saw, if they did not: hundreds that
-write at once would take all writes that the store allows."""
-_AWAY_SECONDS = (1.0, 3.0)
-"""Between two tries while the store is away."""
-_MOST_STORED = 512
-"""Objects of the kind; beyond it the oldest one of the same team goes, else the oldest one."""
-_MOST_CALLS = 4
-"""At one look, so that many suspects at once take little of the store's rates."""
+_WRITE_DELAY_SECONDS = 0.5
+"""Seconds for which a hold must persist before it is written.
+
+Within this time other gateways may report that the request is known good.
+"""
+_PEER_WRITE_DELAY_SECONDS = (4.0, 30.0)
+"""Range of the random delay after which a gateway writes a hold that only others observed.
+
+It does so only if they have not written it. Hundreds of gateways that write at the same moment
+would use up the write rate of the store.
+"""
+_RETRY_DELAY_SECONDS = (1.0, 3.0)
+"""Range of the random delay between two attempts while the store is unavailable."""
+_MAX_STORED = 512
+"""Limit of the objects of this kind in the store.
+
+At the limit the oldest object of the same team is deleted, or the oldest of all if the team has
+none.
+"""
+_MAX_CALLS = 4
+"""Limit of the writes, and of the deletions, per reconciliation.
+
+Many simultaneous suspects thus use only a small part of the request rate of the store.
+"""
 
 
 class Store(Protocol):
-    """The calls that are made."""
+    """The store operations that this module uses."""
 
     async def create(self, kind: str, name: str, spec: Any) -> object:
-        """Make an object; raise RevisionConflictError if it is there."""
+        """Create an object; raise RevisionConflictError if it exists."""
         ...
 
     async def delete(self, kind: str, name: str) -> None:
-        """Remove an object."""
+        """Delete an object."""
         ...
 
 
 class HoldStore:
-    """Brings the store in line with a quarantine, a few calls at a time."""
+    """Reconciles the store with a quarantine, a few calls at a time."""
 
     def __init__(
         self,
@@ -67,58 +80,58 @@
         self._clock = clock
         self._wall = wall
         self._due: dict[bytes, float] = {}
-        """Holds that are not in the store, by when this gateway writes them."""
-        self._away_until = float("-inf")
+        """Holds that are not in the store, with the time at which this gateway writes them."""
+        self._retry_at = float("-inf")
         self._written: set[bytes] = set()
-        """Those written here that the view has not shown yet."""
+        """Holds written by this gateway that the view does not contain yet."""
 
     async def reconcile(self) -> None:
-        """Write what has settled, and remove what was cleared; an outage is tried again."""
+        """Write holds that are due and delete those that were cleared; retry after an outage."""
         now = self._clock()
-        if now < self._away_until:
+        if now < self._retry_at:
             return
-        due = self._settled(now)
-        vain = self._quarantine.stored_but_cleared()
+        due = self._due_identities(now)
+        cleared = self._quarantine.stored_but_cleared()
         try:
-            for identity in due[:_MOST_CALLS]:
+            for identity in due[:_MAX_CALLS]:
                 await self._write(identity)
-            for identity in vain[:_MOST_CALLS]:
+            for identity in cleared[:_MAX_CALLS]:
                 await self._store.delete(KIND, identity.hex())
         except StoreError as error:
-            self._away_until = self._clock() + self._rng.uniform(*_AWAY_SECONDS)
+            self._retry_at = self._clock() + self._rng.uniform(*_RETRY_DELAY_SECONDS)
             self._log.note("quarantine.unwritten", error=repr(error))
 
-    def _settled(self, now: float) -> list[bytes]:
+    def _due_identities(self, now: float) -> list[bytes]:
         unstored = set(self._quarantine.unstored())
-        self._due = {item: self._due.get(item) or self._when(item, now) for item in unstored}
+        self._due = {item: self._due.get(item) or self._write_time(item, now) for item in unstored}
         self._written &= unstored
         return [item for item, due in self._due.items() if now >= due and item not in self._written]
 
-    def _when(self, identity: bytes, now: float) -> float:
+    def _write_time(self, identity: bytes, now: float) -> float:
         suspect = self._quarantine.find(identity)
-        if suspect is not None and suspect.seen_here:
-            return now + _SETTLED_SECONDS
-        return now + self._rng.uniform(*_TAKEN_OVER_SECONDS)
+        if suspect is not None and suspect.observed_locally:
+            return now + _WRITE_DELAY_SECONDS
+        return now + self._rng.uniform(*_PEER_WRITE_DELAY_SECONDS)
 
     async def _write(self, identity: bytes) -> None:
         suspect = self._quarantine.find(identity)
         if suspect is None:
             return
-        await self._make_room(suspect.team)
+        await self._evict_if_full(suspect.team)
         hold = StoredHold(
             suspect.team, suspect.path, tuple(suspect.failed_upstreams), round(self._wall(), 3)
         )
         try:
             await self._store.create(KIND, identity.hex(), hold.to_spec())
         except RevisionConflictError:
-            # Another gateway that saw the same ends was first.
+            # Another gateway that observed the same failures has written the hold.
             pass
         self._written.add(identity)
 
-    async def _make_room(self, team: str) -> None:
+    async def _evict_if_full(self, team: str) -> None:
         holds = self._view.holds
-        if len(holds) < _MOST_STORED:
+        if len(holds) < _MAX_STORED:
             return
-        same = [item for item, hold in holds.items() if hold.team == team]
-        oldest = min(same or holds, key=lambda item: holds[item].since)
+        of_same_team = [item for item, hold in holds.items() if hold.team == team]
+        oldest = min(of_same_team or holds, key=lambda item: holds[item].since)
         await self._store.delete(KIND, oldest.hex())
--- a/src/lotushill/quarantine/quarantine.py
+++ b/src/lotushill/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from upstreams, since upstreams end under them."""
+"""Decides which requests are withheld from upstreams because upstreams fail during them."""
 
 from __future__ import annotations
 
@@ -16,77 +16,73 @@
     from lotushill.links.quarantine_messages import SuspectState
     from lotushill.quarantine.stored_hold import StoredHold
 
-_MOST_SUSPECTS = 2048
-_MOST_OF_TEAM = 256
-"""So that the requests of one team cannot push those of another out."""
+_MAX_SUSPECTS = 2048
+_MAX_SUSPECTS_PER_TEAM = 256
+"""Limit of the suspects of one team, so that one team cannot evict the suspects of another."""
 
 
 class Quarantine:
-    """Suspects by identity, from own sight, from peers and from the store; the time is passed in.
+    """Suspects by identity, from local observation, peers and the store; the time is an argument.
 
-    A request that ends its upstream ends all that runs there. One caller that repeats it would take
-    most of a service from all others, whichever gateways it calls.
+    A request that crashes its upstream ends all requests that run there. One caller that repeats
+    it would take most of a service from all others, whichever gateways it calls.
     """
 
     def __init__(self) -> None:
         self._suspects: OrderedDict[bytes, Suspect] = OrderedDict()
-        self._of_team: Counter[str] = Counter()
+        self._counts_by_team: Counter[str] = Counter()
         self._stored: dict[bytes, StoredHold] = {}
-        self._whole = CompletedRequests()
+        self._completed = CompletedRequests()
 
     def __len__(self) -> int:
         return len(self._suspects)
 
     @property
     def is_empty(self) -> bool:
-        """Return whether nothing is suspected, so that no identity has to be worked out."""
+        """Return whether nothing is suspected, so that no identity has to be computed."""
         return not self._suspects and not self._stored
 
     def is_held(self, identity: bytes, now: float) -> bool:
-        """Return whether a request is to reach no upstream."""
+        """Return whether a request must not reach any upstream."""
         suspect = self._suspects.get(identity)
-        if suspect is not None and suspect.held(now):
+        if suspect is not None and suspect.is_held(now):
             return True
-        return identity in self._stored and (suspect is None or not suspect.proven)
+        return identity in self._stored and (suspect is None or not suspect.known_good)
 
     def failure_count(self, identity: bytes) -> int:
-        """Return how many upstreams ended under a request since it was last cleared."""
+        """Return the number of upstreams that failed during a request since it was last cleared."""
         suspect = self._suspects.get(identity)
         return len(suspect.failed_upstreams) if suspect is not None else 0
 
     def find(self, identity: bytes) -> Suspect | None:
-        """Return a suspect."""
+        """Return the suspect with an identity, or None if there is none."""
         return self._suspects.get(identity)
 
     def held_identities(self, now: float) -> list[bytes]:
         """Return the identities of all requests that are held."""
         return [item for item in {*self._suspects, *self._stored} if self.is_held(item, now)]
 
-    # Against a request
-
     def record_upstream_failure(
         self, identity: bytes, team: str, path: str, upstream: str, now: float
     ) -> bool:
-        """Note that an upstream ended while it had the request; return whether that is news."""
-        suspect = self._suspect(identity, team, path, now)
-        suspect.seen_here = True
-        return suspect.add(upstream, now)
+        """Record that an upstream failed while it had the request; return whether that is new."""
+        suspect = self._get_or_add(identity, team, path, now)
+        suspect.observed_locally = True
+        return suspect.add_failure(upstream, now)
 
     def merge_peer_state(self, state: SuspectState, now: float) -> bool:
-        """Take what a peer holds against a request; return whether any of it is news."""
-        suspect = self._suspect(state.identity, state.team, state.path, now)
-        news = [suspect.add(upstream, now) for upstream in state.upstreams]
-        return any(news)
-
-    # For a request
+        """Merge the evidence of a peer against a request; return whether any of it is new."""
+        suspect = self._get_or_add(state.identity, state.team, state.path, now)
+        is_new = [suspect.add_failure(upstream, now) for upstream in state.upstreams]
+        return any(is_new)
 
     def record_completion(self, identity: bytes, now: float) -> bool:
-        """Note a whole answer; return whether it clears a suspect."""
-        self._whole.note(identity, now)
+        """Record that a request completed; return whether this clears a suspect."""
+        self._completed.add(identity, now)
         return self.clear(identity)
 
     def clear(self, identity: bytes) -> bool:
-        """Note that a request was answered whole since; return whether it was suspected."""
+        """Record that a request completed after its failures; return whether it was suspected."""
         suspect = self._suspects.get(identity)
         if suspect is None or not suspect.failed_upstreams:
             return False
@@ -94,80 +90,78 @@
         return True
 
     def mark_known_good(self, identity: bytes, now: float) -> None:
-        """Note that a request was answered whole before upstreams ended under it."""
+        """Record that a request completed before any upstream failed during it."""
         suspect = self._suspects.get(identity)
         if suspect is not None:
-            suspect.prove(now)
+            suspect.mark_known_good(now)
 
     def has_completed(self, identity: bytes, now: float) -> bool:
-        """Return whether a request was answered whole here, which the others may not know."""
-        return self._whole.knows(identity, now)
-
-    # The store
+        """Return whether a request completed at this gateway, which peers may not know."""
+        return self._completed.has_completed(identity, now)
 
     def replace_stored(self, holds: Mapping[bytes, StoredHold]) -> list[bytes]:
-        """Take what the store has; return what was released there since."""
+        """Replace the stored holds; return the identities released in the store since then."""
         released = [identity for identity in self._stored if identity not in holds]
         for identity in released:
             suspect = self._suspects.get(identity)
-            if suspect is not None and not suspect.proven:
+            if suspect is not None and not suspect.known_good:
                 suspect.release()
         self._stored = dict(holds)
         return released
 
     def unstored(self) -> list[bytes]:
-        """Return what is held for good and is not in the store yet."""
+        """Return the identities that are held indefinitely and are not in the store yet."""
         return [
             identity
             for identity, suspect in self._suspects.items()
-            if suspect.held_for_good and identity not in self._stored
+            if suspect.is_held_indefinitely and identity not in self._stored
         ]
 
     def stored_but_cleared(self) -> list[bytes]:
-        """Return what is in the store though it was answered whole."""
+        """Return the identities that are in the store although the request completed."""
         return [
             identity
             for identity in self._stored
-            if (suspect := self._suspects.get(identity)) is not None and suspect.proven
+            if (suspect := self._suspects.get(identity)) is not None and suspect.known_good
         ]
 
-    # Bounds
-
     def expire(self, now: float) -> None:
-        """Forget those against whom nothing has stood for a while, late news included."""
-        old = [
+        """Remove the suspects that have had no evidence, late updates included, for some time."""
+        expired = [
             identity
             for identity, suspect in self._suspects.items()
             if suspect.is_clear(now) and identity not in self._stored
         ]
-        for identity in old:
-            self._forget(identity)
-
-    def _suspect(self, identity: bytes, team: str, path: str, now: float) -> Suspect:
-        found = self._suspects.get(identity)
-        if found is None:
-            self._make_room(team)
-            found = self._suspects[identity] = Suspect(team, path)
-            found.proven = self._whole.knows(identity, now)
-            self._of_team[team] += 1
+        for identity in expired:
+            self._remove(identity)
+
+    def _get_or_add(self, identity: bytes, team: str, path: str, now: float) -> Suspect:
+        suspect = self._suspects.get(identity)
+        if suspect is None:
+            self._evict_if_full(team)
+            suspect = self._suspects[identity] = Suspect(team, path)
+            suspect.known_good = self._completed.has_completed(identity, now)
+            self._counts_by_team[team] += 1
         self._suspects.move_to_end(identity)
-        return found
-
-    def _make_room(self, team: str) -> None:
-        if self._of_team[team] >= _MOST_OF_TEAM:
-            same = [item for item, suspect in self._suspects.items() if suspect.team == team]
-            self._forget_one(same)
-        elif len(self._suspects) >= _MOST_SUSPECTS:
-            self._forget_one(self._suspects)
-
-    def _forget_one(self, candidates: Iterable[bytes]) -> None:
-        """Forget who was heard of longest ago; one that is held goes after all that are not."""
-        among = list(candidates)
-        loose = (item for item in among if not self._suspects[item].held_for_good)
-        self._forget(next(loose, among[0]))
-
-    def _forget(self, identity: bytes) -> None:
+        return suspect
+
+    def _evict_if_full(self, team: str) -> None:
+        if self._counts_by_team[team] >= _MAX_SUSPECTS_PER_TEAM:
+            of_same_team = [
+                item for item, suspect in self._suspects.items() if suspect.team == team
+            ]
+            self._evict_one(of_same_team)
+        elif len(self._suspects) >= _MAX_SUSPECTS:
+            self._evict_one(self._suspects)
+
+    def _evict_one(self, candidates: Iterable[bytes]) -> None:
+        """Evict the least recently updated suspect; held ones only if there are no others."""
+        identities = list(candidates)
+        evictable = (item for item in identities if not self._suspects[item].is_held_indefinitely)
+        self._remove(next(evictable, identities[0]))
+
+    def _remove(self, identity: bytes) -> None:
         team = self._suspects.pop(identity).team
-        self._of_team[team] -= 1
-        if not self._of_team[team]:
-            del self._of_team[team]
+        self._counts_by_team[team] -= 1
+        if not self._counts_by_team[team]:
+            del self._counts_by_team[team]
--- a/src/lotushill/quarantine/repeat_schedule.py
+++ b/src/lotushill/quarantine/repeat_schedule.py
@@ -1,4 +1,4 @@
-"""When news are told once more, since datagrams are lost. Pure."""
+"""Schedule of repeated updates, which compensates for lost datagrams; without side effects."""
 
 from __future__ import annotations
 
@@ -8,43 +8,46 @@
 
 Item = TypeVar("Item")
 
-_REPEAT_SECONDS = (0.0, 0.15, 0.5, 1.2)
-"""After the event. With one datagram in ten lost, one gateway in 10,000 misses all of them."""
+_REPEAT_DELAYS_SECONDS = (0.0, 0.15, 0.5, 1.2)
+"""Delays in seconds after the event at which an update is sent.
+
+If one datagram in ten is lost, one gateway in 10,000 misses all four.
+"""
 
 
 class RepeatSchedule(Generic[Item]):
-    """Items that are told some times each."""
+    """Items that are each sent at several times."""
 
     def __init__(self) -> None:
         self._times: dict[Item, list[float]] = {}
-        """The further times at which each one is told."""
+        """The remaining times at which each item is sent."""
 
     def __contains__(self, item: Item) -> bool:
         return item in self._times
 
     def next_due(self) -> float:
-        """Return when something is due, infinity for never."""
+        """Return the time at which the next item is due, or infinity if there is none."""
         return min((times[0] for times in self._times.values()), default=math.inf)
 
     def schedule_repeats(self, item: Item, now: float) -> None:
-        """Tell of an item, now and some times more."""
-        self._times[item] = [now + after for after in _REPEAT_SECONDS]
+        """Schedule an item for now and for several repetitions."""
+        self._times[item] = [now + delay for delay in _REPEAT_DELAYS_SECONDS]
 
     def schedule_once(self, item: Item, when: float) -> None:
-        """Tell of an item once."""
+        """Schedule an item once, at a given time."""
         self._times[item] = [when]
 
     def cancel(self, item: Item) -> None:
-        """Tell of an item no more."""
+        """Cancel all remaining sends of an item."""
         self._times.pop(item, None)
 
     def pop_due(self, now: float) -> list[Item]:
-        """Return what is due, which is told by then."""
+        """Return the items that are due, and remove the times that have passed."""
         due = [item for item, times in self._times.items() if times[0] <= now]
         for item in due:
-            left = [at for at in self._times[item] if at > now]
-            if left:
-                self._times[item] = left
+            remaining = [at for at in self._times[item] if at > now]
+            if remaining:
+                self._times[item] = remaining
             else:
                 del self._times[item]
         return due
--- a/src/lotushill/quarantine/update_schedule.py
+++ b/src/lotushill/quarantine/update_schedule.py
@@ -1,4 +1,4 @@
-"""When what is known for and against requests is told to the other gateways."""
+"""Schedule of the updates on suspects and cleared requests to the other gateways."""
 
 from __future__ import annotations
 
@@ -11,15 +11,21 @@
 if TYPE_CHECKING:
     import random
 
-_HELD_REPEAT_SECONDS = 2.0
-"""Between two tellings of what is held and not in the store, so that joiners hear of it."""
+_HELD_REPEAT_INTERVAL_SECONDS = 2.0
+"""Interval in seconds at which a hold that is not in the store is sent again.
+
+Gateways that join receive it this way.
+"""
 KNOWN_GOOD_JITTER_SECONDS = 0.2
-"""Of gateways that all know a request as sound, the first to speak within it speaks for all."""
+"""Range in seconds of the random delay before a known good request is reported.
+
+If several gateways know the request as good, the first report within this time stands for all.
+"""
 
 
 @dataclass(frozen=True)
 class DueUpdates:
-    """The identities that are to be told now."""
+    """The identities that are due to be sent."""
 
     suspects: tuple[bytes, ...]
     cleared_since: tuple[bytes, ...]
@@ -27,54 +33,54 @@
 
 
 class UpdateSchedule:
-    """Keeps what is due; pure, with the time passed in."""
+    """Schedules updates without side effects; the time is an argument."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._suspects: RepeatSchedule[bytes] = RepeatSchedule()
         self._cleared: set[bytes] = set()
-        self._proofs: dict[bytes, float] = {}
+        self._known_good: dict[bytes, float] = {}
 
     def next_due(self) -> float:
-        """Return when something is due, infinity for never."""
+        """Return the time at which the next update is due, or infinity if there is none."""
         if self._cleared:
             return -math.inf
-        return min([self._suspects.next_due(), *self._proofs.values()])
+        return min([self._suspects.next_due(), *self._known_good.values()])
 
     def schedule_failure(self, identity: bytes, now: float) -> None:
-        """Tell of an end under a request, now and some times more."""
+        """Schedule the update on an upstream failure for now and for several repetitions."""
         self._suspects.schedule_repeats(identity, now)
 
     def schedule_held_repeat(self, identity: bytes, now: float) -> None:
-        """Go on telling of a request that is held and not in the store."""
+        """Schedule another update on a request that is held and not in the store."""
         if identity not in self._suspects:
-            self._suspects.schedule_once(identity, now + _HELD_REPEAT_SECONDS)
+            self._suspects.schedule_once(identity, now + _HELD_REPEAT_INTERVAL_SECONDS)
 
     def schedule_cleared(self, identity: bytes) -> None:
-        """Tell that a request was answered whole since, and no more against it."""
+        """Schedule the update that a request completed after its failures; cancel all others."""
         self._suspects.cancel(identity)
-        self._proofs.pop(identity, None)
+        self._known_good.pop(identity, None)
         self._cleared.add(identity)
 
     def schedule_known_good(self, identity: bytes, now: float) -> None:
-        """Tell that a request was answered whole before, unless another one does first."""
-        if identity not in self._proofs:
-            self._proofs[identity] = now + self._rng.uniform(0.0, KNOWN_GOOD_JITTER_SECONDS)
+        """Schedule the update that a request is known good, unless a peer sends it first."""
+        if identity not in self._known_good:
+            self._known_good[identity] = now + self._rng.uniform(0.0, KNOWN_GOOD_JITTER_SECONDS)
 
     def cancel_known_good(self, identity: bytes) -> None:
-        """Note that another one has told the proof."""
-        self._proofs.pop(identity, None)
+        """Cancel the update that a request is known good, since a peer has sent it."""
+        self._known_good.pop(identity, None)
 
     def cancel(self, identity: bytes) -> None:
-        """Tell no more against a request that another one has cleared."""
+        """Cancel all updates against a request that a peer has cleared."""
         self._suspects.cancel(identity)
-        self._proofs.pop(identity, None)
+        self._known_good.pop(identity, None)
 
     def pop_due(self, now: float) -> DueUpdates:
-        """Return what is due, which is told by then."""
+        """Return the updates that are due, and remove them from the schedule."""
         suspects = self._suspects.pop_due(now)
-        proofs = [item for item, at in self._proofs.items() if at <= now]
-        for identity in proofs:
-            del self._proofs[identity]
+        known_good = [item for item, at in self._known_good.items() if at <= now]
+        for identity in known_good:
+            del self._known_good[identity]
         cleared, self._cleared = self._cleared, set()
-        return DueUpdates(tuple(suspects), tuple(cleared), tuple(proofs))
+        return DueUpdates(tuple(suspects), tuple(cleared), tuple(known_good))
--- a/tests/quarantine/test_hold_store.py
+++ b/tests/quarantine/test_hold_store.py
@@ -1,4 +1,4 @@
-"""How holds come to the platform's store and go from it."""
+"""Tests that holds are written to the platform's store and deleted from it."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     def __init__(self) -> None:
         self.objects: dict[str, Any] = {}
         self.calls: list[str] = []
-        self.away = False
+        self.is_away = False
 
     async def create(self, kind: str, name: str, spec: Any) -> object:
         self.calls.append(f"create {name}")
-        if self.away:
+        if self.is_away:
             raise StoreUnavailableError("away")
         if name in self.objects:
             raise RevisionConflictError
@@ -54,7 +54,7 @@
             lambda: 1.7e9,
         )
 
-    async def pass_time(self, seconds: float) -> None:
+    async def advance(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.5)):
             self.now += 0.5
             await self.holds.reconcile()
@@ -63,44 +63,44 @@
         for upstream in "abc":
             self.quarantine.record_upstream_failure(identity, "team", "/p", upstream, self.now)
 
-    async def test_a_hold_is_written_once_it_has_stood_for_half_a_second(self) -> None:
+    async def test_hold_is_written_after_half_a_second(self) -> None:
         self.hold()
         await self.holds.reconcile()
         self.assertEqual({}, self.store.objects)
-        await self.pass_time(5.0)
+        await self.advance(5.0)
         self.assertEqual([f"create {ONE.hex()}"], self.store.calls)
         self.assertEqual(["a", "b", "c"], self.store.objects[ONE.hex()]["upstreams"])
 
-    async def test_one_that_is_cleared_before_is_never_written(self) -> None:
+    async def test_hold_cleared_before_its_write_is_never_written(self) -> None:
         self.hold()
         await self.holds.reconcile()
         self.quarantine.clear(ONE)
-        await self.pass_time(5.0)
+        await self.advance(5.0)
         self.assertEqual([], self.store.calls)
 
-    async def test_one_that_another_gateway_wrote_is_not_written_again(self) -> None:
+    async def test_hold_written_by_another_gateway_is_not_written_again(self) -> None:
         self.store.objects[ONE.hex()] = {}
         self.hold()
-        await self.pass_time(5.0)
+        await self.advance(5.0)
         self.assertEqual(1, len(self.store.calls))
 
     async def test_an_outage_is_tried_again_now_and_then(self) -> None:
-        self.store.away = True
+        self.store.is_away = True
         self.hold()
-        await self.pass_time(30.0)
+        await self.advance(30.0)
         self.assertLess(len(self.store.calls), 30)
-        self.store.away = False
-        await self.pass_time(4.0)
+        self.store.is_away = False
+        await self.advance(4.0)
         self.assertIn(ONE.hex(), self.store.objects)
 
     async def test_what_only_others_saw_is_left_to_them_for_some_seconds(self) -> None:
         self.quarantine.merge_peer_state(SuspectState(ONE, "team", "/p", ("a", "b", "c")), self.now)
-        await self.pass_time(3.5)
+        await self.advance(3.5)
         self.assertEqual([], self.store.calls)
-        await self.pass_time(30.0)
+        await self.advance(30.0)
         self.assertEqual(1, len(self.store.calls))
 
-    async def test_what_was_answered_whole_is_taken_away(self) -> None:
+    async def test_hold_is_deleted_after_the_request_completed(self) -> None:
         hold = StoredHold("team", "/p", (), 1.7e9)
         self.store.objects[ONE.hex()] = hold.to_spec()
         self.quarantine.replace_stored({ONE: hold})
@@ -118,6 +118,6 @@
         }
         self.view.replace(specs, 1)
         self.hold()
-        await self.pass_time(1.5)
+        await self.advance(1.5)
         oldest = (1).to_bytes(16, "big").hex()
         self.assertEqual([f"delete {oldest}", f"create {ONE.hex()}"], self.store.calls)
