--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -31,13 +31,13 @@
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.limits.team_limits import TeamLimits
 from lotushill.links.http_server import HttpServer
-from lotushill.membership.schedulers import SMALL_FLEET
-from lotushill.peering.leaving_keeper import LeavingKeeper
+from lotushill.membership.schedulers import MAX_SMALL_FLEET_GATEWAYS
+from lotushill.peering.leaving_gossip import LeavingGossip
 from lotushill.peering.peers import PeerHooks
 from lotushill.peering.peers import Peers
 from lotushill.peering.reader_role import ReaderRole
 from lotushill.peering.registration import Registration
-from lotushill.peering.return_keeper import ReturnKeeper
+from lotushill.peering.return_gossip import ReturnGossip
 from lotushill.placement.fleet import Fleet
 from lotushill.platform import request_head
 from lotushill.platform.object_store import ObjectStore
@@ -119,21 +119,21 @@
             self.fleet,
             clocks.now,
             self._service_of,
-            self.peers.tell_load,
-            self.peers.is_near,
+            self.peers.publish_load,
+            self.peers.is_same_hall,
         )
-        self.returns = ReturnKeeper(
+        self.returns = ReturnGossip(
             settings.name,
             self.fleet.shedding.returns,
             self.peers.schedulers,
             self.peers.send_message,
             clocks.now,
         )
-        self._start_of_life = StartupPhase(SMALL_FLEET, clocks.now())
+        self._start_of_life = StartupPhase(MAX_SMALL_FLEET_GATEWAYS, clocks.now())
         self.rests = Cooldowns()
         stated = StatedLimits()
         counting = LimitOwners(
-            self.peers.membership, self.peers.schedulers, lambda: self.registration.listed
+            self.peers.membership, self.peers.schedulers, lambda: self.registration.registered_count
         )
         self.limits = FleetLimits(
             self.views.upstreams,
@@ -141,7 +141,7 @@
             stated,
             PermitRanks(self.fleet, stated, self.views.upstreams.of),
             self.peers.send_message,
-            self.peers.tell_all,
+            self.peers.broadcast,
             self.log,
             rng,
             clocks.now,
@@ -157,7 +157,7 @@
             ),
             self._service_named,
             self.views.upstreams.of,
-            self.peers.tell_schedulers,
+            self.peers.send_to_schedulers,
             clocks.now,
             self.log,
         )
@@ -194,14 +194,14 @@
         self.suspension = SuspensionWatch(
             clocks.now, time.monotonic, self._on_woke, self.views.confirmed
         )
-        self.leaving = LeavingKeeper(
-            settings.name, self.views.upstreams, self.peers.tell_all, self.log, rng, clocks.now
+        self.leaving = LeavingGossip(
+            settings.name, self.views.upstreams, self.peers.broadcast, self.log, rng, clocks.now
         )
         self.gate = UpstreamGate(
             self.views.upstreams,
             self.rests,
             self.limits,
-            self.leaving.note,
+            self.leaving.note_answer,
             self.log,
             clocks.now,
         )
@@ -213,7 +213,7 @@
             self.shared_load,
             self.views.upstreams,
             ward,
-            self.quarantine.keeper,
+            self.quarantine.gossip,
             self.budgets,
             stated.rate,
             self.metrics,
@@ -236,7 +236,7 @@
                 isolation_policy=ward,
                 mover=self.mover,
                 budgets=self.budgets,
-                quarantine=self.quarantine.keeper,
+                quarantine=self.quarantine.gossip,
                 work=self.duties.work,
                 log=self.log,
                 metrics=self.metrics,
@@ -291,7 +291,7 @@
         group.start_soon(self.side_tasks.run, "registration", self.registration.run)
         group.start_soon(self.side_tasks.run, "waiting line", self.waiting.run)
         group.start_soon(self.side_tasks.run, "sweep", self._sweep)
-        group.start_soon(self.side_tasks.run, "quarantine", self.quarantine.keeper.run)
+        group.start_soon(self.side_tasks.run, "quarantine", self.quarantine.gossip.run)
         group.start_soon(self.side_tasks.run, "holds", self.quarantine.store_for_ever)
         if self.settings.duties is not None:
             parts = DutyParts(
@@ -320,9 +320,9 @@
             self.waiting.queue.engines.forget(known)
             self.shared_load.expire()
             self.views.expire()
-            self.quarantine.keeper.look()
+            self.quarantine.gossip.process_pending()
             for load in self.shared_load.due_snapshots(self.peers.count()):
-                self.peers.tell_load(load)
+                self.peers.publish_load(load)
 
     # Settings
 
@@ -375,25 +375,25 @@
             view_revision=self.views.revision,
             view_text=self.views.text,
             on_view=self.views.take_from_peer,
-            contact=self.views.contact,
+            store_contact=self.views.contact,
             upstream_id=self.views.upstreams.id_of,
             on_load=lambda load: self.shared_load.receive(load),
-            everything=lambda: self.shared_load.all_running(),
-            on_gone=self._on_gone,
+            all_running=lambda: self.shared_load.all_running(),
+            on_gateway_gone=self._on_gone,
             paces=lambda: self.shared_load.paces(),
             on_paces=lambda paces: self.shared_load.merge_paces(paces),
-            answer=lambda ask, now: self.desk.answer(ask, now),
-            on_late=lambda request: self.shared_load.give_up(request),
+            answer_placement=lambda ask, now: self.desk.answer(ask, now),
+            on_late_placement=lambda request: self.shared_load.give_up(request),
             on_work_pull=self.duties.pages,
             on_work_page=self.duties.receive,
-            on_suspects=lambda news: self.quarantine.keeper.receive(news),
+            on_suspects=lambda news: self.quarantine.gossip.receive(news),
             on_leaving=lambda news: self.leaving.receive(news),
             on_limits=lambda news: self.limits.gossip.receive(news),
             on_permit_ask=self._on_permit_ask,
             on_permit_answer=lambda answer: self.limits.client.receive(answer),
             on_returns=lambda news: self.returns.receive(news),
             on_tick=self._on_tick,
-            on_waiting=lambda news: self.waiting.receive(news),
+            on_queue_counts=lambda news: self.waiting.receive(news),
         )
 
     def _on_permit_ask(self, ask: PermitAsk) -> PermitAnswer:
@@ -411,9 +411,9 @@
 
     def _on_tick(self) -> None:
         self.suspension.look()
-        self.leaving.tell_due()
+        self.leaving.send_due()
         self.limits.gossip.send_due()
-        self.returns.tell_due()
+        self.returns.send_due()
         self.mover.start_due_handovers()
 
     def _knows_fleet(self) -> bool:
@@ -423,14 +423,16 @@
             return True
         heard = len(self.peers.membership.live())
         has_model = self.peers.model_sync.is_ready()
-        return self._start_of_life.knows_fleet(heard, self.registration.listed, has_model, now)
+        return self._start_of_life.knows_fleet(
+            heard, self.registration.registered_count, has_model, now
+        )
 
     def _sharing(self) -> int:
         """Return how many gateways there may be, 0 while the store has not told.
 
         Members that are heard alone may be one hall of many, which is cut off.
         """
-        listed = self.registration.listed
+        listed = self.registration.registered_count
         return max(listed, self.peers.count()) if listed else 0
 
     def _service_named(self, name: str) -> Service | None:
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -67,7 +67,7 @@
     gauge(
         "schedules",
         "1 on one that places by its own model",
-        lambda: float(gateway.peers.schedulers.schedules()),
+        lambda: float(gateway.peers.schedulers.is_scheduler()),
     )
     gauge("unanswered_asks", "Asks without an answer", lambda: gateway.peers.client.unanswered)
     line = gateway.waiting.queue
@@ -111,12 +111,14 @@
         lambda: len(gateway.quarantine.isolated()),
     )
     gauge(
-        "kept_back", "Arrivals kept from upstreams so far", lambda: gateway.quarantine.keeper.held
+        "kept_back",
+        "Arrivals kept from upstreams so far",
+        lambda: gateway.quarantine.gossip.held_count,
     )
     gauge(
         "upstream_ends",
         "Ends of upstreams under requests of this gateway so far, once for each request",
-        lambda: gateway.quarantine.keeper.upstream_ends,
+        lambda: gateway.quarantine.gossip.upstream_failures,
     )
     gauge(
         "rests_asked",
--- a/src/lotushill/gateway/store_views.py
+++ b/src/lotushill/gateway/store_views.py
@@ -117,7 +117,7 @@
         watcher = self._watchers[ViewKind.CONFIGURATION]
         if watcher.active and not watcher.failing:
             return watcher.confirmed_from >= self._doubted_at
-        return self._role is not None and self._role.told_by_others(self.configuration.revision)
+        return self._role is not None and self._role.has_current_reader(self.configuration.revision)
 
     def doubt(self) -> None:
         """Ask the store again for all that this gateway reads, since it may be old."""
--- a/src/lotushill/limits/limit_owners.py
+++ b/src/lotushill/limits/limit_owners.py
@@ -41,7 +41,7 @@
 
     def owner_of(self, upstream: Upstream) -> MemberState:
         """Return the owner for an upstream, in its hall if possible: both are cut off together."""
-        halls = self._schedulers.halls()
+        halls = self._schedulers.names_by_hall()
         in_hall = halls.get(upstream.hall)
         names = in_hall or [name for hall in halls.values() for name in hall]
         name = owner(upstream.id, names)
--- a/src/lotushill/peering/leaving_keeper.py
+++ b/src/lotushill/peering/leaving_gossip.py
@@ -15,7 +15,7 @@
     from lotushill.views.upstream_view import UpstreamView
 
 
-class LeavingKeeper:
+class LeavingGossip:
     """Passes on what upstreams say in answers, for as long as their entries do not say it.
 
     The entry of an upstream that leaves is late in an outage of the store, and silent where the
@@ -27,7 +27,7 @@
         self,
         name: str,
         upstreams: UpstreamView,
-        tell: Callable[[LeavingNews], None],
+        broadcast: Callable[[LeavingNews], None],
         log: EventLog,
         rng: random.Random,
         clock: Callable[[], float],
@@ -35,12 +35,12 @@
         """Tell as the gateway `name`; `tell` sends to all other gateways."""
         self._name = name
         self._upstreams = upstreams
-        self._tell = tell
+        self._tell = broadcast
         self._log = log
         self._clock = clock
         self._telling = AnnouncementSchedule(rng)
 
-    def note(self, upstream_id: str) -> None:
+    def note_answer(self, upstream_id: str) -> None:
         """Note that an upstream has said in an answer that it leaves."""
         self._take(upstream_id, "answer")
 
@@ -57,7 +57,7 @@
             self._log.note("upstream.leaving", upstream=upstream_id, source=source)
             self._telling.note(upstream_id, self._clock())
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Tell the others, if that is due."""
         leaving = self._upstreams.leaving_by_word
         told = self._telling.due_names(leaving, self._clock())
--- a/src/lotushill/peering/return_keeper.py
+++ b/src/lotushill/peering/return_gossip.py
@@ -14,7 +14,7 @@
     from lotushill.returns.promises import ReturnPromises
 
 
-class ReturnKeeper:
+class ReturnGossip:
     """Tells the other schedulers of promises made here, and takes theirs.
 
     News that are lost cost a caller its place and nothing else: it is then a newcomer.
@@ -40,7 +40,7 @@
         if news.sender != self._name:
             self._returns.merge(news.promises, self._clock())
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Tell the other schedulers, if something is due."""
         told = self._returns.due_states(self._clock())
         for start in range(0, len(told), MOST_PROMISES):
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -71,7 +71,7 @@
         request = self._request
         self._parts.budgets.note_request(request.service.name, self._clock())
         while True:
-            if self._parts.quarantine.holds(request):
+            if self._parts.quarantine.is_held(request):
                 return await self._refuse_held()
             await self._parts.suspension.settle()
             placement = await self._search.find()
@@ -90,7 +90,7 @@
             end = await self._continue_run(choice, end, check)
             if end.kind is EndKind.WHOLE:
                 self.outcome = "whole"
-                self._parts.quarantine.note_whole(request)
+                self._parts.quarantine.record_completion(request)
                 return None
             if not await self._may_retry(end, check):
                 return await self._give_up(end.detail, end)
@@ -108,7 +108,7 @@
     async def _refuse_held(self) -> None:
         """Refuse a quarantined request, under which upstreams failed, without sending it on."""
         request = self._request
-        self._parts.quarantine.note_held(request)
+        self._parts.quarantine.record_held(request)
         self._parts.metrics.note_refused(request.service.name, request.need.tier, "quarantined")
         self._retry_after_seconds = _HELD_RETRY_AFTER_SECONDS
         await self._give_up("quarantined", None)
@@ -118,7 +118,7 @@
         if not end.connection_lost:
             return None
         begun = end.answer_started or self._splitter.event_count > 0
-        return self._parts.quarantine.note_cut(self._request, upstream, begun)
+        return self._parts.quarantine.record_interruption(self._request, upstream, begun)
 
     async def _may_continue(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
         """Return whether an interrupted request may be sent to another upstream.
@@ -129,7 +129,7 @@
             return False
         if check is not None:
             await asyncio.wait((check,), timeout=_FAILURE_CHECK_TIMEOUT_SECONDS)
-        return self._parts.quarantine.may_be_sent_on(self._request)
+        return self._parts.quarantine.may_retry(self._request)
 
     async def _continue_run(
         self, choice: Choice, end: AttemptEnd, check: asyncio.Task[None] | None
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -28,7 +28,7 @@
     from collections.abc import Coroutine
 
     from lotushill.event_log import EventLog
-    from lotushill.peering.quarantine_keeper import QuarantineKeeper
+    from lotushill.peering.quarantine_gossip import QuarantineGossip
     from lotushill.placement.choice import Choice
     from lotushill.placement.messages import Placed
     from lotushill.process.metrics import Metrics
@@ -61,7 +61,7 @@
         shared_load: SharedLoad,
         upstreams: UpstreamView,
         isolation_policy: IsolationPolicy,
-        quarantine: QuarantineKeeper,
+        quarantine: QuarantineGossip,
         budgets: RetryBudgets,
         rate_limit: Callable[[str], float],
         metrics: Metrics,
@@ -175,7 +175,7 @@
         stalled = now >= self._unblocked_at and run.is_stalled(now, stall_threshold)
         usual_pause = self.stalls.usual_pause(service)
         move = plan_move(run.state(now, usual_pause, leaves_in, stalled), engine)
-        if move is None or not self._quarantine.may_be_sent_on(run.request):
+        if move is None or not self._quarantine.may_retry(run.request):
             return None
         return move
 
--- a/src/lotushill/scheduling/hall_contact.py
+++ b/src/lotushill/scheduling/hall_contact.py
@@ -27,7 +27,7 @@
 
     def update_listening(self, now: float) -> None:
         """Note whether this gateway receives batches at all."""
-        receives_batches = self._schedulers.schedules() and not self._schedulers.small_fleet()
+        receives_batches = self._schedulers.is_scheduler() and not self._schedulers.is_small_fleet()
         if not receives_batches:
             self._listening_since = None
         elif self._listening_since is None:
@@ -38,7 +38,7 @@
         since = self._listening_since
         if since is None or now - since < SILENCE_TIMEOUT_SECONDS:
             return False
-        names = self._schedulers.halls().get(hall, ())
+        names = self._schedulers.names_by_hall().get(hall, ())
         return bool(names) and all(
             now - self._last_batch_at.get(name, since) >= SILENCE_TIMEOUT_SECONDS for name in names
         )
--- a/src/lotushill/scheduling/load_relay.py
+++ b/src/lotushill/scheduling/load_relay.py
@@ -59,10 +59,10 @@
 
         The updates on the request `request_number` go to the scheduler that was asked to place it.
         """
-        if self._schedulers.schedules():
+        if self._schedulers.is_scheduler():
             self.collect(records, now)
             return
-        order = self._schedulers.in_order(now, request_number)
+        order = self._schedulers.query_order(now, request_number)
         if order:
             self._send(LoadNews(records), order[0].address)
 
@@ -83,7 +83,7 @@
     def send_keepalive(self, now: float) -> None:
         """Send an empty batch if this gateway schedules for a hall and has long sent none."""
         schedulers = self._schedulers
-        if schedulers.small_fleet() or not schedulers.schedules():
+        if schedulers.is_small_fleet() or not schedulers.is_scheduler():
             return
         if now - self._flushed_at >= _KEEPALIVE_SECONDS:
             self._flush(now)
@@ -93,7 +93,7 @@
         self._pending = []
         self._pending_bytes = 0
         self._has_pending.clear()
-        is_small = self._schedulers.small_fleet()
+        is_small = self._schedulers.is_small_fleet()
         self._next_flush = now + (
             BATCH_INTERVAL_SECONDS if is_small else _LARGE_FLEET_BATCH_INTERVAL_SECONDS
         )
--- a/src/lotushill/scheduling/model_sync.py
+++ b/src/lotushill/scheduling/model_sync.py
@@ -28,18 +28,18 @@
 
     def is_ready(self) -> bool:
         """Return whether this gateway may place requests of other gateways."""
-        return self._is_filled and self._schedulers.schedules()
+        return self._is_filled and self._schedulers.is_scheduler()
 
     def next_source(self, now: float) -> str | None:
         """Return the name of the scheduler to pull the model from now, None if no pull is due."""
-        if not self._schedulers.schedules():
+        if not self._schedulers.is_scheduler():
             self._was_scheduler = self._is_filled = False
             return None
         if not self._was_scheduler:
             self._was_scheduler = True
             self._pull_count = 0
             self._pulled_at = float("-inf")
-        others = self._schedulers.in_order(now)
+        others = self._schedulers.query_order(now)
         if self._is_filled or not others or now - self._pulled_at < _PULL_TIMEOUT_SECONDS:
             return None
         if self._pull_count >= _MAX_PULLS:
--- a/src/lotushill/scheduling/placement_client.py
+++ b/src/lotushill/scheduling/placement_client.py
@@ -62,7 +62,7 @@
         scheduler is lost, the request is sent to the next one with the time that it has waited.
         """
         ask = make_ask()
-        for scheduler in self._schedulers.in_order(self._clock(), ask.request)[
+        for scheduler in self._schedulers.query_order(self._clock(), ask.request)[
             :MAX_SCHEDULERS_ASKED
         ]:
             answer = await self._ask_one(ask, make_ask, scheduler)
--- a/src/lotushill/views/watcher.py
+++ b/src/lotushill/views/watcher.py
@@ -50,11 +50,11 @@
 class Reading(Protocol):
     """Who reads the store; the others hear of changes from those who do."""
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return whether this gateway reads the store now."""
         ...
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         """Return whether it does so only since others are turned away."""
         ...
 
@@ -62,11 +62,11 @@
 class AlwaysReading:
     """Reads whatever others do."""
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return True."""
         return True
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         """Return False."""
         return False
 
@@ -140,7 +140,7 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            self.active = self._reading.reads()
+            self.active = self._reading.is_reader()
             if not self.active:
                 self._rest()
                 await anyio.sleep(self._jitter(_PASSIVE_SECONDS))
@@ -214,7 +214,11 @@
         if not self.failing:
             self.failing = True
             self._log.note("dependency.lost", name="store", kind=self._kind.name, error=repr(error))
-        longest = _STAND_IN_PAUSE_SECONDS if self._reading.stands_in() else _LONGEST_PAUSE_SECONDS
+        longest = (
+            _STAND_IN_PAUSE_SECONDS
+            if self._reading.is_substitute_reader()
+            else _LONGEST_PAUSE_SECONDS
+        )
         await anyio.sleep(self._jitter(min(longest, self._pause)))
         self._pause = min(longest, self._pause * 2)
 
--- a/tests/peering/test_view_exchange.py
+++ b/tests/peering/test_view_exchange.py
@@ -88,17 +88,17 @@
 
     def test_what_is_sent_is_what_is_taken(self) -> None:
         self.exchange.answer("m", ViewPull(ViewKind.CONFIGURATION, 11))
-        self.assertTrue(self.exchange.take(self.links.posted[0]))
+        self.assertTrue(self.exchange.receive(self.links.posted[0]))
         self.assertEqual([TEXT], self.taken)
 
     def test_a_page_of_an_older_process_is_taken(self) -> None:
-        self.assertTrue(self.exchange.take(ViewPage(ViewKind.CONFIGURATION, 15, "{}")))
+        self.assertTrue(self.exchange.receive(ViewPage(ViewKind.CONFIGURATION, 15, "{}")))
         self.assertEqual(["{}"], self.taken)
 
     def test_bytes_that_are_no_text_are_not(self) -> None:
         for packed in (b"x", pack(TEXT)[:-9], pack("a" * 17_000_000)):
             page = ViewPage(ViewKind.CONFIGURATION, 15, packed=packed)
-            self.assertFalse(self.exchange.take(page))
+            self.assertFalse(self.exchange.receive(page))
         self.assertEqual([], self.taken)
 
 
--- a/tests/scheduling/test_queueing_client.py
+++ b/tests/scheduling/test_queueing_client.py
@@ -74,7 +74,7 @@
         self.schedulers_by_address = {
             item.address: FakeScheduler(item.name, self.answer) for item in self.membership.live()
         }
-        first, second, *_ = self.schedulers.in_order(0.0, 1)
+        first, second, *_ = self.schedulers.query_order(0.0, 1)
         self.first, self.second = (
             self.schedulers_by_address[first.address],
             self.schedulers_by_address[second.address],
--- a/tests/views/test_watcher.py
+++ b/tests/views/test_watcher.py
@@ -61,7 +61,7 @@
         self._test = test
         self._turns = turns
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         if not self._turns:
             return True
         turn = self._turns.pop(0)
@@ -70,7 +70,7 @@
             self._test.held = 30
         return turn
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         return False
 
 
