--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -365,8 +365,8 @@
     Break(
         "gateway: watches end at different times",
         "views/watcher.py",
-        "kind.wait * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)",
-        "kind.wait",
+        "kind.max_watch_seconds * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)",
+        "kind.max_watch_seconds",
         "tests.views.test_watcher",
     ),
     Break(
--- a/src/lotushill/following/settings.py
+++ b/src/lotushill/following/settings.py
@@ -20,7 +20,7 @@
         super().__init__(KIND, self.view)
         self._log = log
 
-    def note_change(self, source: str) -> None:
+    def report_change(self, source: str) -> None:
         """Tell of another tree, and of what in it cannot be read."""
         revision, count = self.view.revision, len(self.view.objects)
         self._log.note("settings.in_force", revision=revision, objects=count, source=source)
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -259,7 +259,7 @@
 
     def ready(self) -> bool:
         """Return whether clients may be sent here."""
-        known = self.views.configuration.table is not None and self.views.upstreams.known
+        known = self.views.configuration.table is not None and self.views.upstreams.is_loaded
         return known and self.views.knows_holds() and not self._stopping
 
     async def run(self, reload_asked: Callable[[], bool] = lambda: False) -> None:
@@ -374,9 +374,9 @@
         return PeerHooks(
             view_revision=self.views.revision,
             view_text=self.views.text,
-            on_view=self.views.take_from_peer,
+            on_view=self.views.receive_from_peer,
             store_contact=self.views.contact,
-            upstream_id=self.views.upstreams.id_of,
+            upstream_id=self.views.upstreams.id_by_number,
             on_load=lambda load: self.shared_load.receive(load),
             all_running=lambda: self.shared_load.all_running(),
             on_gateway_gone=self._on_gone,
@@ -461,7 +461,7 @@
         self.log.note("process.woke", suspended=round(seconds, 2))
         self.front.note_suspension(seconds)
         self.pool.close_idle()
-        self.views.doubt()
+        self.views.relist()
 
     def _on_configuration(self) -> None:
         table = self.views.configuration.table
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -88,12 +88,12 @@
     gauge(
         "entries_ignored",
         "Entries of upstreams that cannot be read",
-        lambda: len(gateway.views.upstream_faults.held),
+        lambda: len(gateway.views.upstream_faults.current),
     )
     gauge(
         "entry_faults",
         "Entries of upstreams that could not be read, so far",
-        lambda: gateway.views.upstream_faults.counted,
+        lambda: gateway.views.upstream_faults.total_count,
     )
     gauge(
         "requests_held",
@@ -214,7 +214,7 @@
         "upstreams": {
             "revision": gateway.views.upstreams.revision,
             "known": [asdict(item) for item in gateway.views.upstreams.all()],
-            "ignored": dict(gateway.views.upstream_faults.held),
+            "ignored": dict(gateway.views.upstream_faults.current),
             "resting": sorted(gateway.rests.barred(clocks.now())),
             "limited": gateway.limits.stated.limited_rates(),
             "paces": {
--- a/src/lotushill/peering/leaving_gossip.py
+++ b/src/lotushill/peering/leaving_gossip.py
@@ -48,7 +48,7 @@
         """Take what another gateway was told."""
         for upstream_id in news.upstreams:
             self._take(upstream_id, news.sender)
-        missing = set(self._upstreams.leaving_by_word) - set(news.upstreams)
+        missing = set(self._upstreams.announced_leaving) - set(news.upstreams)
         lacks = news.complete and bool(missing)
         self._telling.note_received(news.upstreams, news.complete, lacks, self._clock())
 
@@ -59,7 +59,7 @@
 
     def send_due(self) -> None:
         """Tell the others, if that is due."""
-        leaving = self._upstreams.leaving_by_word
+        leaving = self._upstreams.announced_leaving
         told = self._telling.due_names(leaving, self._clock())
         if told:
             self._tell(LeavingNews(self._name, tuple(told), len(told) == len(leaving)))
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -20,8 +20,8 @@
 from lotushill.links.limit_messages import LimitNews
 from lotushill.links.limit_messages import PermitAnswer
 from lotushill.links.limit_messages import PermitAsk
-from lotushill.links.load_records import pack
-from lotushill.links.load_records import unpack
+from lotushill.links.load_records import pack_load
+from lotushill.links.load_records import unpack_loads
 from lotushill.links.messages import LeavingNews
 from lotushill.links.messages import LoadBatch
 from lotushill.links.messages import LoadNews
@@ -219,7 +219,7 @@
 
     def publish_load(self, load: Load) -> None:
         """Tell the schedulers of requests placed and ended."""
-        self._relay.publish(pack(load), load.number, self._clock())
+        self._relay.publish(pack_load(load), load.number, self._clock())
 
     def broadcast(self, message: Message) -> None:
         """Send a message to every other gateway that is heard."""
@@ -241,7 +241,7 @@
 
     def _take_records(self, records: bytes) -> None:
         try:
-            loads = unpack(records, self._hooks.upstream_id)
+            loads = unpack_loads(records, self._hooks.upstream_id)
         except MalformedFrameError:
             self.malformed += 1
             return
@@ -326,7 +326,7 @@
         elif isinstance(message, ViewPage):
             self.malformed += not self._views.receive(message)
         elif isinstance(message, ModelPull):
-            records = b"".join(pack(load) for load in self._hooks.all_running())
+            records = b"".join(pack_load(load) for load in self._hooks.all_running())
             self.links.post(peer, ModelPage(records, pack_paces(self._hooks.paces())))
         elif isinstance(message, ModelPage):
             self._take_paces(message.paces)
--- a/src/lotushill/peering/view_exchange.py
+++ b/src/lotushill/peering/view_exchange.py
@@ -9,8 +9,8 @@
 from lotushill.links.messages import ViewKind
 from lotushill.links.messages import ViewPage
 from lotushill.links.messages import ViewPull
-from lotushill.links.packed_text import pack
-from lotushill.links.packed_text import unpack
+from lotushill.links.packed_text import compress_text
+from lotushill.links.packed_text import decompress_text
 from lotushill.views.exceptions import MalformedViewError
 
 if TYPE_CHECKING:
@@ -94,7 +94,7 @@
     def receive(self, page: ViewPage) -> bool:
         """Take a peer's view; return whether it could be read."""
         try:
-            text = unpack(page.packed) if page.packed else page.text
+            text = decompress_text(page.packed) if page.packed else page.text
             self._on_view(page.kind, page.revision, text)
         except (MalformedFrameError, MalformedViewError):
             return False
@@ -104,7 +104,7 @@
         """Return a view packed, once for all peers that pull it."""
         former, packed = self._packed.get(kind, ("", b""))
         if text != former:
-            packed = pack(text)
+            packed = compress_text(text)
             self._packed[kind] = (text, packed)
         return packed
 
--- a/src/lotushill/platform/request_head.py
+++ b/src/lotushill/platform/request_head.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.links.hop_headers import one_connection
+from lotushill.links.hop_headers import hop_by_hop_headers
 from lotushill.placement.memory_copies import NO_COPIES
 from lotushill.placement.memory_copies import MemoryCopies
 from lotushill.platform import names
@@ -61,7 +61,7 @@
 def forwarded(headers: Headers, body: bytes | None) -> Headers:
     """Return the client's headers that travel on, with the length of the body."""
     named = dict(headers)
-    dropped = _OWN | one_connection(named.get(b"connection", b""))
+    dropped = _OWN | hop_by_hop_headers(named.get(b"connection", b""))
     kept = [(name, value) for name, value in headers if name not in dropped]
     if body is not None:
         kept.append((b"content-length", str(len(body)).encode()))
--- a/src/lotushill/requests/client_answer.py
+++ b/src/lotushill/requests/client_answer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.links.hop_headers import relayed
+from lotushill.links.hop_headers import end_to_end_headers
 from lotushill.platform import request_head
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
     async def start(self, status: int, headers: Headers) -> None:
         """Send the head of an answer from an upstream."""
         self.started = True
-        relayed_headers = relayed(list(headers))
+        relayed_headers = end_to_end_headers(list(headers))
         if self.close_after:
             relayed_headers.append((b"connection", b"close"))
         await self._send(
--- a/src/lotushill/requests/client_application.py
+++ b/src/lotushill/requests/client_application.py
@@ -10,9 +10,9 @@
 
 import anyio
 
+from lotushill.links.asgi import BodyTimeoutError
 from lotushill.links.asgi import BodyTooLargeError
-from lotushill.links.asgi import CallerGoneError
-from lotushill.links.asgi import SlowSenderError
+from lotushill.links.asgi import ClientDisconnectedError
 from lotushill.links.asgi import read_body
 from lotushill.placement.need import Need
 from lotushill.platform import request_head
@@ -104,7 +104,7 @@
         answer.close_after = self.closes_connections
         try:
             request = await self._check(scope, receive, demand, arrived)
-        except CallerGoneError:
+        except ClientDisconnectedError:
             return
         except _TurnedAwayError as error:
             self._parts.metrics.note_turned_away(error.status)
@@ -244,7 +244,7 @@
         return await read_body(receive, table.limits.body_bytes, _BODY_TIMEOUT_SECONDS)
     except BodyTooLargeError as error:
         raise _TurnedAwayError(413) from error
-    except SlowSenderError as error:
+    except BodyTimeoutError as error:
         raise _TurnedAwayError(400) from error
 
 
--- a/src/lotushill/requests/engine_memory_client.py
+++ b/src/lotushill/requests/engine_memory_client.py
@@ -47,7 +47,7 @@
         """
         try:
             await self._client(source).call(
-                "DELETE", memory_calls.FREE_PATH + handle, patience=_FREE_TIMEOUT_SECONDS
+                "DELETE", memory_calls.FREE_PATH + handle, timeout_seconds=_FREE_TIMEOUT_SECONDS
             )
         except NoAnswerError:
             return
--- a/tests/platform/test_object_store.py
+++ b/tests/platform/test_object_store.py
@@ -115,7 +115,7 @@
         self.store.create("servers", "i-1", UPSTREAM)
 
         def known() -> bool:
-            return self.version() == 1 and self.views.upstreams.known
+            return self.version() == 1 and self.views.upstreams.is_loaded
 
         def change() -> bool:
             self.put_version(2)
@@ -181,7 +181,7 @@
 
     async def test_a_peers_view_is_taken_only_if_it_is_newer(self) -> None:
         def take(kind: ViewKind, revision: int, value: Any) -> None:
-            self.views.take_from_peer(kind, revision, json.dumps(value))
+            self.views.receive_from_peer(kind, revision, json.dumps(value))
 
         take(ViewKind.CONFIGURATION, 5, {**SPEC, "version": 5})
         take(ViewKind.CONFIGURATION, 4, {**SPEC, "version": 6})
@@ -196,11 +196,11 @@
         for kind in ViewKind:
             for text in texts:
                 try:
-                    self.views.take_from_peer(kind, 5, text)
+                    self.views.receive_from_peer(kind, 5, text)
                 except MalformedViewError:
                     continue
         self.assertEqual(0, self.version())
-        self.assertFalse(self.views.upstreams.known)
+        self.assertFalse(self.views.upstreams.is_loaded)
 
     async def test_upstreams_missing_after_an_outage_are_kept_for_a_while(self) -> None:
         self.store.put("servers", "i-1", UPSTREAM)
@@ -281,7 +281,7 @@
         self.now += 10.0
         self.app.busy_kind = "lotushill-quarantine"
         self.app.trouble = Trouble.NONE
-        while not views.upstreams.known:
+        while not views.upstreams.is_loaded:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.2)
         before = views.configuration.table
@@ -296,7 +296,7 @@
         self.store.put("config", "main", SPEC)
         self.app.busy_kind = "lotushill-quarantine"
         views = self.follow_from_start()
-        while not views.upstreams.known:
+        while not views.upstreams.is_loaded:
             await asyncio.sleep(0.005)
         self.assertFalse(views.knows_holds())
         self.now += 2.1
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -372,7 +372,7 @@
         table = RoutingTable(
             version, [self.route] if routes else [], [self.service], teams, ClientLimits()
         )
-        self.configuration.take(table, version)
+        self.configuration.replace(table, version)
 
     async def __aexit__(self, *_: object) -> None:
         """Stop the request path and the upstreams."""
--- a/tests/scheduling/test_upstream_incarnations.py
+++ b/tests/scheduling/test_upstream_incarnations.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lotushill.links.load_records import pack
-from lotushill.links.load_records import unpack
+from lotushill.links.load_records import pack_load
+from lotushill.links.load_records import unpack_loads
 from lotushill.placement.fleet import Fleet
 from lotushill.placement.messages import Began
 from lotushill.placement.messages import Ended
@@ -51,7 +51,7 @@
         )
 
     def receive_packed(self, load: Load) -> None:
-        for item in unpack(pack(load), self.view.id_of):
+        for item in unpack_loads(pack_load(load), self.view.id_by_number):
             self.shared.receive(item)
 
     def test_late_updates_on_a_former_incarnation_do_not_affect_the_new_one(self) -> None:
