--- a/src/lotushill/console/standin.py
+++ b/src/lotushill/console/standin.py
@@ -9,10 +9,10 @@
 
 import anyio
 
+from lotushill.console.program import configure_logging
 from lotushill.console.program import parse_config_option
 from lotushill.console.program import read_or_exit
 from lotushill.console.program import run
-from lotushill.console.program import start_logs
 from lotushill.contracts.document import read
 from lotushill.links.http_server import HttpServer
 from lotushill.standin.engine_app import EngineApp
@@ -36,7 +36,7 @@
     description = "Stand in for the platform's store, an engine or a plain service."
     path = parse_config_option("lotushill-standin", description)
     settings = read_or_exit(functools.partial(read, StandinSettings), path)
-    start_logs("INFO")
+    configure_logging("INFO")
     run(_serve, settings)
 
 
--- a/src/lotushill/gateway/fleet_quarantine.py
+++ b/src/lotushill/gateway/fleet_quarantine.py
@@ -55,19 +55,19 @@
         )
         self._hold_store = HoldStore(store, self.suspects, views.holds, log, rng)
 
-    def held(self) -> list[bytes]:
+    def held_identities(self) -> list[bytes]:
         """Return the identities of all requests that are held now."""
         return self.suspects.held_identities(clocks.now())
 
-    def isolated(self) -> list[Group]:
+    def isolated_groups(self) -> list[Group]:
         """Return the groups of requests that run apart now."""
         return self.isolation.isolated_groups(clocks.now())
 
-    def take_stored(self) -> None:
+    def replace_stored(self) -> None:
         """Take what the store has, since it has changed."""
         self.gossip.replace_stored(self._views.holds.holds)
 
-    async def store_for_ever(self) -> None:
+    async def run_hold_store(self) -> None:
         """Bring the store in line with what is held."""
         while True:
             await anyio.sleep(_LOOK_SECONDS)
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -17,7 +17,7 @@
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.contracts.exceptions import SettingsError
 from lotushill.event_log import EventLog
-from lotushill.gateway.duties import DutyParts
+from lotushill.gateway.duties import DutyDependencies
 from lotushill.gateway.duties import FleetDuties
 from lotushill.gateway.fleet_quarantine import FleetQuarantine
 from lotushill.gateway.status_app import StatusApp
@@ -89,11 +89,11 @@
     """Everything that runs in one gateway process."""
 
     def __init__(
-        self, settings: GatewaySettings, read_again: Callable[[], GatewaySettings]
+        self, settings: GatewaySettings, read_settings: Callable[[], GatewaySettings]
     ) -> None:
         """Put the parts together; `read_again` reads the settings file once more."""
         self.settings = settings
-        self._read_again = read_again
+        self._read_again = read_settings
         self.journal = Journal()
         self.metrics = Metrics()
         self.log = EventLog(settings.name, journal=self.journal)
@@ -108,7 +108,7 @@
             self.log,
             self._on_configuration,
             role,
-            on_holds=lambda: self.quarantine.take_stored(),
+            on_holds=lambda: self.quarantine.replace_stored(),
         )
         self.fleet = Fleet(
             settings.hall, settings.recent_seconds, lambda hall: self.peers.is_cut_off(hall)
@@ -122,7 +122,7 @@
             self.peers.publish_load,
             self.peers.is_same_hall,
         )
-        self.returns = ReturnGossip(
+        self.return_gossip = ReturnGossip(
             settings.name,
             self.fleet.shedding.returns,
             self.peers.schedulers,
@@ -130,7 +130,7 @@
             clocks.now,
         )
         self._start_of_life = StartupPhase(MAX_SMALL_FLEET_GATEWAYS, clocks.now())
-        self.rests = Cooldowns()
+        self.cooldowns = Cooldowns()
         stated = StatedLimits()
         counting = LimitOwners(
             self.peers.membership, self.peers.schedulers, lambda: self.registration.registered_count
@@ -147,7 +147,7 @@
             clocks.now,
         )
         self.team_limits = TeamLimits(counting, self.limits.client, rng, clocks.now)
-        self.waiting = QueueRunner(
+        self.queue_runner = QueueRunner(
             settings.name,
             AdmissionQueue(
                 self.fleet,
@@ -161,7 +161,7 @@
             clocks.now,
             self.log,
         )
-        self.desk = PlacementResponder(
+        self.placement_responder = PlacementResponder(
             settings.name,
             self.fleet,
             self.shared_load,
@@ -169,7 +169,7 @@
             self.views.upstreams.of,
             self.peers.model_sync.is_ready,
             stated,
-            self.waiting,
+            self.queue_runner,
             self.peers.send_to,
         )
         placer = Placer(
@@ -179,12 +179,12 @@
             self.views.upstreams,
             rng,
             clocks.now,
-            BarredUpstreams(self.rests, self.limits.denials),
+            BarredUpstreams(self.cooldowns, self.limits.denials),
             stated,
             self.peers.schedulers,
             self.peers.client,
             self._knows_fleet,
-            self.waiting,
+            self.queue_runner,
         )
         self.pool = UpstreamPool(request_head.answered_id, self._most_idle)
         self.quarantine = FleetQuarantine(
@@ -192,20 +192,20 @@
         )
         self.registration = Registration(settings, self.store, self.peers, self.log, rng)
         self.suspension = SuspensionWatch(
-            clocks.now, time.monotonic, self._on_woke, self.views.confirmed
+            clocks.now, time.monotonic, self._on_woke, self.views.is_confirmed_since
         )
-        self.leaving = LeavingGossip(
+        self.leaving_gossip = LeavingGossip(
             settings.name, self.views.upstreams, self.peers.broadcast, self.log, rng, clocks.now
         )
-        self.gate = UpstreamGate(
+        self.upstream_gate = UpstreamGate(
             self.views.upstreams,
-            self.rests,
+            self.cooldowns,
             self.limits,
-            self.leaving.note_answer,
+            self.leaving_gossip.note_answer,
             self.log,
             clocks.now,
         )
-        self.budgets = RetryBudgets(settings.retry, self._sharing, clocks.now())
+        self.retry_budgets = RetryBudgets(settings.retry, self._sharing, clocks.now())
         ward = IsolationPolicy(self.quarantine.isolation, self.views.upstreams, clocks.now)
         self.mover = Mover(
             EngineMemoryClient(),
@@ -214,13 +214,13 @@
             self.views.upstreams,
             ward,
             self.quarantine.gossip,
-            self.budgets,
+            self.retry_budgets,
             stated.rate,
             self.metrics,
             self.log,
             clocks.now,
         )
-        self.front = ClientApplication(
+        self.client_application = ClientApplication(
             GatewayParts(
                 name=settings.name,
                 configuration=self.views.configuration,
@@ -230,39 +230,43 @@
                 shared_load=self.shared_load,
                 placer=placer,
                 pool=self.pool,
-                gate=self.gate,
+                gate=self.upstream_gate,
                 limits=self.limits,
                 team_limits=self.team_limits,
                 isolation_policy=ward,
                 mover=self.mover,
-                budgets=self.budgets,
+                budgets=self.retry_budgets,
                 quarantine=self.quarantine.gossip,
-                work=self.duties.work,
+                work=self.duties.request_counter,
                 log=self.log,
                 metrics=self.metrics,
                 rng=rng,
                 clock=clocks.now,
                 suspension=self.suspension,
-                view_is_fresh=self.views.fresh,
+                view_is_fresh=self.views.is_fresh,
                 knows_holds=self.views.knows_holds,
             )
         )
         protocol = functools.partial(ClientProtocol, limits=self._client_limits)
-        self.clients = HttpServer(self.front, settings.clients, protocol=protocol)
-        self.status = HttpServer(
-            StatusApp(self.ready, functools.partial(status, self), self.metrics.text, self.journal),
+        self.client_listener = HttpServer(
+            self.client_application, settings.clients, protocol=protocol
+        )
+        self.status_listener = HttpServer(
+            StatusApp(
+                self.is_ready, functools.partial(status, self), self.metrics.text, self.journal
+            ),
             settings.readiness,
         )
         add_gauges(self)
         self._stopping = False
         self._following: list[asyncio.Task[None]] = []
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether clients may be sent here."""
         known = self.views.configuration.table is not None and self.views.upstreams.is_loaded
         return known and self.views.knows_holds() and not self._stopping
 
-    async def run(self, reload_asked: Callable[[], bool] = lambda: False) -> None:
+    async def run(self, is_reload_requested: Callable[[], bool] = lambda: False) -> None:
         """Serve until a signal says to stop, and then finish what is in progress.
 
         `reload_asked` tells whether the settings were to be read again while the program started.
@@ -273,7 +277,7 @@
             async with anyio.create_task_group() as group:
                 self._start(group)
                 self.log.note("process.started", pid=os.getpid(), hall=self.settings.hall)
-                await self._wait_for_stop(signals, reload_asked)
+                await self._wait_for_stop(signals, is_reload_requested)
                 # Beside the stop: a silent store must not take the time of requests in progress.
                 group.start_soon(self.side_tasks.run, "hand over", self.duties.hand_over)
                 await self._drain()
@@ -284,18 +288,18 @@
         self.log.note("process.stopped")
 
     def _start(self, group: TaskGroup) -> None:
-        group.start_soon(self.status.serve)
-        group.start_soon(self.clients.serve)
+        group.start_soon(self.status_listener.serve)
+        group.start_soon(self.client_listener.serve)
         group.start_soon(self.peers.run, group)
-        self._following = self.views.tasks()
+        self._following = self.views.start_tasks()
         group.start_soon(self.side_tasks.run, "registration", self.registration.run)
-        group.start_soon(self.side_tasks.run, "waiting line", self.waiting.run)
+        group.start_soon(self.side_tasks.run, "waiting line", self.queue_runner.run)
         group.start_soon(self.side_tasks.run, "sweep", self._sweep)
         group.start_soon(self.side_tasks.run, "quarantine", self.quarantine.gossip.run)
-        group.start_soon(self.side_tasks.run, "holds", self.quarantine.store_for_ever)
+        group.start_soon(self.side_tasks.run, "holds", self.quarantine.run_hold_store)
         if self.settings.duties is not None:
-            parts = DutyParts(
-                self.ready,
+            parts = DutyDependencies(
+                self.is_ready,
                 self.views,
                 self.peers,
                 self.fleet,
@@ -313,11 +317,11 @@
             self.pool.close_expired(known)
             self.fleet.evict_unused(known, clocks.now())
             self._tell_paces()
-            self.rests.forget(known, clocks.now())
+            self.cooldowns.forget(known, clocks.now())
             self.limits.forget(known)
             self.team_limits.forget()
             self.mover.forget(known)
-            self.waiting.queue.engines.forget(known)
+            self.queue_runner.queue.engines.forget(known)
             self.shared_load.expire()
             self.views.expire()
             self.quarantine.gossip.process_pending()
@@ -336,7 +340,7 @@
         fixed = {name: getattr(self.settings, name) for name in _FIXED_SETTINGS}
         needs_restart = [name for name, value in fixed.items() if getattr(settings, name) != value]
         self.settings = replace(settings, **fixed)
-        self.budgets.change(self.settings.retry)
+        self.retry_budgets.change(self.settings.retry)
         self.fleet.recent.seconds = self.settings.recent_seconds
         self.log.note("process.reload", outcome="in force", needs_restart=needs_restart)
 
@@ -356,16 +360,16 @@
         """Be taken out by the balancer first, then finish every request in progress."""
         ends = clocks.now() + self.settings.grace_seconds - _LAST_SECONDS
         self._stopping = True
-        self.front.closes_connections = True
-        self.log.note("process.stopping", in_progress=self.front.in_progress)
+        self.client_application.closes_connections = True
+        self.log.note("process.stopping", in_progress=self.client_application.in_progress)
         await anyio.sleep(self.settings.leave_seconds)
-        self.front.accepts_requests = False
-        self.clients.stop()
-        while self.front.in_progress and clocks.now() < ends:
+        self.client_application.accepts_requests = False
+        self.client_listener.stop()
+        while self.client_application.in_progress and clocks.now() < ends:
             await anyio.sleep(_TICK_SECONDS)
         self.peers.leave()
-        if self.front.in_progress:
-            self.log.note("process.cut", in_progress=self.front.in_progress)
+        if self.client_application.in_progress:
+            self.log.note("process.cut", in_progress=self.client_application.in_progress)
 
     # Wiring
 
@@ -382,18 +386,18 @@
             on_gateway_gone=self._on_gone,
             paces=lambda: self.shared_load.paces(),
             on_paces=lambda paces: self.shared_load.merge_paces(paces),
-            answer_placement=lambda ask, now: self.desk.answer(ask, now),
+            answer_placement=lambda ask, now: self.placement_responder.answer(ask, now),
             on_late_placement=lambda request: self.shared_load.give_up(request),
-            on_work_pull=self.duties.pages,
+            on_work_pull=self.duties.work_pages,
             on_work_page=self.duties.receive,
             on_suspects=lambda news: self.quarantine.gossip.receive(news),
-            on_leaving=lambda news: self.leaving.receive(news),
+            on_leaving=lambda news: self.leaving_gossip.receive(news),
             on_limits=lambda news: self.limits.gossip.receive(news),
             on_permit_ask=self._on_permit_ask,
             on_permit_answer=lambda answer: self.limits.client.receive(answer),
-            on_returns=lambda news: self.returns.receive(news),
+            on_returns=lambda news: self.return_gossip.receive(news),
             on_tick=self._on_tick,
-            on_queue_counts=lambda news: self.waiting.receive(news),
+            on_queue_counts=lambda news: self.queue_runner.receive(news),
         )
 
     def _on_permit_ask(self, ask: PermitAsk) -> PermitAnswer:
@@ -402,7 +406,7 @@
 
     def _on_gone(self, name: str) -> None:
         self.shared_load.drop_sender(name)
-        self.waiting.drop_gateway(name)
+        self.queue_runner.drop_gateway(name)
 
     def _tell_paces(self) -> None:
         for item in self.fleet.engine_paces.take_changes():
@@ -410,10 +414,10 @@
             self.log.note("upstream.pace", upstream=item.upstream, steps=steps, reading=reading)
 
     def _on_tick(self) -> None:
-        self.suspension.look()
-        self.leaving.send_due()
+        self.suspension.check()
+        self.leaving_gossip.send_due()
         self.limits.gossip.send_due()
-        self.returns.send_due()
+        self.return_gossip.send_due()
         self.mover.start_due_handovers()
 
     def _knows_fleet(self) -> bool:
@@ -459,11 +463,11 @@
     def _on_woke(self, seconds: float) -> None:
         """Take what was believed before a suspension for old."""
         self.log.note("process.woke", suspended=round(seconds, 2))
-        self.front.note_suspension(seconds)
+        self.client_application.note_suspension(seconds)
         self.pool.close_idle()
         self.views.relist()
 
     def _on_configuration(self) -> None:
         table = self.views.configuration.table
         if table is not None:
-            self.clients.set_idle_seconds(table.limits.idle_seconds)
+            self.client_listener.set_idle_seconds(table.limits.idle_seconds)
--- a/src/lotushill/gateway/store_views.py
+++ b/src/lotushill/gateway/store_views.py
@@ -83,7 +83,7 @@
         self.holds = self._holds.view
         self.upstream_faults = self._upstreams.faults
 
-    def tasks(self) -> list[asyncio.Task[None]]:
+    def start_tasks(self) -> list[asyncio.Task[None]]:
         """Start to follow the store, for ever."""
         return [asyncio.create_task(watcher.run()) for watcher in self._watchers.values()]
 
@@ -112,7 +112,7 @@
             return StoreContact.READING
         return StoreContact.PASSIVE
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Return whether nothing newer is known anywhere than the configuration in force."""
         watcher = self._watchers[ViewKind.CONFIGURATION]
         if watcher.active and not watcher.failing:
@@ -125,7 +125,7 @@
         for watcher in self._watchers.values():
             watcher.relist()
 
-    def confirmed(self, since: float) -> bool:
+    def is_confirmed_since(self, since: float) -> bool:
         """Return whether this gateway read configuration and upstreams from a time on."""
         return all(watcher.last_list_sent_at >= since for watcher in self._deciding())
 
--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -58,7 +58,7 @@
         self._reporter = reporter
         self._permit = permit
         self._clock = parts.clock
-        self._wakes = parts.suspension.wakes
+        self._wakes = parts.suspension.suspension_count
         self.sent_at = 0.0
         self._head_received_at = 0.0
         self.first_event_at = 0.0
@@ -135,8 +135,8 @@
 
         The upstream may have left the fleet in the meantime.
         """
-        self._parts.suspension.look()
-        return self._parts.suspension.wakes != self._wakes
+        self._parts.suspension.check()
+        return self._parts.suspension.suspension_count != self._wakes
 
     async def _send_and_relay(self, connection: UpstreamConnection) -> AttemptEnd:
         self.sent_at = self._clock()
@@ -285,7 +285,7 @@
     def _note_first_event(self, now: float) -> None:
         elapsed = now - self.sent_at
         self._reporter.report_first_event(elapsed)
-        self._parts.metrics.note_first(
+        self._parts.metrics.record_first_event(
             self._request.service.name, elapsed, self._choice.first_event_seconds
         )
 
--- a/src/lotushill/requests/client_application.py
+++ b/src/lotushill/requests/client_application.py
@@ -97,7 +97,7 @@
             self.in_progress -= 1
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        self._parts.suspension.look()
+        self._parts.suspension.check()
         arrived = self._parts.clock()
         demand = request_head.read_demand(scope["headers"])
         answer = ClientAnswer(send, demand.request_id)
@@ -107,7 +107,7 @@
         except ClientDisconnectedError:
             return
         except _TurnedAwayError as error:
-            self._parts.metrics.note_turned_away(error.status)
+            self._parts.metrics.record_rejection(error.status)
             self._parts.log.note(
                 "request.turned_away",
                 request=demand.request_id,
@@ -154,7 +154,7 @@
                 await exchange.time_out()
         elapsed = clock() - request.arrived
         self._parts.work.decrement_running(request.service.name)
-        self._parts.metrics.note_request(request.service.name, exchange.outcome, elapsed)
+        self._parts.metrics.record_request(request.service.name, exchange.outcome, elapsed)
         self._parts.log.note(
             "request.ended",
             request=request.demand.request_id,
--- a/src/lotushill/requests/continuation.py
+++ b/src/lotushill/requests/continuation.py
@@ -111,9 +111,9 @@
         """Return how the run has ended; as broken if it was not continued."""
         is_continued = end is not None and (end.kind is EndKind.WHOLE or end.handover is not None)
         if end is not None and is_continued:
-            self._parts.metrics.note_moved_run("went on")
+            self._parts.metrics.record_moved_run("went on")
             return end
-        self._parts.metrics.note_moved_run("cut")
+        self._parts.metrics.record_moved_run("cut")
         return replace(interrupted, kind=EndKind.BROKEN, handover=None)
 
     async def _continue_run(self, choice: Choice, permit: Permit) -> AttemptEnd:
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -73,7 +73,7 @@
         while True:
             if self._parts.quarantine.is_held(request):
                 return await self._refuse_held()
-            await self._parts.suspension.settle()
+            await self._parts.suspension.wait_until_settled()
             placement = await self._search.find()
             if not isinstance(placement, Placement):
                 self._retry_after_seconds = placement.retry_after
@@ -109,7 +109,7 @@
         """Refuse a quarantined request, under which upstreams failed, without sending it on."""
         request = self._request
         self._parts.quarantine.record_held(request)
-        self._parts.metrics.note_refused(request.service.name, request.need.tier, "quarantined")
+        self._parts.metrics.record_refusal(request.service.name, request.need.tier, "quarantined")
         self._retry_after_seconds = _HELD_RETRY_AFTER_SECONDS
         await self._give_up("quarantined", None)
 
@@ -180,7 +180,7 @@
             run_seconds = self._clock() - attempt.sent_at if attempt.sent_at else 0.0
             reporter.report_end(kind, run_seconds)
             self.first_ms = round((attempt.first_event_at - attempt.sent_at) * 1000, 1)
-        self._parts.metrics.note_attempt(
+        self._parts.metrics.record_attempt(
             self._request.service.name, self._request.need.tier, end.kind.value
         )
         if end.kind in _NOT_RUN:
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -272,7 +272,7 @@
         return has_room and self._isolation_policy.admits(request, choice)
 
     def _log_move(self, run: MovableRun, move: Move, reason: str, started_at: float) -> None:
-        self._metrics.note_move(move.cause.value, reason.partition(":")[0])
+        self._metrics.record_handover(move.cause.value, reason.partition(":")[0])
         self._log.note(
             "run.moved" if reason == Phase.STOPPED.value else "run.not_moved",
             request=run.request.demand.request_id,
--- a/src/lotushill/requests/upstream_search.py
+++ b/src/lotushill/requests/upstream_search.py
@@ -122,7 +122,7 @@
 
     def _log_refusal(self, refused: NoChoice) -> None:
         request = self._request
-        self._parts.metrics.note_refused(
+        self._parts.metrics.record_refusal(
             request.service.name, request.need.tier, refused.refusal.value
         )
         self._parts.log.note(
--- a/tests/platform/test_object_store.py
+++ b/tests/platform/test_object_store.py
@@ -95,7 +95,7 @@
 
     async def follow(self, *conditions: Any) -> None:
         """Run the views until each condition has held, one after the other."""
-        tasks = self.views.tasks()
+        tasks = self.views.start_tasks()
         try:
             async with asyncio.timeout(10):
                 for condition in conditions:
@@ -156,11 +156,11 @@
         await self.follow(
             lambda: self.version() == 1,
             fail,
-            lambda: not self.views.fresh(),
+            lambda: not self.views.is_fresh(),
             lambda: self.version() == 1,
             recover,
             lambda: self.version() == 2,
-            lambda: self.views.fresh(),
+            lambda: self.views.is_fresh(),
         )
         lost = [line for line in self.lines if b"dependency.lost" in line and b'"config"' in line]
         self.assertEqual(1, len(lost))
@@ -310,7 +310,7 @@
         self.now = 1000.0
         log = EventLog("gw", self.lines.append)
         views = StoreViews(self.client, random.Random(1), log, lambda: None, clock=lambda: self.now)
-        self.tasks = views.tasks()
+        self.tasks = views.start_tasks()
         return views
 
     async def stop_following(self) -> None:
@@ -324,7 +324,7 @@
         views = StoreViews(
             self.client, random.Random(1), EventLog("gw", lambda _: None), lambda: None
         )
-        tasks = views.tasks()
+        tasks = views.start_tasks()
         while views.configuration.table is None:
             await asyncio.sleep(0.005)
         for task in tasks:
