--- a/src/lotushill/duties/call_health.py
+++ b/src/lotushill/duties/call_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lotushill.platform.duty_api import CallEnd
+from lotushill.platform.duty_api import CallOutcome
 
 _FAILING_SECONDS = 4.0
 _MAX_UNANSWERED = 3
@@ -25,9 +25,9 @@
         self._failing_since = None
         self._unanswered = 0
 
-    def record(self, result: CallEnd, started_at: float) -> None:
+    def record(self, result: CallOutcome, started_at: float) -> None:
         """Record the result of a call that started at `started_at`."""
-        if result in (CallEnd.DONE, CallEnd.REFUSED):
+        if result in (CallOutcome.DONE, CallOutcome.REFUSED):
             self.reset()
             return
         self._unanswered += 1
--- a/src/lotushill/duties/order_duty.py
+++ b/src/lotushill/duties/order_duty.py
@@ -11,9 +11,9 @@
 from lotushill.duties.engine_sizing import EngineSizing
 from lotushill.duties.engine_sizing import HallEngines
 from lotushill.duties.engine_sizing import engines_lost_to_limits
-from lotushill.platform.duty_api import CallEnd
+from lotushill.platform.duty_api import CallOutcome
 from lotushill.platform.duty_api import EngineOrder
-from lotushill.platform.duty_api import Signature
+from lotushill.platform.duty_api import LeaseCredentials
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -225,13 +225,13 @@
         self._sent[_order_key(order)] = _SentOrder(
             order.engines, started_at + _REPEAT_INTERVAL_SECONDS
         )
-        result = await self._platform.order(order, Signature(lease.name, token))
+        result = await self._platform.order(order, LeaseCredentials(lease.name, token))
         self._health.record(result, started_at)
-        if former is None or former.engines != order.engines or result is not CallEnd.DONE:
+        if former is None or former.engines != order.engines or result is not CallOutcome.DONE:
             self._log_order(order, result, token)
-        if result is CallEnd.REFUSED and lease.token == token:
+        if result is CallOutcome.REFUSED and lease.token == token:
             self._handle_refusal(order)
-        elif result is not CallEnd.DONE:
+        elif result is not CallOutcome.DONE:
             self._sent.pop(_order_key(order), None)
 
     def _handle_refusal(self, order: EngineOrder) -> None:
@@ -247,7 +247,7 @@
         self._sizings[order.service].record_shortage(order.hall, now)
         self._sent[_order_key(order)] = _SentOrder(order.engines, now + _REFUSED_RETRY_SECONDS)
 
-    def _log_order(self, order: EngineOrder, result: CallEnd, token: int) -> None:
+    def _log_order(self, order: EngineOrder, result: CallOutcome, token: int) -> None:
         self._log.note(
             "engines.ordered",
             service=order.service,
--- a/src/lotushill/duties/usage_duty.py
+++ b/src/lotushill/duties/usage_duty.py
@@ -10,8 +10,8 @@
 from lotushill.duties.ownership import TICK_SECONDS
 from lotushill.duties.usage_ledger import UsageLedger
 from lotushill.links.messages import WorkPull
-from lotushill.platform.duty_api import CallEnd
-from lotushill.platform.duty_api import Signature
+from lotushill.platform.duty_api import CallOutcome
+from lotushill.platform.duty_api import LeaseCredentials
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -193,13 +193,15 @@
         if token is None or not lease.may_act(self._clock()):
             return False
         started_at = self._clock()
-        result = await self._platform.report_usage(window, counts, Signature(lease.name, token))
+        result = await self._platform.report_usage(
+            window, counts, LeaseCredentials(lease.name, token)
+        )
         self._health.record(result, started_at)
         self._log.note("usage.reported", window=window, end=result.value, token=token)
-        if result is CallEnd.DONE:
+        if result is CallOutcome.DONE:
             self._reported.add(window)
             return True
-        if result is CallEnd.REFUSED and lease.token == token:
+        if result is CallOutcome.REFUSED and lease.token == token:
             self._ownership.lose("a report was refused")
         await anyio.sleep(_RETRY_INTERVAL_SECONDS)
         return False
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -186,7 +186,7 @@
             self._knows_fleet,
             self.queue_runner,
         )
-        self.pool = UpstreamPool(request_head.answered_id, self._most_idle)
+        self.pool = UpstreamPool(request_head.answer_request_id, self._most_idle)
         self.quarantine = FleetQuarantine(
             settings.name, self.views, self.pool, self.peers, self.store, self.log, rng
         )
--- a/src/lotushill/gateway/status_app.py
+++ b/src/lotushill/gateway/status_app.py
@@ -50,7 +50,7 @@
         elif path == _METRICS_PATH:
             await send_response(send, _OK, (_METRICS_TYPE,), self._metrics())
         elif path.startswith(EXPLAIN_PATH):
-            events = self._journal.of(path.removeprefix(EXPLAIN_PATH))
+            events = self._journal.events_of(path.removeprefix(EXPLAIN_PATH))
             await send_json(send, _OK if events else _NOT_FOUND, events)
         else:
             await send_json(send, _NOT_FOUND, {})
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -193,7 +193,7 @@
     )
     gauge("connections_opened", "Connections to upstreams", lambda: gateway.pool.opened)
     gauge("task_faults", "Faults beside the request path", lambda: gateway.side_tasks.failure_count)
-    gauge("log_lines_left_out", "Lines over the rate", lambda: gateway.log.left_out_in_all)
+    gauge("log_lines_left_out", "Lines over the rate", lambda: gateway.log.total_left_out)
     gauge(
         "configuration_revision",
         "Revision of the configuration in force",
--- a/src/lotushill/gateway/store_views.py
+++ b/src/lotushill/gateway/store_views.py
@@ -152,7 +152,7 @@
     def _note_configuration(self) -> None:
         if self._configured_at is None:
             self._configured_at = self._clock()
-        self.settings.forget_routes()
+        self.settings.clear_resolved_routes()
         self._on_configuration()
 
     # Peers
--- a/src/lotushill/requests/client_answer.py
+++ b/src/lotushill/requests/client_answer.py
@@ -58,12 +58,12 @@
             return
         self.started = True
         body = _REASONS.get(status, b"failed")
-        headers = request_head.own_answer_headers(self._request_id)
+        headers = request_head.local_answer_headers(self._request_id)
         headers.append((b"content-length", str(len(body)).encode()))
         headers.append((b"content-type", b"text/plain"))
         if retry_after_seconds is not None:
             headers.append(
-                request_head.retry_after(min(_MAX_RETRY_AFTER_SECONDS, retry_after_seconds))
+                request_head.retry_after_header(min(_MAX_RETRY_AFTER_SECONDS, retry_after_seconds))
             )
         if self.close_after:
             headers.append((b"connection", b"close"))
--- a/src/lotushill/requests/client_application.py
+++ b/src/lotushill/requests/client_application.py
@@ -191,7 +191,7 @@
             demand=demand,
             method=str(scope["method"]).encode(),
             target=scope[TARGET],
-            headers=request_head.forwarded(headers, body if has_body else None),
+            headers=request_head.forwarded_headers(headers, body if has_body else None),
             body=body,
             route=route,
             service=service,
--- a/src/lotushill/requests/engine_memory_client.py
+++ b/src/lotushill/requests/engine_memory_client.py
@@ -35,10 +35,10 @@
         Raise NoAnswerError if no answer arrives within `timeout_seconds`; the copy may have been
         made nevertheless.
         """
-        content = memory_calls.move_content(run, target, last)
+        content = memory_calls.move_request_body(run, target, last)
         client = self._client(source)
         answer = await client.call("POST", memory_calls.MOVE_PATH, content, timeout_seconds)
-        return memory_calls.read_move(answer)
+        return memory_calls.parse_move_answer(answer)
 
     async def free(self, source: str, handle: str) -> None:
         """Free the memory held under a handle at both engines.
--- a/src/lotushill/requests/upstream_connection.py
+++ b/src/lotushill/requests/upstream_connection.py
@@ -52,9 +52,9 @@
 class UpstreamConnection(asyncio.Protocol):
     """Connection to an upstream that carries one request at a time."""
 
-    def __init__(self, answered_id: Callable[[Headers], str]) -> None:
+    def __init__(self, answer_request_id: Callable[[Headers], str]) -> None:
         """Create the protocol; `answered_id` returns the id of the request an answer belongs to."""
-        self._answered_id = answered_id
+        self._answered_id = answer_request_id
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._waiter: asyncio.Future[None] | None = None
--- a/src/lotushill/requests/upstream_pool.py
+++ b/src/lotushill/requests/upstream_pool.py
@@ -31,12 +31,12 @@
 
     def __init__(
         self,
-        answered_id: Callable[[Headers], str],
+        answer_request_id: Callable[[Headers], str],
         max_idle: Callable[[Upstream], int] = lambda _: _MAX_IDLE_CONNECTIONS,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
         """Create an empty pool; `max_idle` returns the limit of idle connections to an upstream."""
-        self._answered_id = answered_id
+        self._answered_id = answer_request_id
         self._max_idle = max_idle
         self._clock = clock
         self._idle: dict[str, list[UpstreamConnection]] = {}
--- a/tests/platform/test_object_store.py
+++ b/tests/platform/test_object_store.py
@@ -14,7 +14,7 @@
 from lotushill.links.messages import ViewKind
 from lotushill.platform.object_store import ObjectStore
 from lotushill.standin.metadata_app import MetadataApp
-from lotushill.standin.metadata_app import Trouble
+from lotushill.standin.metadata_app import StoreFault
 from lotushill.standin.metadata_store import MetadataStore
 from lotushill.views.exceptions import HistoryGoneError
 from lotushill.views.exceptions import MalformedViewError
@@ -65,8 +65,8 @@
         self.store.compact()
         with self.assertRaises(HistoryGoneError):
             await self.client.watch("k", 0, 0.1)
-        for trouble in (Trouble.BUSY, Trouble.MANY):
-            self.app.trouble = trouble
+        for trouble in (StoreFault.BUSY, StoreFault.MANY):
+            self.app.fault = trouble
             with self.assertRaises(StoreUnavailableError):
                 await self.client.list_kind("k")
 
@@ -144,13 +144,13 @@
         self.put_version(1)
 
         def fail() -> bool:
-            self.app.trouble = Trouble.BUSY
+            self.app.fault = StoreFault.BUSY
             self.store.put("config", "other", {})
             return True
 
         def recover() -> bool:
             self.put_version(2)
-            self.app.trouble = Trouble.NONE
+            self.app.fault = StoreFault.NONE
             return True
 
         await self.follow(
@@ -207,7 +207,7 @@
         self.store.put("servers", "i-2", {**UPSTREAM, "state": "draining"})
 
         def fail() -> bool:
-            self.app.trouble = Trouble.BUSY
+            self.app.fault = StoreFault.BUSY
             self.store.put("servers", "i-3", UPSTREAM)
             return True
 
@@ -217,7 +217,7 @@
             return True
 
         def recover() -> bool:
-            self.app.trouble = Trouble.NONE
+            self.app.fault = StoreFault.NONE
             return True
 
         await self.follow(
@@ -274,18 +274,18 @@
 
     async def test_a_store_that_comes_back_late_is_asked_for_the_holds_first(self) -> None:
         self.store.put("config", "main", SPEC)
-        self.app.trouble = Trouble.BUSY
+        self.app.fault = StoreFault.BUSY
         views = self.follow_from_start()
         while not any(b"dependency.lost" in line for line in self.lines):
             await asyncio.sleep(0.005)
         self.now += 10.0
-        self.app.busy_kind = "lotushill-quarantine"
-        self.app.trouble = Trouble.NONE
+        self.app.rejected_kind = "lotushill-quarantine"
+        self.app.fault = StoreFault.NONE
         while not views.upstreams.is_loaded:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.2)
         before = views.configuration.table
-        self.app.busy_kind = ""
+        self.app.rejected_kind = ""
         while views.configuration.table is None:
             await asyncio.sleep(0.005)
         await self.stop_following()
@@ -294,7 +294,7 @@
 
     async def test_where_the_holds_alone_cannot_be_read_it_serves_after_two_seconds(self) -> None:
         self.store.put("config", "main", SPEC)
-        self.app.busy_kind = "lotushill-quarantine"
+        self.app.rejected_kind = "lotushill-quarantine"
         views = self.follow_from_start()
         while not views.upstreams.is_loaded:
             await asyncio.sleep(0.005)
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -287,7 +287,7 @@
             1,
         )
         shared_load = SharedLoad("gw", fleet, self.clock, lambda _: self.service, lambda _: None)
-        pool = UpstreamPool(request_head.answered_id, clock=self.clock)
+        pool = UpstreamPool(request_head.answer_request_id, clock=self.clock)
         self.suspension = SuspensionWatch(
             self.clock, time.monotonic, self._on_woke, lambda _: self.confirmed
         )
--- a/tests/scheduling/test_upstream_incarnations.py
+++ b/tests/scheduling/test_upstream_incarnations.py
@@ -102,7 +102,7 @@
 
         server = ScriptedUpstream([whole])
         await server.start()
-        pool = UpstreamPool(request_head.answered_id)
+        pool = UpstreamPool(request_head.answer_request_id)
         (first,), (second,) = incarnation(1, server.address), incarnation(2, server.address)
         connection = await pool.acquire(first)
         connection.send("r", b"POST", b"POST / HTTP/1.1\r\nattempt-id: r\r\n\r\n")
