--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -330,8 +330,8 @@
         metrics = Metrics()
         ward = IsolationPolicy(self.isolation, self.view, self.clock)
         self.mover = Mover(
-            EngineMemoryClient(), placer, shared_load, self.view, ward, self.quarantine_gossip, budgets,
-            stated.rate, metrics, log, self.clock,
+            EngineMemoryClient(), placer, shared_load, self.view, ward, self.quarantine_gossip,
+            budgets, stated.rate, metrics, log, self.clock,
         )  # fmt: skip
         self.parts = GatewayParts(
             name="gw",
--- a/tests/scheduling/test_placer.py
+++ b/tests/scheduling/test_placer.py
@@ -50,7 +50,7 @@
 class FakeSchedulers:
     """Fake schedulers; this gateway is not one of them."""
 
-    def schedules(self) -> bool:
+    def is_scheduler(self) -> bool:
         return False
 
 
