--- a/src/lotushill/membership/__init__.py
+++ b/src/lotushill/membership/__init__.py
@@ -1,3 +1,3 @@
-"""Which gateways are there: heartbeats, suspicion and loss, and who owns what by hashing."""
+"""Membership of the fleet: failure detection by heartbeats, and roles assigned by hashing."""
 
 from __future__ import annotations
--- a/src/lotushill/membership/member_claim.py
+++ b/src/lotushill/membership/member_claim.py
@@ -1,4 +1,4 @@
-"""Which of two claims about one member is to be believed."""
+"""Decides which of two claims about one member takes precedence."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     MemberPhase.LEAVING: 2,
     MemberPhase.LOST: 3,
 }
-"""Which of two claims about one incarnation wins."""
+"""Precedence of claims about the same incarnation; the higher rank wins."""
 
 
 def beats(new: MemberState, old: MemberState) -> bool:
-    """Return whether one claim about a member overrules another."""
+    """Return whether a new claim about a member takes precedence over an old one."""
     if new.incarnation != old.incarnation:
         return new.incarnation > old.incarnation
     return _RANK[new.phase] > _RANK[old.phase]
--- a/src/lotushill/membership/members.py
+++ b/src/lotushill/membership/members.py
@@ -1,4 +1,4 @@
-"""What those who decide by the members read of them."""
+"""Read-only interface to the members, for code whose decisions depend on them."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class Members(Protocol):
-    """What one gateway knows of all."""
+    """All members as one gateway knows them."""
 
     @property
     def own(self) -> MemberState:
-        """Return the own state."""
+        """Return the state of this gateway."""
 
     @property
     def composition(self) -> int:
-        """Return a number that rises when a member comes, goes or changes its phase."""
+        """Return a number that increases when a member joins, leaves or changes its phase."""
 
     def find(self, name: str) -> MemberState | None:
-        """Return what is known of a member."""
+        """Return the known state of a member, or None if it is unknown."""
 
     def live(self) -> Sequence[MemberState]:
-        """Return oneself and all that are heard and do not leave."""
+        """Return this gateway and all members that are neither lost nor leaving."""
 
     def all(self) -> Sequence[MemberState]:
-        """Return oneself and all that are known, those that are lost included."""
+        """Return this gateway and all known members, including lost ones."""
--- a/src/lotushill/membership/membership.py
+++ b/src/lotushill/membership/membership.py
@@ -1,9 +1,9 @@
-"""Who is there: heartbeats with indirect probes, incarnations and suspicion before loss.
+"""Failure detection by heartbeats with indirect probes, incarnations and a suspicion phase.
 
-A pure state machine. Each period a member pings one other; without an answer it asks others
-to ping on its behalf, then suspects, then takes the silent member for lost. What it learns
-rides on the pings. A member that hears itself suspected answers with a higher incarnation.
-A member that comes asks a few for their roster in one exchange.
+A pure state machine. In each period a member pings one other member. Without an answer it asks
+others to ping on its behalf, then suspects the member, then declares it lost. Pings and pongs carry
+the changes that a member has learned. A member that receives a suspicion of itself refutes it with
+a higher incarnation. A member that joins pulls the roster of a few others in one exchange each.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Outgoing:
-    """A packet to send."""
+    """A packet to send, with the address of its receiver."""
 
     address: str
     message: Packet
@@ -59,7 +59,7 @@
 
 @dataclass
 class _Relay:
-    """A probe made on another's behalf."""
+    """An indirect probe, made on behalf of another member."""
 
     asker: str
     asker_sequence: int
@@ -67,7 +67,7 @@
 
 
 class Membership:
-    """One member's view of all members of its region."""
+    """View that one member has of all members of its region."""
 
     def __init__(
         self,
@@ -84,60 +84,56 @@
         self._news = News()
         self._round: list[str] = []
         self._rechecks: deque[str] = deque(maxlen=_MOST_RECHECKS)
-        """Members held for lost here that another one holds for alive."""
+        """Members that are lost here and that another member claims to be alive."""
         self._probe: _Probe | None = None
         self._relays: dict[int, _Relay] = {}
         self._sequence = rng.getrandbits(_SEQUENCE_BITS)
         self._seen: OrderedDict[tuple[str, int, bool, str], None] = OrderedDict()
         self._next_ping = 0.0
         self.dropped = 0
-        """Packets dropped as replayed or addressed wrongly."""
-
-    # Views
+        """Number of packets that were dropped as replayed or wrongly addressed."""
 
     @property
     def own(self) -> MemberState:
-        """Return the own state, as others are told."""
+        """Return the state of this member as sent to others."""
         return self._roster.own
 
     @property
     def version(self) -> int:
-        """Return a number that rises with every change of what is held of any member."""
+        """Return a number that increases with every change to the known state of any member."""
         return self._roster.version
 
     @property
     def composition(self) -> int:
-        """Return a number that rises when a member comes, goes or changes its phase."""
+        """Return a number that increases when a member joins, leaves or changes its phase."""
         return self._roster.composition
 
     @property
     def taken_for_lost(self) -> int:
-        """Return how often this member heard that others had taken it for lost."""
+        """Return how often this member was notified that others had declared it lost."""
         return self._roster.taken_for_lost
 
     def live(self) -> tuple[MemberState, ...]:
-        """Return oneself and all members not taken for lost or leaving."""
+        """Return this member and all members that are neither lost nor leaving."""
         return self._roster.live()
 
     def find(self, name: str) -> MemberState | None:
-        """Return what is held of a member, oneself included."""
+        """Return the known state of any member, this one included, or None if it is unknown."""
         return self._roster.find(name)
 
     def all(self) -> list[MemberState]:
-        """Return what is held of every member, oneself first."""
+        """Return the known states of all members, this one first."""
         return [self.own, *self._roster.others()]
 
     @property
     def count(self) -> int:
-        """Return of how many members anything is held, oneself included."""
+        """Return the number of known members, this one included."""
         return self._roster.count
 
     def take_changes(self) -> list[MemberChange]:
-        """Return the changes since the last call."""
+        """Return the phase changes since the last call."""
         return self._roster.take_changes()
 
-    # Own state
-
     def set_views(
         self,
         configuration: int,
@@ -146,7 +142,7 @@
         contact: StoreContact,
         holds: int = -1,
     ) -> bool:
-        """Let the next packets tell which views are held and how; return whether that is news."""
+        """Set the view revisions and store contact to send; return whether any changed."""
         state = replace(
             self.own,
             configuration=configuration,
@@ -161,19 +157,20 @@
         return True
 
     def announce(self) -> list[Outgoing]:
-        """Tell every live member of the own hall at once what is held here."""
+        """Return pings that send the own state to every live member of the own hall at once."""
         near = [state for state in self.live() if state.hall == self.own.hall]
         return [self._ping(state.address) for state in near if state.name != self.own.name]
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
-        """Take addresses of other members that were learned after the start."""
+        """Add addresses of other members that became known after the start."""
         known = {self.own.address, *self._seeds}
         self._seeds += [address for address in addresses if address not in known]
 
     def leave(self) -> list[Outgoing]:
-        """Tell the own hall and some others that this member takes no more work.
+        """Notify the own hall and some members of others that this member accepts no more work.
 
-        They tell the rest: told by itself, everybody in a large fleet would answer it.
+        They pass it on to the rest: if it pinged everybody itself, all members of a large fleet
+        would answer it.
         """
         self._roster.set_own(replace(self.own, phase=MemberPhase.LEAVING))
         near = [state for state in self.live() if state.hall == self.own.hall]
@@ -181,10 +178,8 @@
         told = near + self._rng.sample(far, min(self.options.leave_tells, len(far)))
         return [self._ping(state.address) for state in told]
 
-    # Events
-
     def tick(self, now: float) -> list[Outgoing]:
-        """Do what is due; call several times a period."""
+        """Return the packets that are due; to be called several times per period."""
         out = self._follow_probe(now)
         for name in self._roster.expire(now):
             self._news.add(name)
@@ -195,7 +190,7 @@
         return out
 
     def receive(self, message: Packet, source: str, now: float) -> list[Outgoing]:
-        """Take in one authentic packet that came from address `source`."""
+        """Process one authentic packet from the address `source` and return the answers."""
         if message.sender == self.own.name:
             self.dropped += 1
             return []
@@ -248,8 +243,6 @@
             del self._relays[next(iter(self._relays))]
         return [ping]
 
-    # Probing
-
     def _start_round(self, now: float) -> list[Outgoing]:
         target = self._next_target()
         if target is None:
@@ -261,7 +254,7 @@
         return [ping, *self._greet_stranger()]
 
     def _greet_stranger(self) -> list[Outgoing]:
-        """Return a ping to a seed that is no member yet: groups that formed apart come together."""
+        """Return a ping to a seed that is no member yet, so that separately formed groups merge."""
         known = {state.address for state in self._roster.others()}
         strangers = [seed for seed in self._seeds if seed not in known]
         return [self._ping(self._rng.choice(strangers))] if strangers else []
@@ -281,10 +274,10 @@
         return self._roster.find(self._round.pop()) if self._round else None
 
     def _recheck(self) -> list[Outgoing]:
-        """Ping members that were lost here: they hear so, and refute it if they are there.
+        """Ping members that are lost here, so that they receive the claim and refute it if alive.
 
-        Without it a hall of a large fleet that was cut off would come back member by member, as
-        the rare probes of lost ones reach them.
+        Without this, a hall of a large fleet would return from a partition member by member, as the
+        rare probes of lost members reach them.
         """
         out = []
         for _ in range(min(self.options.rechecks_a_tick, len(self._rechecks))):
@@ -315,10 +308,8 @@
         if self._roster.suspect(name, now):
             self._news.add(name)
 
-    # Rosters
-
     def _pull(self, message: Ping | Pong, source: str, now: float) -> list[Outgoing]:
-        """Return the question for what the sender knows and this member does not, if it is due."""
+        """Return a roster pull if the sender may know members unknown here and a pull is due."""
         if not message.known or not self._sync.wants(message.digest, message.known, now):
             return []
         return [Outgoing(source, RosterPull(self.own.name, self._roster.digests()))]
@@ -333,10 +324,11 @@
         ]
 
     def _repeated(self, message: Ping | Pong) -> bool:
-        """Return whether this very packet came before.
+        """Return whether an identical packet was received before.
 
-        Older replays that the memory no longer covers are harmless: states carry incarnations,
-        and only the answer to an open probe, whose number cannot be guessed, proves life.
+        Replays older than the remembered packets are harmless: states carry incarnations, and only
+        the answer to an open probe, whose sequence number cannot be guessed, proves that a member
+        is alive.
         """
         key = (message.sender, message.sequence, type(message) is Ping, message.target)
         if key in self._seen:
@@ -346,8 +338,6 @@
             self._seen.popitem(last=False)
         return False
 
-    # Packets
-
     def _ping(self, address: str, target: str = "", sequence: int = 0) -> Outgoing:
         own_sequence = self._next_sequence()
         gossip = self._gossip(address)
@@ -361,7 +351,7 @@
         return Outgoing(address, Pong(self.own.name, sequence, target, gossip, digest, known))
 
     def _gossip(self, address: str) -> tuple[MemberState, ...]:
-        """Return the own state, any doubt held of the receiver, and the freshest news."""
+        """Return the own state, claims that the receiver is not alive, and the latest changes."""
         passed: dict[str, MemberState] = {self.own.name: self.own}
         for state in self._roster.doubted_at(address):
             passed[state.name] = state
--- a/src/lotushill/membership/membership_options.py
+++ b/src/lotushill/membership/membership_options.py
@@ -1,4 +1,4 @@
-"""The timing of membership."""
+"""Timing and rates of the membership protocol."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 @dataclass(frozen=True)
 class MembershipOptions:
-    """Timing, in seconds."""
+    """Timing in seconds, counts and rates of the membership protocol."""
 
     period: float = 0.2
-    """Between two pings of one member."""
+    """Interval between two pings that a member sends."""
     probe_timeout: float = 0.1
-    """Without an answer for so long, others are asked to probe."""
+    """Time without an answer after which others are asked to probe the member."""
     suspect_after: float = 0.25
-    """Without any answer for so long, a member is suspected."""
+    """Time without any answer, direct or indirect, after which a member is suspected."""
     lost_after: float = 0.5
-    """A member suspected for so long is taken for lost."""
+    """Time after which a suspected member is declared lost."""
     left_after: float = 30.0
-    """A member that said it leaves is taken for lost after so long: its grace time is over."""
+    """Time after which a leaving member is declared lost, since its grace time is over."""
     forget_after: float = 600.0
-    """A lost member is probed now and then for so long, so that a healed cut is noticed."""
+    """Time for which a lost member is still probed occasionally, to detect a healed partition."""
     helpers: int = 2
-    """Members asked to probe on one's behalf."""
+    """Number of members that are asked to probe on behalf of another."""
     first_seeds: int = 3
-    """Members that one which knows nobody pings at a time: each answers with many states, so that
-    all of a large fleet would be a flood where many come at once."""
+    """Seeds that a member without known members pings at a time. Each answers with many states, so
+    pings to all seeds of a large fleet would flood it when many members join at once."""
     pull_first: float = 0.2
-    """Between two pulls of a roster by one that knows less than half of what others know."""
+    """Interval between roster pulls of a member that knows at most half of the live members."""
     pull_again: float = 1.0
-    """Between two pulls by others, and how long gossip has to settle a difference without one."""
+    """Interval between other roster pulls, and time for gossip to resolve a difference first."""
     pull_latest: float = 1.5
-    """A difference this old is pulled for also while members still come and go."""
+    """Age of a difference at which a roster is pulled even while members still join and leave."""
     rosters_a_second: float = 8.0
-    """Served at most by one member, so that what many newcomers ask costs it a bounded time."""
+    """Rosters that one member serves per second, so that many joins cost it a bounded time."""
     leave_tells: int = 8
-    """Members of other halls that one which leaves tells itself."""
+    """Number of members of other halls that a leaving member notifies itself."""
     rechecks_a_tick: int = 1
-    """Members held for lost here, and alive by another, that are pinged in one tick."""
+    """Members lost here and alive according to another member that are pinged in one tick."""
--- a/src/lotushill/membership/news.py
+++ b/src/lotushill/membership/news.py
@@ -1,24 +1,24 @@
-"""What a member still has to pass on of others."""
+"""Buffer of member changes that are still to be passed on by gossip."""
 
 from __future__ import annotations
 
 _REPEATS = 6
-"""Times that each item is passed on."""
+"""Number of packets that carry each change."""
 PER_PACKET = 12
 
 
 class News:
-    """Names of members whose states are news, the freshest first."""
+    """Names of members whose states changed; the most recent and least sent come first."""
 
     def __init__(self) -> None:
         self._left: dict[str, int] = {}
 
     def add(self, name: str) -> None:
-        """Note that a member's state changed."""
+        """Add a member whose state changed."""
         self._left[name] = _REPEATS
 
     def take(self) -> list[str]:
-        """Return the names for one packet; each is returned a few times in all."""
+        """Return the names for one packet; each name is returned a few times in total."""
         names = sorted(self._left, key=lambda name: -self._left[name])[:PER_PACKET]
         for name in names:
             self._left[name] -= 1
--- a/src/lotushill/membership/readers.py
+++ b/src/lotushill/membership/readers.py
@@ -1,7 +1,8 @@
-"""Which gateways read the platform's store; the others hear of changes from them.
+"""Selects the gateways that read the platform's store; the others receive changes from them.
 
-In each hall the first one or two by their hashes read. One that the store turns away goes on
-trying, and the next in order reads as well. A hall that is cut off from all others has its readers.
+In each hall the first one or two gateways in hash order read. A gateway that the store turns away
+keeps trying, and the next one in order reads as well. A hall in a partition of its own has its own
+readers.
 """
 
 from __future__ import annotations
@@ -17,19 +18,21 @@
     from lotushill.links.messages import MemberState
 
 READERS = 2
-"""In each of a few halls: one may fail without a gap."""
+"""Readers in each hall of a fleet with few halls, so that one may fail without a gap."""
 _MANY_HALLS = 4
-"""From so many live halls on one reader each is enough: while that of a hall fails, heartbeats tell
-its members within a second what those of the others hold. It halves the calls to the store."""
+"""Number of live halls from which one reader per hall is enough. While the reader of a hall fails,
+heartbeats carry the revisions of the other halls to its members within a second. One reader instead
+of two halves the calls to the store."""
 _FIRST_READERS = 3
-"""While nobody of a hall holds a configuration, as when all start at once: the quickest of several
-serves the others. With one, all of 18 gateways that had lost power served two seconds later."""
+"""Readers per hall while no gateway of the hall has a configuration, as when all start at once. The
+fastest of several serves the others. With a single reader, all 18 gateways of a hall that had lost
+power began to serve two seconds later."""
 _KEY = "reader"
 _ALL = 1_000_000
 
 
 def readers_of_a_hall(own: MemberState, members: Iterable[MemberState]) -> int:
-    """Return how many members of the own hall read while the store serves them."""
+    """Return the number of readers in the own hall while the store serves them."""
     known = [own, *members]
     if all(item.configuration < 0 for item in known if item.hall == own.hall):
         return _FIRST_READERS
@@ -38,17 +41,17 @@
 
 
 def readers_before(own: MemberState, members: Iterable[MemberState]) -> int:
-    """Return how many members of the own hall come first, those that the store serves alone."""
+    """Return how many members of the own hall precede `own` and are served by the store."""
     return sum(member.contact is not StoreContact.AWAY for member in _ahead(own, members))
 
 
 def reads(own: MemberState, members: Iterable[MemberState]) -> bool:
-    """Return whether a member reads the store itself, beside the live `members`."""
+    """Return whether a member reads the store itself, given the live `members`."""
     return readers_before(own, members) < readers_of_a_hall(own, members)
 
 
 def stands_in(own: MemberState, members: Iterable[MemberState]) -> bool:
-    """Return whether a member reads only since others are turned away by the store."""
+    """Return whether a member reads only because the store turns others away."""
     ahead = len(_ahead(own, members))
     return reads(own, members) and ahead >= readers_of_a_hall(own, members)
 
--- a/src/lotushill/membership/roster.py
+++ b/src/lotushill/membership/roster.py
@@ -1,4 +1,4 @@
-"""What one member holds of all members: their states, and which claims about them to believe."""
+"""Roster of all members known to one member: their states, merged from claims of others."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     from lotushill.membership.membership_options import MembershipOptions
 
 DIGESTS = 64
-"""Groups of names that are compared on their own, so that two rosters which differ in a few members
-exchange some of their states and not all. Told as 8 bytes each, these fit one datagram."""
+"""Number of groups of names with a digest each, so that two rosters which differ in a few members
+exchange some of their states and not all. Sent as 8 bytes each, the digests fit one datagram."""
 _SURE_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
-"""What a member says of itself; the others are what it is held for."""
+"""Phases that a member states of itself; the other phases are claims of other members."""
 _LIVE_PHASES = (MemberPhase.ALIVE, MemberPhase.SUSPECT)
 
 
 @dataclass(frozen=True)
 class MemberChange:
-    """One change of phase, for the log and for those who follow it."""
+    """One change of phase, for the log and for code that follows the members."""
 
     member: MemberState
     former: MemberPhase | None
@@ -37,34 +37,32 @@
 class _Entry:
     state: MemberState
     since: float
-    """When the phase last changed."""
+    """Time at which the phase last changed."""
 
 
 class Roster:
-    """The states of all members, oneself included; pure, with the clock passed in."""
+    """States of all members, this one included; pure, with the time passed in."""
 
     def __init__(self, own: MemberState, options: MembershipOptions) -> None:
         self.own = own
         self._options = options
         self._entries: dict[str, _Entry] = {}
         self._fading: set[str] = set()
-        """Members that are suspected, leaving or lost, so that their time may run out."""
+        """Members that are suspected, leaving or lost, whose phase ends with a timeout."""
         self._live: tuple[MemberState, ...] | None = None
         self._digests: tuple[int, ...] | None = None
         self._changes: list[MemberChange] = []
         self.version = 0
-        """Rises with every change of what is held of any member, oneself included."""
+        """Number that increases with every change to the state of any member, this one included."""
         self.composition = 0
-        """Rises when a member comes, goes or changes its phase, oneself included."""
+        """Number that increases when any member (or this one) joins, leaves or changes its phase."""
         self.changed_at = float("-inf")
-        """When a member last came, went or was doubted."""
+        """Time at which a member last joined, left or was suspected."""
         self.taken_for_lost = 0
-        """Times that this member heard that others had taken it for lost."""
-
-    # Views
+        """Number of times that this member was notified that others had declared it lost."""
 
     def live(self) -> tuple[MemberState, ...]:
-        """Return oneself and all members not taken for lost or leaving."""
+        """Return this member and all members that are neither lost nor leaving."""
         if self._live is None:
             own = (self.own,) if self.own.phase is MemberPhase.ALIVE else ()
             others = (entry.state for entry in self._entries.values())
@@ -72,35 +70,33 @@
         return self._live
 
     def find(self, name: str) -> MemberState | None:
-        """Return what is held of a member, oneself included."""
+        """Return the known state of any member, this one included, or None if it is unknown."""
         if name == self.own.name:
             return self.own
         entry = self._entries.get(name)
         return entry.state if entry else None
 
     def others(self) -> list[MemberState]:
-        """Return what is held of every other member."""
+        """Return the known states of all other members."""
         return [entry.state for entry in self._entries.values()]
 
     def doubted_at(self, address: str) -> list[MemberState]:
-        """Return the members of an address that are not held for alive."""
+        """Return the members at an address that are suspected, leaving or lost."""
         fading = (self._entries[name].state for name in self._fading)
         return [state for state in fading if state.address == address]
 
     @property
     def count(self) -> int:
-        """Return of how many members anything is held, oneself included."""
+        """Return the number of known members, this one included."""
         return 1 + len(self._entries)
 
     def take_changes(self) -> list[MemberChange]:
-        """Return the changes since the last call."""
+        """Return the phase changes since the last call."""
         taken, self._changes = self._changes, []
         return taken
 
-    # Comparing rosters
-
     def digests(self) -> tuple[int, ...]:
-        """Return a number for each group of names: equal where the same members are live."""
+        """Return a digest for each group of names; equal if the same members are live."""
         if self._digests is None:
             found = [0] * DIGESTS
             for state in self.live():
@@ -110,17 +106,17 @@
         return self._digests
 
     def digest(self) -> int:
-        """Return one number for all live members."""
+        """Return one digest of all live members."""
         folded = 0
         for number in self.digests():
             folded ^= number
         return folded
 
     def differing(self, digests: Sequence[int], asker: str) -> list[MemberState]:
-        """Return the members to tell `asker`, which holds other digests.
+        """Return the members to send to `asker`, whose digests differ.
 
-        Who is doubted or lost is told in the own hall only, which a cut leaves whole: elsewhere the
-        claim could overrule what the asker hears itself.
+        Suspected and lost members are sent within the own hall only, which a partition does not
+        divide: in another hall the claim could override what the asker observes itself.
         """
         own = self.digests()
         if len(digests) != len(own):
@@ -138,21 +134,19 @@
         group = xxhash.xxh64_intdigest(name) % DIGESTS
         return own[group] != other[group]
 
-    # Changes
-
     def set_own(self, state: MemberState) -> None:
-        """Change one's own state, which then overrules what others hold of it."""
+        """Change the own state, with a new incarnation that supersedes the state others hold."""
         if state.phase is not self.own.phase:
             self._recompose()
         self.own = replace(state, incarnation=state.incarnation + 1)
         self._touch()
 
     def merge(self, state: MemberState, now: float) -> bool:
-        """Take in a claim; return whether others have to hear of it.
+        """Merge a claim about a member; return whether it is to be passed on to others.
 
-        Who it is and how it reads is passed on, but not what it holds: what views a member holds it
-        tells itself, in each of its packets. Passed on by all others as well, each change of an
-        upstream would fill the packets of the whole fleet.
+        Changes of a member's phase and store contact are passed on, but not those of the views that
+        it holds: each member sends these itself, in each of its packets. If all others passed them
+        on as well, each change of an upstream would fill the packets of the whole fleet.
         """
         if state.name == self.own.name:
             self._refute(state)
@@ -171,13 +165,13 @@
         return state.phase is not former.phase or state.contact is not former.contact
 
     def contradicts_loss(self, state: MemberState) -> bool:
-        """Return whether a claim says that one is alive that is held for lost here."""
+        """Return whether a claim states that a member is alive which is lost here."""
         held = self._entries.get(state.name)
         lost = held is not None and held.state.phase is MemberPhase.LOST
         return lost and state.phase is MemberPhase.ALIVE
 
     def suspect(self, name: str, now: float) -> bool:
-        """Doubt a member that does not answer; return whether that is news."""
+        """Suspect a member that does not answer; return whether this changed its phase."""
         entry = self._entries.get(name)
         if entry is None or entry.state.phase is not MemberPhase.ALIVE:
             return False
@@ -185,7 +179,7 @@
         return True
 
     def expire(self, now: float) -> list[str]:
-        """Let time run out for those that fade; return whom others have to hear of."""
+        """Apply the timeouts of members that are not alive; return the names to pass on."""
         news = []
         for name in list(self._fading):
             entry = self._entries[name]
--- a/src/lotushill/membership/roster_sync.py
+++ b/src/lotushill/membership/roster_sync.py
@@ -1,4 +1,7 @@
-"""When rosters that differ are exchanged: rarely, with few, and at a bounded rate. Pure."""
+"""Decides when differing rosters are exchanged: rarely, with few members, at a bounded rate.
+
+Pure, with the time passed in.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +13,11 @@
 
 
 class RosterSync:
-    """Decides whom to ask for a roster, and whether to answer one that asks.
+    """Decides which members to pull a roster from, and whether to answer a pull.
 
-    Gossip spreads who comes and goes. What it leaves out is found by the digests that every packet
-    carries: a member whose digest differs pulls the groups of members in which the two differ.
+    Gossip spreads joins and leaves. Changes that it missed are detected by the digests that every
+    packet carries: a member whose digest differs pulls the groups of members in which the two
+    differ.
     """
 
     def __init__(self, roster: Roster, options: MembershipOptions) -> None:
@@ -25,7 +29,7 @@
         self._credit_at = 0.0
 
     def wants(self, digest: int, known: int, now: float) -> bool:
-        """Return whether to pull from a member that holds `known` live members with a digest."""
+        """Return whether to pull from a member that has `known` live members with this digest."""
         if digest == self._roster.digest():
             self._differs_since = None
             return False
@@ -37,7 +41,7 @@
         return True
 
     def serves(self, now: float) -> bool:
-        """Return whether to answer a pull now; one that is passed over asks somebody else."""
+        """Return whether to answer a pull now; a member without an answer asks another one."""
         rate = self._options.rosters_a_second
         self._credit = min(rate, self._credit + rate * max(0.0, now - self._credit_at))
         self._credit_at = now
--- a/src/lotushill/membership/schedulers.py
+++ b/src/lotushill/membership/schedulers.py
@@ -1,8 +1,9 @@
-"""Which gateways hold the model of all upstreams and place requests for the others.
+"""Selects the gateways that keep the model of all upstreams and place requests for the others.
 
-In a small fleet every gateway does. In a large one the few with the highest hashes of each hall do:
-hearing of each request of all others would cost a gateway more than its own requests. Every member
-works out the same schedulers from the same members; two that disagree cost time, never a promise.
+In a small fleet every gateway does. In a large fleet the few with the highest hashes of each hall
+do: to receive an update on each request of all others would cost a gateway more than its own
+requests. Every member computes the same schedulers from the same members; a disagreement between
+two members costs time but breaks no promise.
 """
 
 from __future__ import annotations
@@ -18,17 +19,19 @@
     from lotushill.membership.members import Members
 
 SMALL_FLEET = 16
-"""Gateways up to which everybody schedules: hearing some 100 requests a second is then cheaper than
-asking for each of ten that a gateway has itself."""
+"""Number of gateways up to which every gateway is a scheduler. In such a fleet it is cheaper to
+receive updates on some 100 requests per second than to send a query for each of a gateway's own
+ten."""
 SCHEDULERS = 2
-"""In each hall: they share its requests, and one goes on should the other fail."""
+"""Schedulers per hall: they share its requests, and if one fails the other continues."""
 _SILENT_SECONDS = 0.7
-"""A scheduler that did not answer is asked last for so long: by then a lost one is suspected."""
+"""Time for which a scheduler that did not answer is asked last; by its end a lost scheduler is
+suspected."""
 _KEY = "scheduler"
 
 
 class Schedulers:
-    """The schedulers among the live members, worked out when these change."""
+    """Schedulers among the live members, recomputed when these change."""
 
     def __init__(self, membership: Members) -> None:
         self._membership = membership
@@ -38,36 +41,37 @@
         self._own = True
         self._small = True
         self._silent: dict[str, float] = {}
-        """Schedulers that did not answer, by when they are asked again."""
+        """Time until which each scheduler that did not answer is asked last, by name."""
 
     def schedules(self) -> bool:
-        """Return whether this gateway places by itself, for all others or for its hall."""
+        """Return whether this gateway places requests itself, for all others or for its hall."""
         self._look()
         return self._own
 
     def small_fleet(self) -> bool:
-        """Return whether everybody schedules."""
+        """Return whether the fleet is so small that every gateway is a scheduler."""
         self._look()
         return self._small
 
     def others(self) -> list[MemberState]:
-        """Return all schedulers but this gateway."""
+        """Return all schedulers except this gateway."""
         self._look()
         return self._found(name for name in self._all if name != self._membership.own.name)
 
     def note_silent(self, name: str, now: float) -> None:
-        """Note that a scheduler did not answer in time."""
+        """Record that a scheduler did not answer in time."""
         self._silent[name] = now + _SILENT_SECONDS
 
     def note_answer(self, name: str) -> None:
-        """Note that a scheduler answers."""
+        """Record that a scheduler answered."""
         self._silent.pop(name, None)
 
     def in_order(self, now: float, turn: int = 0) -> list[MemberState]:
-        """Return whom this gateway asks: its hall's, then the first of other halls.
+        """Return the schedulers to ask, in order: the own hall's, then the first of each other hall.
 
-        `turn`, the number of a request, spreads them over the schedulers of the hall: one that
-        answers all of a burst is late on a weak host. Those that were silent lately come last.
+        `turn`, the number of a request, distributes the requests over the schedulers of the hall: a
+        scheduler on a weak host that answers a whole burst alone is late. Schedulers that recently
+        did not answer come last.
         """
         self._look()
         own = self._membership.own
@@ -80,7 +84,7 @@
         return self._found(order)
 
     def halls(self) -> dict[str, tuple[str, ...]]:
-        """Return the names of the schedulers of each hall."""
+        """Return the names of the schedulers by hall."""
         self._look()
         return self._halls
 
--- a/tests/membership/network.py
+++ b/tests/membership/network.py
@@ -1,4 +1,4 @@
-"""A few members on a virtual network with a virtual clock."""
+"""Members on a simulated network with a simulated clock."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Network:
-    """Delivers packets within the step, unless they are lost or cut off."""
+    """Delivers packets within the same time step, unless they are lost or cross a partition."""
 
     def __init__(self, count: int, seed: int = 1, loss: float = 0.0) -> None:
         self.rng = random.Random(seed)
@@ -28,13 +28,13 @@
         self.members: dict[str, Membership] = {}
         self.down: set[str] = set()
         self.cut: set[str] = set()
-        """Members that can be reached only by one another."""
+        """Members on one side of a partition, which can reach only each other."""
         self.packets = 0
         self.states = 0
-        """States of members that the packets carried."""
+        """Number of member states that the packets carried."""
         self.halls = 2
         self._addresses: dict[str, str] = {}
-        """Names by address."""
+        """Names of members by address."""
         for index in range(count):
             self.add(index)
 
@@ -44,7 +44,7 @@
         incarnation: int = 1,
         seeds: Iterable[str] = ("10.0.0.0:1", "10.0.0.1:1"),
     ) -> Membership:
-        """Start a member, or start one again."""
+        """Start or restart a member."""
         name = self.name(index)
         hall = f"hall-{index % self.halls}"
         address = self.address(index)
@@ -58,16 +58,14 @@
 
     @staticmethod
     def name(index: int) -> str:
-        """Return the name of a member."""
         return f"entry-{index}"
 
     @staticmethod
     def address(index: int) -> str:
-        """Return the address of a member."""
         return f"10.0.0.{index}:1"
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and tick the running members in each step."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP
@@ -76,7 +74,7 @@
                     self.send(name, member.tick(self.now))
 
     def send(self, sender: str, packets: Iterable[Outgoing]) -> None:
-        """Deliver packets and the answers to them."""
+        """Deliver packets and their answers."""
         for packet in packets:
             self.packets += 1
             if not isinstance(packet.message, RosterPull):
@@ -91,7 +89,7 @@
             self.send(receiver.own.name, answers)
 
     def views(self) -> dict[str, set[str]]:
-        """Return the live members that each running member sees."""
+        """Return the live members as each running member knows them."""
         return {
             name: {state.name for state in member.live()}
             for name, member in self.members.items()
--- a/tests/membership/test_large_fleet.py
+++ b/tests/membership/test_large_fleet.py
@@ -1,8 +1,8 @@
-"""What a change of a large fleet costs each member: packets and states in virtual time.
+"""Cost of a change in a large fleet per member: packets and states, in simulated time.
 
-Members that came at once used to make everybody tell them everything: with 195 members and 40 that
-joined, each member carried 8,250 states of others within half a second, and requests waited
-meanwhile. The figures here are bounds on what one member sends.
+Guards against floods when many members join at once. If every member sends its whole roster to each
+of them, then with 195 members and 40 joining each member carries 8,250 states of others within half
+a second, and requests wait meanwhile. The limits here bound what one member sends.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def grown(count: int, halls: int = 6) -> Network:
-    """Return a network in which all members know one another."""
+    """Return a network in which all members know each other."""
     network = Network(0)
     network.halls = halls
     addresses = [network.address(index) for index in range(count)]
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under loss, crashes, cuts, restarts and planned leaves."""
+"""Membership under packet loss, crashes, partitions, restarts and planned leaves."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.membership.network import Network
 
 SECONDS_TO_NOTICE = 4.0
-"""Within so long everybody knows of a change, in a fleet as small as these."""
+"""Time within which every member of these small fleets knows of a change."""
 
 
 class TestMembership(unittest.TestCase):
--- a/tests/membership/test_membership_fuzz.py
+++ b/tests/membership/test_membership_fuzz.py
@@ -1,4 +1,4 @@
-"""Packets that nobody planned, from members with the right key or from strangers without."""
+"""Arbitrary packets, from members with the right key and from senders without it."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 class TestConnections(unittest.TestCase):
     def test_a_peer_with_an_address_that_is_none_is_down(self) -> None:
-        """Such an address may come with the state of a member from another version."""
+        """An invalid address may arrive in the state of a member that runs another version."""
         down: list[str] = []
 
         async def main() -> None:
--- a/tests/membership/test_readers.py
+++ b/tests/membership/test_readers.py
@@ -1,4 +1,4 @@
-"""Who reads the store: enough in each hall, and never more than are needed."""
+"""Readers of the store: enough in each hall, and never more than needed."""
 
 from __future__ import annotations
 
