--- a/src/lotushill/membership/roster.py
+++ b/src/lotushill/membership/roster.py
@@ -55,7 +55,7 @@
         self.version = 0
         """Number that increases with every change to the state of any member, this one included."""
         self.composition = 0
-        """Number that increases when any member (or this one) joins, leaves or changes its phase."""
+        """Number that increases when this or another member joins, leaves or changes its phase."""
         self.changed_at = float("-inf")
         """Time at which a member last joined, left or was suspected."""
         self.taken_for_lost = 0
--- a/src/lotushill/membership/schedulers.py
+++ b/src/lotushill/membership/schedulers.py
@@ -67,7 +67,7 @@
         self._silent.pop(name, None)
 
     def in_order(self, now: float, turn: int = 0) -> list[MemberState]:
-        """Return the schedulers to ask, in order: the own hall's, then the first of each other hall.
+        """Return the schedulers to ask, in order: the own hall's, then the first of each other.
 
         `turn`, the number of a request, distributes the requests over the schedulers of the hall: a
         scheduler on a weak host that answers a whole burst alone is late. Schedulers that recently
--- a/src/lotushill/peering/__init__.py
+++ b/src/lotushill/peering/__init__.py
@@ -1,3 +1,3 @@
-"""What gateways tell each other, and what each keeps of it."""
+"""Exchange of state between gateways, and the state that each keeps from it."""
 
 from __future__ import annotations
--- a/src/lotushill/peering/group_keeper.py
+++ b/src/lotushill/peering/group_keeper.py
@@ -1,4 +1,4 @@
-"""Learns which groups of requests are to be kept apart, and tells the other gateways."""
+"""Detects which groups of requests are to be isolated, and notifies the other gateways."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class GroupKeeper:
-    """Stands between the request path, the peers and the groups that are kept apart."""
+    """Connects the request path and the other gateways to the isolation of groups."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Tell as the gateway `name`; `tell` sends to all other gateways."""
+        """Send as the gateway `name`; `tell` sends to all other gateways."""
         self._name = name
         self._isolation = isolation
         self._tell = tell
@@ -46,20 +46,18 @@
         self._ends: RepeatSchedule[GroupEnd] = RepeatSchedule()
         self._proofs: RepeatSchedule[Group] = RepeatSchedule()
         self._timer = TrickleTimer(rng)
-        """For what is kept apart: a gateway that starts anew has seen none of the ends."""
-
-    # The request path
+        """Timer for the isolated groups: a restarted gateway has not seen the upstream failures."""
 
     def isolates(self, groups: Iterable[Group]) -> bool:
-        """Return whether a request of these groups is kept apart."""
+        """Return whether a request of these groups is isolated."""
         return not self._isolation.is_empty and self._isolation.is_isolated(groups, self._clock())
 
     def note_whole(self, groups: Iterable[Group]) -> None:
-        """Note a whole answer."""
+        """Record a completed request of these groups."""
         self._isolation.record_completion(groups, self._clock())
 
     def note_end(self, groups: Iterable[Group], upstream: str) -> None:
-        """Note that an upstream ended before a request of these groups had its first event."""
+        """Record that an upstream failed before a request of these groups had its first event."""
         now = self._clock()
         for group in groups:
             whole = self._isolation.completion_count(group, now)
@@ -68,20 +66,18 @@
             self._take_end(end, self._name)
 
     def expire(self) -> None:
-        """Forget groups under which no upstream has ended for a while."""
+        """Discard groups under which no upstream has failed for a while."""
         self._isolation.expire(self._clock())
 
-    # Peers
-
     def receive(self, news: GroupNews) -> None:
-        """Take what another gateway knows."""
+        """Merge an update from another gateway."""
         for end in news.ends:
             self._hear_end(end, news.sender)
         if news.isolated:
             self._hear_isolated(news.isolated)
 
     def _hear_end(self, end: GroupEnd, teller: str) -> None:
-        """Take an end, or whole answers alone; tell of own whole answers that speak for it."""
+        """Merge an upstream failure or completions; schedule a report of own completions if any."""
         now = self._clock()
         group = Group(end.service, end.label)
         if not end.upstream:
@@ -117,23 +113,21 @@
         )
         self._timer.reset(self._clock())
 
-    # What is due
-
     def next_due(self) -> float:
-        """Return when something is to be told, infinity for never."""
+        """Return when the next update is due, infinity if none is."""
         if self._isolation.is_empty:
             return math.inf
         return min(self._ends.next_due(), self._proofs.next_due(), self._timer.next_due)
 
     def tell_due(self) -> None:
-        """Send what is due."""
+        """Send the updates that are due."""
         ends = [*self._ends.pop_due(self._clock()), *self._due_proofs()]
         for start in range(0, len(ends), _MOST_IN_DATAGRAM):
             self._tell(GroupNews(self._name, tuple(ends[start : start + _MOST_IN_DATAGRAM])))
         self._tell_isolated()
 
     def _due_proofs(self) -> list[GroupEnd]:
-        """Return whole answers that are due to be told: once enough are known, no more are."""
+        """Return the reports of completions that are due; none once enough are known."""
         now = self._clock()
         found = []
         for group in self._proofs.pop_due(now):
--- a/src/lotushill/peering/leaving_keeper.py
+++ b/src/lotushill/peering/leaving_keeper.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of upstreams that said that they leave."""
+"""Updates between gateways on upstreams that have announced a shutdown in an answer."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class LeavingKeeper:
-    """Passes on what upstreams say in answers, for as long as their entries do not say it.
+    """Passes on the announcements of leaving upstreams until their entries in the store show them.
 
-    The entry of an upstream that leaves is late in an outage of the store, and silent where the
-    upstream never says there that it drains: the gateways that it did not answer would go on
-    sending it requests until it has ended.
+    The entry of a leaving upstream is late during an outage of the store, and never shows it if the
+    upstream does not mark itself as draining there. The gateways without an answer from it would
+    then keep sending it requests until it has terminated.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Tell as the gateway `name`; `tell` sends to all other gateways."""
+        """Send as the gateway `name`; `tell` sends to all other gateways."""
         self._name = name
         self._upstreams = upstreams
         self._tell = tell
@@ -41,11 +41,11 @@
         self._telling = AnnouncementSchedule(rng)
 
     def note(self, upstream_id: str) -> None:
-        """Note that an upstream has said in an answer that it leaves."""
+        """Record that an upstream announced in an answer that it leaves."""
         self._take(upstream_id, "answer")
 
     def receive(self, news: LeavingNews) -> None:
-        """Take what another gateway was told."""
+        """Merge the announcements that another gateway knows."""
         for upstream_id in news.upstreams:
             self._take(upstream_id, news.sender)
         missing = set(self._upstreams.leaving_by_word) - set(news.upstreams)
@@ -58,7 +58,7 @@
             self._telling.note(upstream_id, self._clock())
 
     def tell_due(self) -> None:
-        """Tell the others, if that is due."""
+        """Send an update to the other gateways if one is due."""
         leaving = self._upstreams.leaving_by_word
         told = self._telling.due_names(leaving, self._clock())
         if told:
--- a/src/lotushill/peering/member_log.py
+++ b/src/lotushill/peering/member_log.py
@@ -1,4 +1,4 @@
-"""Log lines on members that come and go: one each while they are few, then one for all of them."""
+"""Log lines on member changes: one for each while they are few, then one summary for the rest."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
     from lotushill.membership.roster import MemberChange
 
 _SINGLE_LINES = 4
-"""Changes with a line of their own within a span: where hundreds of gateways restart in turn, each
-would write a line for each stop and start of all others."""
+"""Maximum number of changes per interval with a line of their own. Without it, in a rolling restart
+of hundreds of gateways each would write a line for each stop and start of all others."""
 _SPAN_SECONDS = 1.0
 _MOST_NAMES = 8
-"""Named in a line on many; the others are counted."""
+"""Maximum number of members that a summary line names; the others are only counted."""
 
 
 class MemberLog:
-    """Writes a bounded number of lines; pure but for the log, with the clock passed in."""
+    """Writes a bounded number of log lines; pure except for the log, with the time passed in."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
@@ -26,7 +26,7 @@
         self._held: list[MemberChange] = []
 
     def note(self, change: MemberChange, now: float) -> None:
-        """Write a line on a change, or hold it for the line on many."""
+        """Write a line on a change, or keep the change for the next summary line."""
         self.flush(now)
         if self._lines >= _SINGLE_LINES:
             self._held.append(change)
@@ -44,7 +44,7 @@
         )
 
     def flush(self, now: float) -> None:
-        """Write the line on many when their span is over."""
+        """Write the summary line if the interval has ended."""
         if now < self._span_ends:
             return
         self._lines = 0
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -1,4 +1,4 @@
-"""The other gateways: heartbeats, load and placement by datagrams, views by connections."""
+"""Communication with other gateways: views by connections, all other messages by datagrams."""
 
 from __future__ import annotations
 
@@ -83,52 +83,52 @@
 
 @dataclass(frozen=True)
 class PeerHooks:
-    """What the parts of a gateway give to its peers, and take from them."""
+    """Callbacks that connect the parts of a gateway with its peers."""
 
     view_revision: Callable[[ViewKind], int]
     view_text: Callable[[ViewKind], tuple[int, str]]
-    """Revision and JSON text of a view."""
+    """Returns the revision and JSON text of a view."""
     on_view: Callable[[ViewKind, int, str], None]
-    """Takes a peer's view; raises MalformedViewError."""
+    """Receives a peer's view; raises MalformedViewError."""
     contact: Callable[[], StoreContact]
     upstream_id: Callable[[int], str | None]
-    """Finds an upstream by the number that stands for it between gateways."""
+    """Returns an upstream's id by the number that represents it between gateways."""
     on_load: Callable[[Load], None]
     everything: Callable[[], list[Load]]
-    """All that is held to run."""
+    """Returns all requests that are known to be running."""
     paces: Callable[[], list[LongTermPace]]
-    """What is known of the pace of upstreams."""
+    """Returns the known long-term paces of upstreams."""
     on_paces: Callable[[list[LongTermPace]], None]
-    """Hears what another scheduler knows of it."""
+    """Receives the paces that another scheduler knows."""
     on_gone: Callable[[str], None]
-    """Hears of a gateway that left or was lost."""
+    """Receives the name of a gateway that left or was lost."""
     answer: Callable[[PlacementAsk, float], PlacementAnswer]
     """Places a request for another gateway."""
     on_late: Callable[[int], None]
-    """Hears of a request that was placed too late to be sent."""
+    """Receives the number of a request that was placed too late to be sent."""
     on_work_pull: Callable[[WorkPull], Iterable[WorkPage]]
-    """Tells what this gateway counted."""
+    """Returns the usage counts of this gateway."""
     on_work_page: Callable[[WorkPage], None]
-    """Hears what another gateway counted."""
+    """Receives the usage counts of another gateway."""
     on_suspects: Callable[[SuspectNews | ClearedNews | GroupNews], None]
-    """Hears of requests under which upstreams ended, or did not."""
+    """Receives updates on requests under which upstreams failed or did not fail."""
     on_leaving: Callable[[LeavingNews], None]
-    """Hears of upstreams that said that they leave."""
+    """Receives updates on upstreams that announced that they leave."""
     on_limits: Callable[[LimitNews], None]
-    """Hears of limits that upstreams named."""
+    """Receives updates on limits that upstreams stated."""
     on_permit_ask: Callable[[PermitAsk], PermitAnswer]
-    """Counts for an upstream with a limit."""
+    """Answers a permit request for an upstream with a limit."""
     on_permit_answer: Callable[[PermitAnswer], None]
     on_returns: Callable[[ReturnNews], None]
-    """Hears of callers that were told when to come back."""
+    """Receives updates on refused callers with a promised retry time."""
     on_tick: Callable[[], None]
-    """Called some twenty times a second."""
+    """Runs about twenty times a second."""
     on_waiting: Callable[[WaitingNews], None] = lambda _: None
-    """Hears how many requests wait at another scheduler."""
+    """Receives the number of requests in the queue of another scheduler."""
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Knows which gateways are there and passes messages between them."""
+    """Tracks the other gateways and exchanges messages with them."""
 
     def __init__(
         self,
@@ -138,12 +138,11 @@
         hooks: PeerHooks,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
-        """Make the parts."""
         self._member_log = MemberLog(log)
         self._clock = clock
         self._hooks = hooks
         self._address = settings.peers
-        # The platform hands out no secret: this key only keeps frames of other fleets out.
+        # The platform provides no secret: this key only rejects frames of other fleets.
         digest = hashlib.blake2b(settings.store.encode(), digest_size=16).digest()
         self._seal = Seal((digest,))
         own = MemberState(
@@ -167,13 +166,13 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._cut_off: set[str] = set()
         self._cut_off_at = -1
-        """Version of the membership when the halls that are cut off were worked out."""
+        """Version of the membership for which the unreachable halls were computed."""
         self.malformed = 0
-        """Packets dropped because they could not be read."""
+        """Number of packets that were dropped because they could not be decoded."""
         self.bytes_sent = 0
 
     async def run(self, group: TaskGroup) -> None:
-        """Bind, and keep the membership going for ever."""
+        """Bind the address and run the membership protocol forever."""
         host, port = split_address(self._address)
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
@@ -187,18 +186,18 @@
             await anyio.sleep(_TICK_SECONDS)
 
     async def _flush_for_ever(self) -> None:
-        """Pass on load that waits; nothing is woken up for while none does."""
+        """Pass on pending load updates; without any, the task sleeps."""
         while True:
             await self._relay.wait_for_pending()
             await anyio.sleep(BATCH_INTERVAL_SECONDS)
             self._relay.flush_due(self._clock())
 
     def count(self) -> int:
-        """Return how many gateways have been seen, those that are lost included."""
+        """Return the number of known gateways, including lost ones."""
         return self.membership.count
 
     def is_cut_off(self, hall: str) -> bool:
-        """Return whether gateways of a hall are known, and none of them is heard."""
+        """Return whether gateways of a hall are known but none of them is reachable."""
         if self.membership.version != self._cut_off_at:
             self._cut_off_at = self.membership.version
             known = self.membership.all()
@@ -207,32 +206,32 @@
         return hall in self._cut_off or self._hall_contact.is_silent(hall, self._clock())
 
     def is_near(self, name: str) -> bool:
-        """Return whether a gateway stands in the own hall."""
+        """Return whether a gateway is in the own hall."""
         member = self.membership.find(name)
         return member is not None and member.hall == self.membership.own.hall
 
     def leave(self) -> None:
-        """Tell the others that this gateway stops."""
+        """Notify the other gateways that this one stops."""
         self._send_all(self.membership.leave())
 
     def tell_load(self, load: Load) -> None:
-        """Tell the schedulers of requests placed and ended."""
+        """Send requests that were placed or ended to the schedulers."""
         self._relay.publish(pack(load), load.number, self._clock())
 
     def tell_all(self, message: Message) -> None:
-        """Send a message to every other gateway that is heard."""
+        """Send a message to every other live gateway."""
         data = self._seal.sign(to_datagram(message), _CONTEXT)
         for member in self.membership.live():
             if member.name != self.membership.own.name:
                 self._send(data, member.address)
 
     def tell_schedulers(self, message: Message) -> None:
-        """Send a message to every scheduler but this gateway."""
+        """Send a message to every scheduler except this gateway."""
         for scheduler in self.schedulers.others():
             self.send_message(message, scheduler.address)
 
     def send_to(self, message: Message, name: str) -> None:
-        """Send a message to one gateway, if it is known."""
+        """Send a message to one gateway if it is known."""
         member = self.membership.find(name)
         if member is not None:
             self.send_message(message, member.address)
@@ -253,10 +252,8 @@
         except MalformedFrameError:
             self.malformed += 1
 
-    # The edge
-
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Take in a datagram."""
+        """Decode a datagram and pass its message to the part that handles it."""
         try:
             message = from_datagram(self._seal.open(data, _CONTEXT))
         except (ForgedFrameError, MalformedFrameError):
@@ -299,7 +296,7 @@
             self._follow_changes(now)
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over the news that an earlier datagram did not arrive."""
+        """Ignore the notice that an earlier datagram was not delivered."""
 
     def _send_all(self, packets: Iterable[Outgoing]) -> None:
         for packet in packets:
@@ -331,8 +328,6 @@
             self._take_records(message.records)
             self.model_sync.note_page()
 
-    # What is due
-
     def _tick(self, now: float) -> None:
         self._hooks.on_tick()
         revisions = {kind: self._hooks.view_revision(kind) for kind in ViewKind}
--- a/src/lotushill/peering/quarantine_keeper.py
+++ b/src/lotushill/peering/quarantine_keeper.py
@@ -1,4 +1,4 @@
-"""Learns which requests end upstreams, and tells the other gateways."""
+"""Detects which requests make upstreams fail, and notifies the other gateways."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
     Clock = Callable[[], float]
 
 _ENDS_TO_STOP = 2
-"""Upstreams that ended under a request, after which one arrival of it is not sent on again."""
+"""Number of upstreams that failed under a request from which an arrival of it is not retried."""
 _MOST_IN_DATAGRAM = 8
 _MOST_PATH = 120
 _MOST_UPSTREAMS = 4
-"""Told with a suspect; more than hold it need not be known elsewhere."""
+"""Maximum number of upstreams sent with a suspect; others need no more than it takes to hold it."""
 
 
 class QuarantineKeeper:
-    """Stands between the request path, the peers and the quarantine."""
+    """Connects the request path and the other gateways to the quarantine."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         rng: random.Random,
         clock: Clock,
     ) -> None:
-        """Ask `has_ended` of upstreams that cut a request; `tell` sends to all other gateways."""
+        """Query `has_ended` on upstreams that interrupted a request; `tell` sends to all others."""
         self._name = name
         self._quarantine = quarantine
         self._groups = groups
@@ -68,24 +68,22 @@
         self._plan = UpdateSchedule(rng)
         self._watch = FailureWatch()
         self._checks: dict[str, asyncio.Task[bool | None]] = {}
-        """Questions under way, by upstream."""
+        """Pending queries whether an upstream has failed, by upstream."""
         self._notes: set[asyncio.Task[None]] = set()
         self._wake = anyio.Event()
         self.upstream_ends = 0
-        """Ends of upstreams under requests of this gateway, once for each request."""
+        """Number of upstream failures under requests of this gateway, counted once per request."""
         self.held = 0
-        """Requests that were kept from upstreams."""
-
-    # The request path
+        """Number of held requests, which were sent to no upstream."""
 
     def holds(self, request: Request) -> bool:
-        """Return whether a request is to reach no upstream."""
+        """Return whether a request is held, that is, to be sent to no upstream."""
         if self._quarantine.is_empty:
             return False
         return self._quarantine.is_held(request.identity, self._clock())
 
     def may_be_sent_on(self, request: Request) -> bool:
-        """Return whether an arrival that was cut may go to a further upstream."""
+        """Return whether an interrupted arrival may be sent to a further upstream."""
         if self._groups.isolates(request.groups):
             return False
         if self._quarantine.is_empty:
@@ -95,7 +93,7 @@
         return not self._quarantine.is_held(request.identity, self._clock())
 
     def note_held(self, request: Request) -> None:
-        """Note that a request was kept from upstreams."""
+        """Record that a held request was sent to no upstream."""
         self.held += 1
         self._log.note(
             "quarantine.kept_back",
@@ -105,16 +103,16 @@
         )
 
     def note_whole(self, request: Request) -> None:
-        """Note a whole answer."""
+        """Record a completed request."""
         self._groups.note_whole(request.groups)
         if self._quarantine.record_completion(request.identity, self._clock()):
             self._plan.schedule_cleared(request.identity)
             self._wake.set()
 
     def note_cut(self, request: Request, upstream: Upstream, begun: bool) -> asyncio.Task[None]:
-        """Find out whether a request that lost its connection ended its upstream.
+        """Start a task that checks whether the upstream failed under a request that it interrupted.
 
-        `begun` says that some of its answer had come.
+        `begun` states whether a part of the answer had arrived.
         """
         path = request.target.partition(b"?")[0].decode("latin-1")[:_MOST_PATH]
         groups = () if begun else request.groups
@@ -126,7 +124,7 @@
 
     async def _check(self, cut: InterruptedRequest, upstream: Upstream) -> None:
         if self._listing(upstream.id) is not Listing.SERVING:
-            # It was leaving, and ended as planned.
+            # The upstream was leaving: a planned shutdown.
             return
         check = self._checks.get(upstream.id)
         if check is None:
@@ -171,10 +169,8 @@
         if self._quarantine.has_completed(identity, now):
             self._plan.schedule_known_good(identity, now)
 
-    # Peers
-
     def receive(self, news: SuspectNews | ClearedNews | GroupNews) -> None:
-        """Take what another gateway knows."""
+        """Merge an update from another gateway."""
         now = self._clock()
         if isinstance(news, GroupNews):
             self._groups.receive(news)
@@ -207,14 +203,12 @@
         self._wake.set()
 
     def take_stored(self, holds: dict[bytes, StoredHold]) -> None:
-        """Take what the store has."""
+        """Replace the known holds of the store by those that it has now."""
         for identity in self._quarantine.replace_stored(holds):
             self._log.note("quarantine.released", identity=identity.hex())
 
-    # What is due
-
     def look(self) -> None:
-        """Find upstreams that are gone since, and go on telling what the store has not got."""
+        """Detect upstreams that have failed since; repeat the holds that the store lacks."""
         now = self._clock()
         self._quarantine.expire(now)
         self._groups.expire()
@@ -225,7 +219,7 @@
             self._wake.set()
 
     async def run(self) -> None:
-        """Tell what is due, for ever; nothing is woken up for while nothing is."""
+        """Send updates forever as they become due; while none is due, the task sleeps."""
         while True:
             wait = self.next_due() - self._clock()
             if wait > 0:
@@ -235,11 +229,11 @@
             self.tell_due()
 
     def next_due(self) -> float:
-        """Return when something is to be told."""
+        """Return when the next update is due, infinity if none is."""
         return min(self._plan.next_due(), self._groups.next_due())
 
     def tell_due(self) -> None:
-        """Send what is due."""
+        """Send the updates that are due."""
         due = self._plan.pop_due(self._clock())
         states = [state for item in due.suspects if (state := self._state(item)) is not None]
         for start in range(0, len(states), _MOST_IN_DATAGRAM):
--- a/src/lotushill/peering/reader_role.py
+++ b/src/lotushill/peering/reader_role.py
@@ -1,4 +1,4 @@
-"""Whether this gateway reads the platform's store, or leaves that to others of its hall."""
+"""Decides whether this gateway reads the platform's store or leaves it to others of its hall."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
     from lotushill.membership.membership import Membership
 
 _DECIDED_SECONDS = 0.1
-"""A decision holds so long, for all kinds that are followed."""
+"""Time for which a decision is valid, for all kinds of objects that are watched."""
 _FIND_SECONDS = 0.6
-"""After its start, a gateway waits so long for others that could tell it everything."""
+"""Time after its start for which a gateway waits for others that could send it all views."""
 
 
 class ReaderRole:
-    """Decides from the members that are heard; pure, with the clock passed in."""
+    """Decides from the live members; pure, with the clock passed in."""
 
     def __init__(self, membership: Callable[[], Membership], clock: Callable[[], float]) -> None:
-        """Follow a membership from now on."""
+        """Decide by the members of a membership; the start of the gateway is now."""
         self._membership = membership
         self._clock = clock
         self._started = clock()
@@ -45,11 +45,11 @@
         return reads(self._membership().own, members)
 
     def stands_in(self) -> bool:
-        """Return whether it reads only since others are turned away by the store."""
+        """Return whether it reads only because the store turns others away."""
         return stands_in(self._membership().own, self._membership().live())
 
     def told_by_others(self, configuration: int) -> bool:
-        """Return whether another one reads the store and has no newer configuration."""
+        """Return whether another gateway reads the store and has no newer configuration."""
         membership = self._membership()
         return any(
             member.contact is StoreContact.READING and member.configuration <= configuration
--- a/src/lotushill/peering/registration.py
+++ b/src/lotushill/peering/registration.py
@@ -1,4 +1,4 @@
-"""How gateways find each other: an object of each in the platform's store."""
+"""Discovery of the other gateways by an object of each in the platform's store."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
     from lotushill.process.settings import GatewaySettings
 
 KIND = "lotushill-gateways"
-"""The kind of the platform's store that holds an object of each gateway."""
+"""Kind of objects in the platform's store that contains one object per gateway."""
 _ALONE_SECONDS = (0.15, 0.6)
-"""Some moment in which one that has found nobody, as when all start at once, asks for what is true
-now. The first ones to do so find many others, who then need not ask."""
+"""Range of delays after which a gateway that has found no other, as when all start at once, reads
+the current list. The first gateways to do so find many others, which then need not read it."""
 _LOOK_SECONDS = (1.5, 5.0)
-"""Pauses before the looks that follow the first ones: for those that registered a little later."""
+"""Intervals before the next reads, which find gateways that registered a little later."""
 _LATER_SECONDS = 20.0
 _ALONE_AGAIN_SECONDS = 3.0
-"""One that still knows nobody looks more often: the store may have been away."""
+"""Interval for a gateway that still knows no other: the store may have been unreachable."""
 _RETRY_SECONDS = 0.5
 
 
 class Registration:
-    """Writes the own address once and reads those of the others now and then.
+    """Writes the own address once and reads those of the other gateways periodically.
 
-    Nothing of it is needed for a request: it only seeds the membership.
+    No request depends on it: it only seeds the membership.
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         self._log = log
         self._rng = rng
         self.listed = 0
-        """How many gateways were registered at the last look, 0 before the first."""
+        """Number of gateways that were registered at the last read, 0 before the first."""
 
     async def run(self) -> None:
-        """Look for others, register, and look again now and then, for ever."""
+        """Read the registered gateways, register, and read them again periodically, forever."""
         if not await self._look():
             await self._register()
         await anyio.sleep(self._rng.uniform(*_ALONE_SECONDS))
@@ -77,7 +77,7 @@
                 await self._store.create(KIND, name, spec)
                 return
             except RevisionConflictError:
-                # It is there from an earlier life, at another address.
+                # The object exists from an earlier incarnation, at another address.
                 try:
                     await self._store.replace(KIND, name, spec)
                     return
@@ -88,9 +88,9 @@
             await anyio.sleep(_RETRY_SECONDS * self._rng.uniform(0.7, 1.3))
 
     async def _look(self, stale: bool = True) -> bool:
-        """Read who is there; return whether the own object is as it should be.
+        """Read the registered gateways; return whether the own object is up to date.
 
-        A stale answer may be seconds old, and costs the store and us far less.
+        A stale answer may be seconds old, but costs the store and this gateway far less.
         """
         try:
             listed = await self._store.list_kind(KIND, stale)
--- a/src/lotushill/peering/return_keeper.py
+++ b/src/lotushill/peering/return_keeper.py
@@ -1,4 +1,4 @@
-"""Passes on who was told to come back, so that a caller may return to any gateway."""
+"""Updates on refused callers with a promised retry time, so that they may return to any gateway."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class ReturnKeeper:
-    """Tells the other schedulers of promises made here, and takes theirs.
+    """Sends promises made here to the other schedulers, and merges theirs.
 
-    News that are lost cost a caller its place and nothing else: it is then a newcomer.
+    A lost update costs a caller its place and nothing else: its request then counts as new.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         send: Callable[[ReturnNews, str], None],
         clock: Callable[[], float],
     ) -> None:
-        """Tell as the gateway `name`; `send` sends a message to an address."""
+        """Send as the gateway `name`; `send` sends a message to an address."""
         self._name = name
         self._returns = returns
         self._schedulers = schedulers
@@ -36,12 +36,12 @@
         self._clock = clock
 
     def receive(self, news: ReturnNews) -> None:
-        """Take what another gateway tells."""
+        """Merge an update from another gateway."""
         if news.sender != self._name:
             self._returns.merge(news.promises, self._clock())
 
     def tell_due(self) -> None:
-        """Tell the other schedulers, if something is due."""
+        """Send the promises that are due to the other schedulers."""
         told = self._returns.due_states(self._clock())
         for start in range(0, len(told), MOST_PROMISES):
             news = ReturnNews(self._name, tuple(told[start : start + MOST_PROMISES]))
--- a/src/lotushill/peering/view_exchange.py
+++ b/src/lotushill/peering/view_exchange.py
@@ -1,4 +1,4 @@
-"""Views that gateways pull from one another, so that few have to read the store."""
+"""Exchange of views between gateways, so that few have to read the store."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
     from lotushill.membership.membership import Membership
 
 _PULL_AFTER_SECONDS = 0.3
-"""A view is pulled that is behind for so long: the own watch, or the hall, had its chance."""
+"""Time for which a view has to be behind before it is pulled. Within it, the own watch or another
+gateway of the hall normally delivers the newer view."""
 _PULL_AGAIN_SECONDS = 0.5
 
 
 class ViewExchange:
-    """Pulls what is newer elsewhere, and answers pulls; the clock is passed in."""
+    """Pulls views that are newer at other gateways, and answers pulls; the time is passed in."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         view_text: Callable[[ViewKind], tuple[int, str]],
         on_view: Callable[[ViewKind, int, str], None],
     ) -> None:
-        """Hand views over as JSON text: `view_text` gives the own, `on_view` takes a peer's."""
+        """Exchange views as JSON text: `view_text` returns the own, `on_view` receives a peer's."""
         self._membership = membership
         self._links = links
         self._rng = rng
@@ -46,12 +47,12 @@
         self._on_view = on_view
         self._behind: dict[ViewKind, float] = {}
         self._packed: dict[ViewKind, tuple[str, bytes]] = {}
-        """The latest text of each view that was sent, and what was sent."""
+        """Latest text of each view that was sent, with its packed form."""
         self._looked_at = -1
-        """Version of the membership when the views of others were last held against the own."""
+        """Version of the membership when the revisions of others were last compared to the own."""
 
     def look(self, revisions: dict[ViewKind, int], now: float) -> None:
-        """Pull the views that others hold at a higher revision than the own ones."""
+        """Pull the views that other gateways have at a higher revision."""
         if self._membership.version == self._looked_at and not self._behind:
             return
         self._looked_at = self._membership.version
@@ -62,7 +63,7 @@
     def catch_up(
         self, kind: ViewKind, revision: int, members: Sequence[MemberState], now: float
     ) -> None:
-        """Pull one view from a member that is ahead, one of the own hall first."""
+        """Pull one view from a member with a higher revision, preferably one of the own hall."""
         ahead = [item for item in members if _revision(item, kind) > revision]
         if not ahead:
             self._behind.pop(kind, None)
@@ -76,23 +77,23 @@
         self._links.post(self._rng.choice(near or ahead).name, ViewPull(kind, revision))
 
     def _pull_after(self, revision: int, near: bool) -> float:
-        """Return how long others may be ahead before their view is pulled."""
+        """Return how long others may have a higher revision before their view is pulled."""
         if revision < 0:
-            # Without any view there is nothing to wait for.
+            # A gateway without any view has nothing to wait for.
             return 0.0
         if near and self._membership.own.contact is not StoreContact.READING:
             return 0.0
         return _PULL_AFTER_SECONDS
 
     def answer(self, peer: str, pull: ViewPull) -> None:
-        """Send the own view to a peer, if it is newer than the peer's."""
+        """Send the own view to a peer if it is newer than the peer's."""
         revision, text = self._view_text(pull.kind)
         if revision > pull.revision:
             packed = self._pack(pull.kind, text)
             self._links.post(peer, ViewPage(pull.kind, revision, packed=packed))
 
     def take(self, page: ViewPage) -> bool:
-        """Take a peer's view; return whether it could be read."""
+        """Receive a peer's view; return whether it could be decoded."""
         try:
             text = unpack(page.packed) if page.packed else page.text
             self._on_view(page.kind, page.revision, text)
@@ -101,7 +102,7 @@
         return True
 
     def _pack(self, kind: ViewKind, text: str) -> bytes:
-        """Return a view packed, once for all peers that pull it."""
+        """Return a view in packed form, which is computed once for all peers that pull it."""
         former, packed = self._packed.get(kind, ("", b""))
         if text != former:
             packed = pack(text)
--- a/tests/peering/test_leaving_keeper.py
+++ b/tests/peering/test_leaving_keeper.py
@@ -1,7 +1,8 @@
-"""One answer tells one gateway that an upstream leaves, and all are to know soon.
+"""Propagation of an upstream's announcement that it leaves from one gateway to all others.
 
-In virtual time, over a network that loses and delays datagrams: the store is away, so that the
-entry says `ready` throughout. How many are told how soon, and what that costs in datagrams.
+In simulated time, over a network that loses and delays datagrams. The store is unreachable, so that
+the upstream's entry stays `ready`. Checks how many gateways receive the update how soon, and how
+many datagrams that costs.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 @dataclass
 class Gateway:
-    """One gateway: its view, its keeper, and when it last looked."""
+    """One gateway: its view, its gossip, and the time of its next tick."""
 
     view: UpstreamView
     keeper: LeavingKeeper
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Packet:
-    """News under way."""
+    """An update in transit."""
 
     arrives: float
     to: int
@@ -46,7 +47,7 @@
 
 
 class Gateways:
-    """So many gateways that all hold the same entries."""
+    """Gateways that all have the same entries."""
 
     def __init__(
         self, count: int, seed: int = 1, loss: float = LOSS, upstreams: int = len(SERVING)
@@ -73,7 +74,7 @@
         return Gateway(view, keeper, self.now + self.rng.uniform(0.0, TICK))
 
     def join(self) -> Gateway:
-        """Add a gateway that knows the entries alone."""
+        """Add a gateway that knows only the entries."""
         self.gateways.append(self._make(len(self.gateways)))
         return self.gateways[-1]
 
@@ -87,7 +88,7 @@
                 self._under_way.append(Packet(arrives, number, news))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, deliver datagrams that arrive and tick the gateways."""
         ends = self.now + seconds
         while self.now < ends:
             self.now += STEP
@@ -101,7 +102,7 @@
                     gateway.keeper.tell_due()
 
     def knowing(self, upstream_id: str) -> int:
-        """Return how many gateways send an upstream nothing new."""
+        """Return the number of gateways that send an upstream no new requests."""
         found = [gateway.view.find(upstream_id) for gateway in self.gateways]
         return sum(item is not None and item.draining for item in found)
 
@@ -123,8 +124,8 @@
                 for gateway in fleet.gateways:
                     gateway.keeper.note("u3")
                 fleet.run(4.0)
-                # Each telling is a datagram to each other one. Some speak together in each of the
-                # five intervals; if all did, it would be 360 tellings in each.
+                # An announcement is one datagram to each other gateway. Several gateways send it in
+                # each of the five intervals; if all did, it would be 360 announcements in each.
                 self.assertLess(fleet.datagrams / count, 0.15 * count + 60)
 
     def test_many_that_leave_together_are_all_told(self) -> None:
--- a/tests/peering/test_peers.py
+++ b/tests/peering/test_peers.py
@@ -1,4 +1,4 @@
-"""Gateways that pass load and views on to each other, on a network in memory."""
+"""Exchange of load and views between gateways on an in-memory network."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Wire:
-    """Delivers datagrams at once, and counts them."""
+    """Delivers datagrams immediately through the network, which counts them."""
 
     def __init__(self, network: Network, source: Peers) -> None:
         self._network = network
@@ -43,7 +43,7 @@
 
 
 class Network:
-    """Some gateways in three halls."""
+    """Gateways in three halls."""
 
     def __init__(self, count: int) -> None:
         self.loads: dict[str, list[Load]] = {}
@@ -51,7 +51,7 @@
         self.peers: dict[str, Peers] = {}
         self.datagrams = 0
         self.posted: list[tuple[Any, ...]] = []
-        """Sender, receiver and messages on connections, which are not delivered."""
+        """Sender, receiver and messages of posts on connections, which are not delivered."""
         self.now = 1000.0
         self.down: set[str] = set()
         for index in range(count):
@@ -120,14 +120,14 @@
         target.datagram_received(data, (host, int(port)))
 
     def join(self) -> None:
-        """Let all find one another."""
+        """Tick until all gateways know each other."""
         for _ in range(ROUNDS):
             self.now += 0.2
             for peers in self.all():
                 peers._tick(self.now)
 
     def run(self, seconds: float) -> None:
-        """Let time pass in steps of a tick."""
+        """Advance the clock in steps of one tick."""
         ends = self.now + seconds
         while self.now < ends:
             self.now += 0.05
@@ -135,7 +135,7 @@
                 peers._tick(self.now)
 
     def flush(self) -> None:
-        """Let some milliseconds pass, so that what waits is passed on."""
+        """Advance the clock by some milliseconds and pass on pending load."""
         self.now += 0.03
         for peers in self.all():
             peers._relay.flush_due(self.now)
@@ -204,7 +204,7 @@
 
 
 class TestLargeFleet(unittest.IsolatedAsyncioTestCase):
-    """Only the schedulers of each hall hear of what runs, and the others ask them."""
+    """Only the schedulers of each hall receive load updates; the other gateways query them."""
 
     async def asyncSetUp(self) -> None:
         self.network = Network(30)
--- a/tests/peering/test_registration.py
+++ b/tests/peering/test_registration.py
@@ -1,4 +1,4 @@
-"""How gateways find one another through the store, and how many calls that takes."""
+"""Discovery of gateways through the store, and the number of calls it takes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass
 class CountingStore:
-    """Objects by name; a stale list is that of the start."""
+    """Store with objects by name; a stale list returns those present at the start."""
 
     objects: dict[str, Any] = field(default_factory=dict)
     stale: dict[str, Any] = field(default_factory=dict)
@@ -56,7 +56,7 @@
 
 @dataclass
 class KnownMembers:
-    """As much of a membership as registration looks at."""
+    """The part of a membership that registration uses."""
 
     others: int = 0
     seeds: set[str] = field(default_factory=set)
@@ -83,7 +83,7 @@
 async def run_until(
     done: Callable[[], bool], store: CountingStore, peers: list[KnownPeers]
 ) -> None:
-    """Let gateways look for one another until something is so; each looks for ever."""
+    """Run the registration of gateways, which never ends, until a condition holds."""
     async with anyio.create_task_group() as group:
         for index, item in enumerate(peers):
             registration: Any = Registration
--- a/tests/peering/test_return_keeper.py
+++ b/tests/peering/test_return_keeper.py
@@ -1,7 +1,8 @@
-"""Promises told among schedulers over a network that loses datagrams, in virtual time.
+"""Exchange of promises between schedulers over a network that loses datagrams, in simulated time.
 
-Each scheduler refuses some long requests in a burst; their callers come back to any scheduler, as
-they were told. How many of them find their place, and how far the fleet promises more than comes.
+Each scheduler refuses some long requests in a burst; their callers return to any scheduler at the
+promised time. Checks how many of them find their place, and that the fleet promises hardly more
+than becomes available.
 """
 
 from __future__ import annotations
@@ -24,23 +25,23 @@
 TICK = 0.05
 DELAY = 0.02
 ROOM = 120.0
-"""Requests a second that begin in the whole fleet."""
+"""Requests per second that start in the whole fleet."""
 REFUSED = 90.0
-"""Requests a second that are refused in it."""
+"""Requests per second that are refused in the whole fleet."""
 BURST = 1.0
 TIME_LEFT = 9.0
 
 
 @dataclass(frozen=True)
 class Other:
-    """What a keeper has to know of another scheduler."""
+    """The part of another scheduler's state that the exchange uses."""
 
     address: str
 
 
 @dataclass
 class Network:
-    """Schedulers that all hear of what begins, and lose some of each other's promises."""
+    """Schedulers that know of all started requests and lose some of each other's promises."""
 
     count: int
     loss: float
@@ -49,7 +50,7 @@
     under_way: list[tuple[float, int, ReturnNews]] = field(default_factory=list)
     datagrams: int = 0
     cut: set[int] = field(default_factory=set)
-    """Schedulers that the others do not hear."""
+    """Schedulers on the far side of a partition from the others."""
 
     def __post_init__(self) -> None:
         self.returns = [ReturnPromises() for _ in range(self.count)]
@@ -96,7 +97,7 @@
                 keeper.tell_due()
 
     def refuse_burst(self) -> dict[int, tuple[float, int]]:
-        """Refuse some at schedulers by turns; return when each is due, and who promised."""
+        """Refuse requests at random schedulers; return the retry time and promiser of each."""
         due: dict[int, tuple[float, int]] = {}
         for number in range(1, int(REFUSED * BURST) + 1):
             at = self.rng.randrange(self.count)
@@ -110,7 +111,7 @@
     def come_back(
         self, due: dict[int, tuple[float, int]], away: frozenset[int] = frozenset()
     ) -> int:
-        """Let all return as told to schedulers that are there; return how many have a place."""
+        """Let all callers return on time to running schedulers; return how many have a place."""
         there = [number for number in range(self.count) if number not in away]
         found = 0
         for caller, (at, _) in sorted(due.items(), key=lambda item: item[1][0]):
--- a/tests/peering/test_view_exchange.py
+++ b/tests/peering/test_view_exchange.py
@@ -1,9 +1,9 @@
-"""Views handed to peers: a large configuration is in force in a whole hall within its time.
+"""Views sent to peers: a large configuration is in force in a whole hall within three seconds.
 
-Seen on a fleet of 76 gateways after a change had brought a thousand routes: eight requests were
-handled by the configuration before, over three seconds after the new one was acknowledged. By
-reckoning, and not by a log: a hall's reader on a host with 10 Mbit/s takes 4.4 s to hand 303 KB to
-each of 18 others.
+Guards against a slow transfer of views. After a change with a thousand routes in a fleet of 76
+gateways, eight requests were handled by the previous configuration more than three seconds after
+the new one was acknowledged. By calculation, not from a log: a hall's reader on a host with
+10 Mbit/s takes 4.4 s to send 303 KB to each of 18 others.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 MEMBERS = 18
 NARROW_BYTES = 1_250_000.0
-"""Of a link of 10 Mbit/s in a second."""
+"""Bytes per second of a link with 10 Mbit/s."""
 IN_FORCE_SECONDS = 3.0
 RNG = random.Random(7)
 
@@ -57,7 +57,7 @@
 
 
 class Links:
-    """Keeps what is posted."""
+    """Collects the posted messages."""
 
     def __init__(self) -> None:
         self.posted: list[ViewPage] = []
