--- a/src/lotushill/membership/member_claim.py
+++ b/src/lotushill/membership/member_claim.py
@@ -18,7 +18,7 @@
 """Precedence of claims about the same incarnation; the higher rank wins."""
 
 
-def beats(new: MemberState, old: MemberState) -> bool:
+def supersedes(new: MemberState, old: MemberState) -> bool:
     """Return whether a new claim about a member takes precedence over an old one."""
     if new.incarnation != old.incarnation:
         return new.incarnation > old.incarnation
--- a/src/lotushill/membership/members.py
+++ b/src/lotushill/membership/members.py
@@ -19,7 +19,7 @@
         """Return the state of this gateway."""
 
     @property
-    def composition(self) -> int:
+    def composition_version(self) -> int:
         """Return a number that increases when a member joins, leaves or changes its phase."""
 
     def find(self, name: str) -> MemberState | None:
--- a/src/lotushill/membership/membership.py
+++ b/src/lotushill/membership/membership.py
@@ -19,8 +19,8 @@
 from lotushill.links.messages import Pong
 from lotushill.links.messages import RosterPage
 from lotushill.links.messages import RosterPull
-from lotushill.membership.news import PER_PACKET
-from lotushill.membership.news import News
+from lotushill.membership.gossip_buffer import MAX_STATES_PER_PACKET
+from lotushill.membership.gossip_buffer import GossipBuffer
 from lotushill.membership.roster import Roster
 from lotushill.membership.roster_sync import RosterSync
 
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Outgoing:
+class OutgoingPacket:
     """A packet to send, with the address of its receiver."""
 
     address: str
@@ -81,7 +81,7 @@
         self._sync = RosterSync(self._roster, options)
         self._seeds = [seed for seed in seeds if seed != own.address]
         self._rng = rng
-        self._news = News()
+        self._news = GossipBuffer()
         self._round: list[str] = []
         self._rechecks: deque[str] = deque(maxlen=_MOST_RECHECKS)
         """Members that are lost here and that another member claims to be alive."""
@@ -104,14 +104,14 @@
         return self._roster.version
 
     @property
-    def composition(self) -> int:
+    def composition_version(self) -> int:
         """Return a number that increases when a member joins, leaves or changes its phase."""
-        return self._roster.composition
+        return self._roster.composition_version
 
     @property
-    def taken_for_lost(self) -> int:
+    def times_declared_lost(self) -> int:
         """Return how often this member was notified that others had declared it lost."""
-        return self._roster.taken_for_lost
+        return self._roster.times_declared_lost
 
     def live(self) -> tuple[MemberState, ...]:
         """Return this member and all members that are neither lost nor leaving."""
@@ -156,7 +156,7 @@
         self._roster.set_own(state)
         return True
 
-    def announce(self) -> list[Outgoing]:
+    def announce(self) -> list[OutgoingPacket]:
         """Return pings that send the own state to every live member of the own hall at once."""
         near = [state for state in self.live() if state.hall == self.own.hall]
         return [self._ping(state.address) for state in near if state.name != self.own.name]
@@ -166,7 +166,7 @@
         known = {self.own.address, *self._seeds}
         self._seeds += [address for address in addresses if address not in known]
 
-    def leave(self) -> list[Outgoing]:
+    def leave(self) -> list[OutgoingPacket]:
         """Notify the own hall and some members of others that this member accepts no more work.
 
         They pass it on to the rest: if it pinged everybody itself, all members of a large fleet
@@ -175,21 +175,21 @@
         self._roster.set_own(replace(self.own, phase=MemberPhase.LEAVING))
         near = [state for state in self.live() if state.hall == self.own.hall]
         far = [state for state in self.live() if state.hall != self.own.hall]
-        told = near + self._rng.sample(far, min(self.options.leave_tells, len(far)))
+        told = near + self._rng.sample(far, min(self.options.leave_notifications, len(far)))
         return [self._ping(state.address) for state in told]
 
-    def tick(self, now: float) -> list[Outgoing]:
+    def tick(self, now: float) -> list[OutgoingPacket]:
         """Return the packets that are due; to be called several times per period."""
         out = self._follow_probe(now)
         for name in self._roster.expire(now):
             self._news.add(name)
         out += self._recheck()
         if now >= self._next_ping:
-            self._next_ping = now + self.options.period
+            self._next_ping = now + self.options.ping_interval
             out += self._start_round(now)
         return out
 
-    def receive(self, message: Packet, source: str, now: float) -> list[Outgoing]:
+    def receive(self, message: Packet, source: str, now: float) -> list[OutgoingPacket]:
         """Process one authentic packet from the address `source` and return the answers."""
         if message.sender == self.own.name:
             self.dropped += 1
@@ -218,12 +218,12 @@
             elif self._roster.contradicts_loss(state) and state.name not in self._rechecks:
                 self._rechecks.append(state.name)
 
-    def _take_ping(self, message: Ping, source: str, now: float) -> list[Outgoing]:
+    def _take_ping(self, message: Ping, source: str, now: float) -> list[OutgoingPacket]:
         if message.target:
             return self._probe_for(message, now)
         return [self._pong(source, message.sequence, "")]
 
-    def _take_pong(self, message: Pong) -> list[Outgoing]:
+    def _take_pong(self, message: Pong) -> list[OutgoingPacket]:
         probe = self._probe
         if probe and message.sequence == probe.sequence:
             self._probe = None
@@ -233,7 +233,7 @@
             return []
         return [self._pong(asker.address, relay.asker_sequence, relay.target)]
 
-    def _probe_for(self, message: Ping, now: float) -> list[Outgoing]:
+    def _probe_for(self, message: Ping, now: float) -> list[OutgoingPacket]:
         target = self.find(message.target)
         if target is None or target.name == self.own.name:
             return []
@@ -243,17 +243,17 @@
             del self._relays[next(iter(self._relays))]
         return [ping]
 
-    def _start_round(self, now: float) -> list[Outgoing]:
+    def _start_round(self, now: float) -> list[OutgoingPacket]:
         target = self._next_target()
         if target is None:
-            few = min(self.options.first_seeds, len(self._seeds))
+            few = min(self.options.seeds_per_ping_round, len(self._seeds))
             return [self._ping(seed) for seed in self._rng.sample(self._seeds, few)]
         ping = self._ping(target.address)
         if target.phase in (MemberPhase.ALIVE, MemberPhase.SUSPECT) and self._probe is None:
             self._probe = _Probe(target.name, self._sequence, now)
         return [ping, *self._greet_stranger()]
 
-    def _greet_stranger(self) -> list[Outgoing]:
+    def _greet_stranger(self) -> list[OutgoingPacket]:
         """Return a ping to a seed that is no member yet, so that separately formed groups merge."""
         known = {state.address for state in self._roster.others()}
         strangers = [seed for seed in self._seeds if seed not in known]
@@ -273,25 +273,25 @@
             return None
         return self._roster.find(self._round.pop()) if self._round else None
 
-    def _recheck(self) -> list[Outgoing]:
+    def _recheck(self) -> list[OutgoingPacket]:
         """Ping members that are lost here, so that they receive the claim and refute it if alive.
 
         Without this, a hall of a large fleet would return from a partition member by member, as the
         rare probes of lost members reach them.
         """
         out = []
-        for _ in range(min(self.options.rechecks_a_tick, len(self._rechecks))):
+        for _ in range(min(self.options.rechecks_per_tick, len(self._rechecks))):
             state = self._roster.find(self._rechecks.popleft())
             if state is not None and state.phase is MemberPhase.LOST:
                 out.append(self._ping(state.address))
         return out
 
-    def _follow_probe(self, now: float) -> list[Outgoing]:
+    def _follow_probe(self, now: float) -> list[OutgoingPacket]:
         probe = self._probe
         if probe is None:
             return []
         waited = now - probe.sent
-        if waited >= self.options.suspect_after:
+        if waited >= self.options.suspect_timeout:
             self._probe = None
             self._suspect(probe.target, now)
             return []
@@ -301,26 +301,28 @@
         helpers = [
             state for state in self.live() if state.name not in (probe.target, self.own.name)
         ]
-        chosen = self._rng.sample(helpers, min(self.options.helpers, len(helpers)))
+        chosen = self._rng.sample(helpers, min(self.options.probe_helpers, len(helpers)))
         return [self._ping(state.address, probe.target, probe.sequence) for state in chosen]
 
     def _suspect(self, name: str, now: float) -> None:
         if self._roster.suspect(name, now):
             self._news.add(name)
 
-    def _pull(self, message: Ping | Pong, source: str, now: float) -> list[Outgoing]:
+    def _pull(self, message: Ping | Pong, source: str, now: float) -> list[OutgoingPacket]:
         """Return a roster pull if the sender may know members unknown here and a pull is due."""
-        if not message.known or not self._sync.wants(message.digest, message.known, now):
+        if not message.known or not self._sync.should_pull(message.digest, message.known, now):
             return []
-        return [Outgoing(source, RosterPull(self.own.name, self._roster.digests()))]
+        return [OutgoingPacket(source, RosterPull(self.own.name, self._roster.digests()))]
 
-    def _serve_roster(self, pull: RosterPull, address: str, now: float) -> list[Outgoing]:
-        if not self._sync.serves(now):
+    def _serve_roster(self, pull: RosterPull, address: str, now: float) -> list[OutgoingPacket]:
+        if not self._sync.admit_pull(now):
             return []
-        states = self._roster.differing(pull.digests, pull.sender)
+        states = self._roster.differing_members(pull.digests, pull.sender)
         return [
-            Outgoing(address, RosterPage(self.own.name, tuple(states[at : at + PER_PACKET])))
-            for at in range(0, len(states), PER_PACKET)
+            OutgoingPacket(
+                address, RosterPage(self.own.name, tuple(states[at : at + MAX_STATES_PER_PACKET]))
+            )
+            for at in range(0, len(states), MAX_STATES_PER_PACKET)
         ]
 
     def _repeated(self, message: Ping | Pong) -> bool:
@@ -338,24 +340,24 @@
             self._seen.popitem(last=False)
         return False
 
-    def _ping(self, address: str, target: str = "", sequence: int = 0) -> Outgoing:
+    def _ping(self, address: str, target: str = "", sequence: int = 0) -> OutgoingPacket:
         own_sequence = self._next_sequence()
         gossip = self._gossip(address)
         used = sequence or own_sequence
         digest, known = self._roster.digest(), len(self.live())
-        return Outgoing(address, Ping(self.own.name, used, target, gossip, digest, known))
+        return OutgoingPacket(address, Ping(self.own.name, used, target, gossip, digest, known))
 
-    def _pong(self, address: str, sequence: int, target: str) -> Outgoing:
+    def _pong(self, address: str, sequence: int, target: str) -> OutgoingPacket:
         gossip = self._gossip(address)
         digest, known = self._roster.digest(), len(self.live())
-        return Outgoing(address, Pong(self.own.name, sequence, target, gossip, digest, known))
+        return OutgoingPacket(address, Pong(self.own.name, sequence, target, gossip, digest, known))
 
     def _gossip(self, address: str) -> tuple[MemberState, ...]:
         """Return the own state, claims that the receiver is not alive, and the latest changes."""
         passed: dict[str, MemberState] = {self.own.name: self.own}
-        for state in self._roster.doubted_at(address):
+        for state in self._roster.not_alive_at(address):
             passed[state.name] = state
-        for name in self._news.take():
+        for name in self._news.next_batch():
             held = self._roster.find(name)
             if held is not None:
                 passed[name] = held
--- a/src/lotushill/membership/schedulers.py
+++ b/src/lotushill/membership/schedulers.py
@@ -18,11 +18,11 @@
     from lotushill.links.messages import MemberState
     from lotushill.membership.members import Members
 
-SMALL_FLEET = 16
+MAX_SMALL_FLEET_GATEWAYS = 16
 """Number of gateways up to which every gateway is a scheduler. In such a fleet it is cheaper to
 receive updates on some 100 requests per second than to send a query for each of a gateway's own
 ten."""
-SCHEDULERS = 2
+SCHEDULERS_PER_HALL = 2
 """Schedulers per hall: they share its requests, and if one fails the other continues."""
 _SILENT_SECONDS = 0.7
 """Time for which a scheduler that did not answer is asked last; by its end a lost scheduler is
@@ -43,12 +43,12 @@
         self._silent: dict[str, float] = {}
         """Time until which each scheduler that did not answer is asked last, by name."""
 
-    def schedules(self) -> bool:
+    def is_scheduler(self) -> bool:
         """Return whether this gateway places requests itself, for all others or for its hall."""
         self._look()
         return self._own
 
-    def small_fleet(self) -> bool:
+    def is_small_fleet(self) -> bool:
         """Return whether the fleet is so small that every gateway is a scheduler."""
         self._look()
         return self._small
@@ -66,7 +66,7 @@
         """Record that a scheduler answered."""
         self._silent.pop(name, None)
 
-    def in_order(self, now: float, turn: int = 0) -> list[MemberState]:
+    def query_order(self, now: float, turn: int = 0) -> list[MemberState]:
         """Return the schedulers to ask, in order: the own hall's, then the first of each other.
 
         `turn`, the number of a request, distributes the requests over the schedulers of the hall: a
@@ -83,7 +83,7 @@
         order = sorted((*near, *far), key=lambda name: self._silent.get(name, now) > now)
         return self._found(order)
 
-    def halls(self) -> dict[str, tuple[str, ...]]:
+    def names_by_hall(self) -> dict[str, tuple[str, ...]]:
         """Return the names of the schedulers by hall."""
         self._look()
         return self._halls
@@ -93,12 +93,12 @@
         return [state for state in states if state is not None]
 
     def _look(self) -> None:
-        if self._membership.composition == self._looked_at:
+        if self._membership.composition_version == self._looked_at:
             return
-        self._looked_at = self._membership.composition
+        self._looked_at = self._membership.composition_version
         members = self._membership.live()
-        self._small = len(members) <= SMALL_FLEET
-        count = len(members) if self._small else SCHEDULERS
+        self._small = len(members) <= MAX_SMALL_FLEET_GATEWAYS
+        count = len(members) if self._small else SCHEDULERS_PER_HALL
         halls: dict[str, list[str]] = {}
         for member in members:
             halls.setdefault(member.hall, []).append(member.name)
--- a/src/lotushill/peering/group_keeper.py
+++ b/src/lotushill/peering/group_gossip.py
@@ -24,22 +24,22 @@
 _MOST_IN_DATAGRAM = 8
 
 
-class GroupKeeper:
+class GroupGossip:
     """Connects the request path and the other gateways to the isolation of groups."""
 
     def __init__(
         self,
         name: str,
         isolation: Isolation,
-        tell: Callable[[GroupNews], None],
+        broadcast: Callable[[GroupNews], None],
         log: EventLog,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Send as the gateway `name`; `tell` sends to all other gateways."""
+        """Send as the gateway `name`; `broadcast` sends to all other gateways."""
         self._name = name
         self._isolation = isolation
-        self._tell = tell
+        self._tell = broadcast
         self._log = log
         self._rng = rng
         self._clock = clock
@@ -48,15 +48,15 @@
         self._timer = TrickleTimer(rng)
         """Timer for the isolated groups: a restarted gateway has not seen the upstream failures."""
 
-    def isolates(self, groups: Iterable[Group]) -> bool:
+    def is_isolated(self, groups: Iterable[Group]) -> bool:
         """Return whether a request of these groups is isolated."""
         return not self._isolation.is_empty and self._isolation.is_isolated(groups, self._clock())
 
-    def note_whole(self, groups: Iterable[Group]) -> None:
+    def record_completion(self, groups: Iterable[Group]) -> None:
         """Record a completed request of these groups."""
         self._isolation.record_completion(groups, self._clock())
 
-    def note_end(self, groups: Iterable[Group], upstream: str) -> None:
+    def record_upstream_failure(self, groups: Iterable[Group], upstream: str) -> None:
         """Record that an upstream failed before a request of these groups had its first event."""
         now = self._clock()
         for group in groups:
@@ -119,7 +119,7 @@
             return math.inf
         return min(self._ends.next_due(), self._proofs.next_due(), self._timer.next_due)
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Send the updates that are due."""
         ends = [*self._ends.pop_due(self._clock()), *self._due_proofs()]
         for start in range(0, len(ends), _MOST_IN_DATAGRAM):
--- a/src/lotushill/peering/leaving_keeper.py
+++ b/src/lotushill/peering/leaving_gossip.py
@@ -15,7 +15,7 @@
     from lotushill.views.upstream_view import UpstreamView
 
 
-class LeavingKeeper:
+class LeavingGossip:
     """Passes on the announcements of leaving upstreams until their entries in the store show them.
 
     The entry of a leaving upstream is late during an outage of the store, and never shows it if the
@@ -27,20 +27,20 @@
         self,
         name: str,
         upstreams: UpstreamView,
-        tell: Callable[[LeavingNews], None],
+        broadcast: Callable[[LeavingNews], None],
         log: EventLog,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Send as the gateway `name`; `tell` sends to all other gateways."""
+        """Send as the gateway `name`; `broadcast` sends to all other gateways."""
         self._name = name
         self._upstreams = upstreams
-        self._tell = tell
+        self._tell = broadcast
         self._log = log
         self._clock = clock
         self._telling = AnnouncementSchedule(rng)
 
-    def note(self, upstream_id: str) -> None:
+    def note_answer(self, upstream_id: str) -> None:
         """Record that an upstream announced in an answer that it leaves."""
         self._take(upstream_id, "answer")
 
@@ -48,7 +48,7 @@
         """Merge the announcements that another gateway knows."""
         for upstream_id in news.upstreams:
             self._take(upstream_id, news.sender)
-        missing = set(self._upstreams.leaving_by_word) - set(news.upstreams)
+        missing = set(self._upstreams.announced_leaving) - set(news.upstreams)
         lacks = news.complete and bool(missing)
         self._telling.note_received(news.upstreams, news.complete, lacks, self._clock())
 
@@ -57,9 +57,9 @@
             self._log.note("upstream.leaving", upstream=upstream_id, source=source)
             self._telling.note(upstream_id, self._clock())
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Send an update to the other gateways if one is due."""
-        leaving = self._upstreams.leaving_by_word
+        leaving = self._upstreams.announced_leaving
         told = self._telling.due_names(leaving, self._clock())
         if told:
             self._tell(LeavingNews(self._name, tuple(told), len(told) == len(leaving)))
--- a/src/lotushill/peering/view_exchange.py
+++ b/src/lotushill/peering/view_exchange.py
@@ -9,8 +9,8 @@
 from lotushill.links.messages import ViewKind
 from lotushill.links.messages import ViewPage
 from lotushill.links.messages import ViewPull
-from lotushill.links.packed_text import pack
-from lotushill.links.packed_text import unpack
+from lotushill.links.packed_text import compress_text
+from lotushill.links.packed_text import decompress_text
 from lotushill.views.exceptions import MalformedViewError
 
 if TYPE_CHECKING:
@@ -51,16 +51,16 @@
         self._looked_at = -1
         """Version of the membership when the revisions of others were last compared to the own."""
 
-    def look(self, revisions: dict[ViewKind, int], now: float) -> None:
+    def pull_newer(self, revisions: dict[ViewKind, int], now: float) -> None:
         """Pull the views that other gateways have at a higher revision."""
         if self._membership.version == self._looked_at and not self._behind:
             return
         self._looked_at = self._membership.version
         members = self._membership.live()
         for kind in ViewKind:
-            self.catch_up(kind, revisions[kind], members, now)
+            self.pull_if_behind(kind, revisions[kind], members, now)
 
-    def catch_up(
+    def pull_if_behind(
         self, kind: ViewKind, revision: int, members: Sequence[MemberState], now: float
     ) -> None:
         """Pull one view from a member with a higher revision, preferably one of the own hall."""
@@ -92,10 +92,10 @@
             packed = self._pack(pull.kind, text)
             self._links.post(peer, ViewPage(pull.kind, revision, packed=packed))
 
-    def take(self, page: ViewPage) -> bool:
+    def receive(self, page: ViewPage) -> bool:
         """Receive a peer's view; return whether it could be decoded."""
         try:
-            text = unpack(page.packed) if page.packed else page.text
+            text = decompress_text(page.packed) if page.packed else page.text
             self._on_view(page.kind, page.revision, text)
         except (MalformedFrameError, MalformedViewError):
             return False
@@ -105,7 +105,7 @@
         """Return a view in packed form, which is computed once for all peers that pull it."""
         former, packed = self._packed.get(kind, ("", b""))
         if text != former:
-            packed = pack(text)
+            packed = compress_text(text)
             self._packed[kind] = (text, packed)
         return packed
 
