--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -70,21 +70,21 @@
     Break(
         "a healed cut is noticed",
         "membership/membership.py",
-        "self._round = alive + self._rng.sample(lost, min(1, len(lost)))",
-        "self._round = alive; self._rechecks.clear()",
+        "self._ping_queue = alive + self._rng.sample(lost, min(1, len(lost)))",
+        "self._ping_queue = alive; self._rechecks.clear()",
         "tests.membership.test_membership",
     ),
     Break(
         "a member taken for lost speaks up",
         "membership/roster.py",
-        "if newer or wrong:\n            self.own",
+        "if newer or contradicts:\n            self.own",
         "if False:\n            self.own",
         "tests.membership.test_membership",
     ),
     Break(
         "a replayed packet is dropped",
         "membership/membership.py",
-        "if self._repeated(message):",
+        "if self._is_replayed(message):",
         "if False:",
         "tests.membership.test_membership",
     ),
@@ -274,7 +274,7 @@
     Break(
         "gateway: groups that formed apart come together",
         "membership/membership.py",
-        "return [ping, *self._greet_stranger()]",
+        "return [ping, *self._ping_unknown_seed()]",
         "return [ping]",
         "tests.membership.test_membership",
     ),
@@ -386,29 +386,29 @@
     Break(
         "a newcomer asks few for the roster",
         "membership/membership.py",
-        "return [self._ping(seed) for seed in self._rng.sample(self._seeds, few)]",
+        "return [self._ping(seed) for seed in self._rng.sample(self._seeds, seed_count)]",
         "return [self._ping(seed) for seed in self._seeds]",
         "tests.membership.test_large_fleet",
     ),
     Break(
         "a roster that gossip left incomplete is pulled",
         "membership/roster_sync.py",
-        "return (settled or old) and since_pull >= options.pull_interval",
+        "return (settled or overdue) and since_pull >= options.pull_interval",
         "return False",
         "tests.membership.test_large_fleet",
     ),
     Break(
         "members that come and go take a bounded number of lines",
         "peering/member_log.py",
-        "if self._lines >= _SINGLE_LINES:",
+        "if self._lines >= _MAX_SINGLE_LINES:",
         "if False:",
         "tests.peering.test_member_log",
     ),
     Break(
         "only schedulers hear of load in a large fleet",
         "membership/schedulers.py",
-        "self._small = len(members) <= MAX_SMALL_FLEET_GATEWAYS",
-        "self._small = True",
+        "self._is_small = len(members) <= MAX_SMALL_FLEET_GATEWAYS",
+        "self._is_small = True",
         "tests.peering.test_peers",
     ),
     Break(
@@ -592,7 +592,7 @@
     Break(
         "what one gateway saw is told to all",
         "peering/quarantine_gossip.py",
-        "self._plan.schedule_failure(cut.identity, now)",
+        "self._update_schedule.schedule_failure(interrupted.identity, now)",
         "pass",
         "tests.quarantine.test_fleet",
     ),
@@ -613,7 +613,7 @@
     Break(
         "a planned end blames no request",
         "peering/quarantine_gossip.py",
-        "return Listing.LEAVING if found.draining else Listing.SERVING",
+        "return Listing.LEAVING if listed.draining else Listing.SERVING",
         "return Listing.SERVING",
         "tests.requests.test_quarantine",
     ),
@@ -627,8 +627,8 @@
     Break(
         "a suspect is not sent on after two ends",
         "peering/quarantine_gossip.py",
-        "_ENDS_TO_STOP = 2",
-        "_ENDS_TO_STOP = 20",
+        "_FAILURES_TO_STOP_RETRIES = 2",
+        "_FAILURES_TO_STOP_RETRIES = 20",
         "tests.requests.test_quarantine",
     ),
     Break(
@@ -963,7 +963,7 @@
     Break(
         "a gateway that starts anew hears what is kept apart",
         "peering/group_gossip.py",
-        "elif self._timer.is_due(now):",
+        "elif self._isolated_timer.is_due(now):",
         "elif False:",
         "tests.quarantine.test_fleet",
     ),
--- a/src/lotushill/membership/member_claim.py
+++ b/src/lotushill/membership/member_claim.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from lotushill.links.messages import MemberState
 
-_RANK = {
+_PHASE_RANK = {
     MemberPhase.ALIVE: 0,
     MemberPhase.SUSPECT: 1,
     MemberPhase.LEAVING: 2,
@@ -22,4 +22,4 @@
     """Return whether a new claim about a member takes precedence over an old one."""
     if new.incarnation != old.incarnation:
         return new.incarnation > old.incarnation
-    return _RANK[new.phase] > _RANK[old.phase]
+    return _PHASE_RANK[new.phase] > _PHASE_RANK[old.phase]
--- a/src/lotushill/membership/membership.py
+++ b/src/lotushill/membership/membership.py
@@ -35,9 +35,9 @@
 
     Packet = Ping | Pong | RosterPull | RosterPage
 
-_REPLAY_MEMORY = 1024
-_MAX_RELAYS = 256
-_MOST_RECHECKS = 1024
+_MAX_REMEMBERED_PACKETS = 1024
+_MAX_INDIRECT_PROBES = 256
+_MAX_RECHECKS = 1024
 _SEQUENCE_BITS = 62
 
 
@@ -53,16 +53,16 @@
 class _Probe:
     target: str
     sequence: int
-    sent: float
-    helped: bool = False
+    sent_at: float
+    helpers_asked: bool = False
 
 
 @dataclass
-class _Relay:
+class _IndirectProbe:
     """An indirect probe, made on behalf of another member."""
 
-    asker: str
-    asker_sequence: int
+    requester: str
+    requester_sequence: int
     target: str
 
 
@@ -81,15 +81,15 @@
         self._sync = RosterSync(self._roster, options)
         self._seeds = [seed for seed in seeds if seed != own.address]
         self._rng = rng
-        self._news = GossipBuffer()
-        self._round: list[str] = []
-        self._rechecks: deque[str] = deque(maxlen=_MOST_RECHECKS)
+        self._gossip_buffer = GossipBuffer()
+        self._ping_queue: list[str] = []
+        self._rechecks: deque[str] = deque(maxlen=_MAX_RECHECKS)
         """Members that are lost here and that another member claims to be alive."""
         self._probe: _Probe | None = None
-        self._relays: dict[int, _Relay] = {}
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
         self._sequence = rng.getrandbits(_SEQUENCE_BITS)
-        self._seen: OrderedDict[tuple[str, int, bool, str], None] = OrderedDict()
-        self._next_ping = 0.0
+        self._recent_packets: OrderedDict[tuple[str, int, bool, str], None] = OrderedDict()
+        self._next_ping_at = 0.0
         self.dropped = 0
         """Number of packets that were dropped as replayed or wrongly addressed."""
 
@@ -157,9 +157,9 @@
         return True
 
     def announce(self) -> list[OutgoingPacket]:
-        """Return pings that send the own state to every live member of the own hall at once."""
-        near = [state for state in self.live() if state.hall == self.own.hall]
-        return [self._ping(state.address) for state in near if state.name != self.own.name]
+        """Return pings that send this member's state to every live member of its hall at once."""
+        same_hall = [state for state in self.live() if state.hall == self.own.hall]
+        return [self._ping(state.address) for state in same_hall if state.name != self.own.name]
 
     def add_seeds(self, addresses: Iterable[str]) -> None:
         """Add addresses of other members that became known after the start."""
@@ -167,25 +167,27 @@
         self._seeds += [address for address in addresses if address not in known]
 
     def leave(self) -> list[OutgoingPacket]:
-        """Notify the own hall and some members of others that this member accepts no more work.
+        """Notify this hall and some members of other halls that this member accepts no more work.
 
         They pass it on to the rest: if it pinged everybody itself, all members of a large fleet
         would answer it.
         """
         self._roster.set_own(replace(self.own, phase=MemberPhase.LEAVING))
-        near = [state for state in self.live() if state.hall == self.own.hall]
-        far = [state for state in self.live() if state.hall != self.own.hall]
-        told = near + self._rng.sample(far, min(self.options.leave_notifications, len(far)))
-        return [self._ping(state.address) for state in told]
+        same_hall = [state for state in self.live() if state.hall == self.own.hall]
+        other_halls = [state for state in self.live() if state.hall != self.own.hall]
+        receivers = same_hall + self._rng.sample(
+            other_halls, min(self.options.leave_notifications, len(other_halls))
+        )
+        return [self._ping(state.address) for state in receivers]
 
     def tick(self, now: float) -> list[OutgoingPacket]:
         """Return the packets that are due; to be called several times per period."""
-        out = self._follow_probe(now)
+        out = self._check_probe(now)
         for name in self._roster.expire(now):
-            self._news.add(name)
-        out += self._recheck()
-        if now >= self._next_ping:
-            self._next_ping = now + self.options.ping_interval
+            self._gossip_buffer.add(name)
+        out += self._recheck_lost()
+        if now >= self._next_ping_at:
+            self._next_ping_at = now + self.options.ping_interval
             out += self._start_round(now)
         return out
 
@@ -202,78 +204,80 @@
         if not message.members or message.members[0].name != message.sender:
             self.dropped += 1
             return []
-        if self._repeated(message):
+        if self._is_replayed(message):
             self.dropped += 1
             return []
         self._merge_all(message.members, now)
-        out = self._pull(message, source, now)
+        out = self._pull_roster(message, source, now)
         if isinstance(message, Pong):
-            return out + self._take_pong(message)
-        return out + self._take_ping(message, source, now)
+            return out + self._handle_pong(message)
+        return out + self._handle_ping(message, source, now)
 
     def _merge_all(self, states: Iterable[MemberState], now: float) -> None:
         for state in states:
             if self._roster.merge(state, now):
-                self._news.add(state.name)
+                self._gossip_buffer.add(state.name)
             elif self._roster.contradicts_loss(state) and state.name not in self._rechecks:
                 self._rechecks.append(state.name)
 
-    def _take_ping(self, message: Ping, source: str, now: float) -> list[OutgoingPacket]:
+    def _handle_ping(self, message: Ping, source: str, now: float) -> list[OutgoingPacket]:
         if message.target:
-            return self._probe_for(message, now)
+            return self._probe_on_behalf(message, now)
         return [self._pong(source, message.sequence, "")]
 
-    def _take_pong(self, message: Pong) -> list[OutgoingPacket]:
+    def _handle_pong(self, message: Pong) -> list[OutgoingPacket]:
         probe = self._probe
         if probe and message.sequence == probe.sequence:
             self._probe = None
-        relay = self._relays.pop(message.sequence, None)
-        asker = self.find(relay.asker) if relay else None
-        if relay is None or asker is None or message.sender != relay.target:
+        indirect = self._indirect_probes.pop(message.sequence, None)
+        requester = self.find(indirect.requester) if indirect else None
+        if indirect is None or requester is None or message.sender != indirect.target:
             return []
-        return [self._pong(asker.address, relay.asker_sequence, relay.target)]
+        return [self._pong(requester.address, indirect.requester_sequence, indirect.target)]
 
-    def _probe_for(self, message: Ping, now: float) -> list[OutgoingPacket]:
+    def _probe_on_behalf(self, message: Ping, now: float) -> list[OutgoingPacket]:
         target = self.find(message.target)
         if target is None or target.name == self.own.name:
             return []
         ping = self._ping(target.address)
-        self._relays[self._sequence] = _Relay(message.sender, message.sequence, target.name)
-        while len(self._relays) > _MAX_RELAYS:
-            del self._relays[next(iter(self._relays))]
+        self._indirect_probes[self._sequence] = _IndirectProbe(
+            message.sender, message.sequence, target.name
+        )
+        while len(self._indirect_probes) > _MAX_INDIRECT_PROBES:
+            del self._indirect_probes[next(iter(self._indirect_probes))]
         return [ping]
 
     def _start_round(self, now: float) -> list[OutgoingPacket]:
         target = self._next_target()
         if target is None:
-            few = min(self.options.seeds_per_ping_round, len(self._seeds))
-            return [self._ping(seed) for seed in self._rng.sample(self._seeds, few)]
+            seed_count = min(self.options.seeds_per_ping_round, len(self._seeds))
+            return [self._ping(seed) for seed in self._rng.sample(self._seeds, seed_count)]
         ping = self._ping(target.address)
         if target.phase in (MemberPhase.ALIVE, MemberPhase.SUSPECT) and self._probe is None:
             self._probe = _Probe(target.name, self._sequence, now)
-        return [ping, *self._greet_stranger()]
+        return [ping, *self._ping_unknown_seed()]
 
-    def _greet_stranger(self) -> list[OutgoingPacket]:
+    def _ping_unknown_seed(self) -> list[OutgoingPacket]:
         """Return a ping to a seed that is no member yet, so that separately formed groups merge."""
         known = {state.address for state in self._roster.others()}
-        strangers = [seed for seed in self._seeds if seed not in known]
-        return [self._ping(self._rng.choice(strangers))] if strangers else []
+        unknown_seeds = [seed for seed in self._seeds if seed not in known]
+        return [self._ping(self._rng.choice(unknown_seeds))] if unknown_seeds else []
 
     def _next_target(self) -> MemberState | None:
-        while self._round:
-            state = self._roster.find(self._round.pop())
+        while self._ping_queue:
+            state = self._roster.find(self._ping_queue.pop())
             if state is not None:
                 return state
         others = self._roster.others()
         alive = [state.name for state in others if state.phase is not MemberPhase.LOST]
         lost = [state.name for state in others if state.phase is MemberPhase.LOST]
-        self._round = alive + self._rng.sample(lost, min(1, len(lost)))
-        self._rng.shuffle(self._round)
+        self._ping_queue = alive + self._rng.sample(lost, min(1, len(lost)))
+        self._rng.shuffle(self._ping_queue)
         if not alive and self._seeds and self._rng.random() < 0.5:
             return None
-        return self._roster.find(self._round.pop()) if self._round else None
+        return self._roster.find(self._ping_queue.pop()) if self._ping_queue else None
 
-    def _recheck(self) -> list[OutgoingPacket]:
+    def _recheck_lost(self) -> list[OutgoingPacket]:
         """Ping members that are lost here, so that they receive the claim and refute it if alive.
 
         Without this, a hall of a large fleet would return from a partition member by member, as the
@@ -286,18 +290,18 @@
                 out.append(self._ping(state.address))
         return out
 
-    def _follow_probe(self, now: float) -> list[OutgoingPacket]:
+    def _check_probe(self, now: float) -> list[OutgoingPacket]:
         probe = self._probe
         if probe is None:
             return []
-        waited = now - probe.sent
-        if waited >= self.options.suspect_timeout:
+        elapsed = now - probe.sent_at
+        if elapsed >= self.options.suspect_timeout:
             self._probe = None
             self._suspect(probe.target, now)
             return []
-        if waited < self.options.probe_timeout or probe.helped:
+        if elapsed < self.options.probe_timeout or probe.helpers_asked:
             return []
-        probe.helped = True
+        probe.helpers_asked = True
         helpers = [
             state for state in self.live() if state.name not in (probe.target, self.own.name)
         ]
@@ -306,9 +310,9 @@
 
     def _suspect(self, name: str, now: float) -> None:
         if self._roster.suspect(name, now):
-            self._news.add(name)
+            self._gossip_buffer.add(name)
 
-    def _pull(self, message: Ping | Pong, source: str, now: float) -> list[OutgoingPacket]:
+    def _pull_roster(self, message: Ping | Pong, source: str, now: float) -> list[OutgoingPacket]:
         """Return a roster pull if the sender may know members unknown here and a pull is due."""
         if not message.known or not self._sync.should_pull(message.digest, message.known, now):
             return []
@@ -320,12 +324,13 @@
         states = self._roster.differing_members(pull.digests, pull.sender)
         return [
             OutgoingPacket(
-                address, RosterPage(self.own.name, tuple(states[at : at + MAX_STATES_PER_PACKET]))
+                address,
+                RosterPage(self.own.name, tuple(states[start : start + MAX_STATES_PER_PACKET])),
             )
-            for at in range(0, len(states), MAX_STATES_PER_PACKET)
+            for start in range(0, len(states), MAX_STATES_PER_PACKET)
         ]
 
-    def _repeated(self, message: Ping | Pong) -> bool:
+    def _is_replayed(self, message: Ping | Pong) -> bool:
         """Return whether an identical packet was received before.
 
         Replays older than the remembered packets are harmless: states carry incarnations, and only
@@ -333,35 +338,39 @@
         is alive.
         """
         key = (message.sender, message.sequence, type(message) is Ping, message.target)
-        if key in self._seen:
+        if key in self._recent_packets:
             return True
-        self._seen[key] = None
-        if len(self._seen) > _REPLAY_MEMORY:
-            self._seen.popitem(last=False)
+        self._recent_packets[key] = None
+        if len(self._recent_packets) > _MAX_REMEMBERED_PACKETS:
+            self._recent_packets.popitem(last=False)
         return False
 
     def _ping(self, address: str, target: str = "", sequence: int = 0) -> OutgoingPacket:
         own_sequence = self._next_sequence()
-        gossip = self._gossip(address)
+        member_states = self._states_to_send(address)
         used = sequence or own_sequence
         digest, known = self._roster.digest(), len(self.live())
-        return OutgoingPacket(address, Ping(self.own.name, used, target, gossip, digest, known))
+        return OutgoingPacket(
+            address, Ping(self.own.name, used, target, member_states, digest, known)
+        )
 
     def _pong(self, address: str, sequence: int, target: str) -> OutgoingPacket:
-        gossip = self._gossip(address)
+        member_states = self._states_to_send(address)
         digest, known = self._roster.digest(), len(self.live())
-        return OutgoingPacket(address, Pong(self.own.name, sequence, target, gossip, digest, known))
+        return OutgoingPacket(
+            address, Pong(self.own.name, sequence, target, member_states, digest, known)
+        )
 
-    def _gossip(self, address: str) -> tuple[MemberState, ...]:
-        """Return the own state, claims that the receiver is not alive, and the latest changes."""
-        passed: dict[str, MemberState] = {self.own.name: self.own}
+    def _states_to_send(self, address: str) -> tuple[MemberState, ...]:
+        """Return this member's state, claims that the receiver is not alive, and latest changes."""
+        states_by_name: dict[str, MemberState] = {self.own.name: self.own}
         for state in self._roster.not_alive_at(address):
-            passed[state.name] = state
-        for name in self._news.next_batch():
-            held = self._roster.find(name)
-            if held is not None:
-                passed[name] = held
-        return tuple(passed.values())
+            states_by_name[state.name] = state
+        for name in self._gossip_buffer.next_batch():
+            known_state = self._roster.find(name)
+            if known_state is not None:
+                states_by_name[name] = known_state
+        return tuple(states_by_name.values())
 
     def _next_sequence(self) -> int:
         self._sequence += 1
--- a/src/lotushill/membership/roster.py
+++ b/src/lotushill/membership/roster.py
@@ -20,7 +20,7 @@
 DIGEST_GROUPS = 64
 """Number of groups of names with a digest each, so that two rosters which differ in a few members
 exchange some of their states and not all. Sent as 8 bytes each, the digests fit one datagram."""
-_SURE_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
+_SELF_STATED_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
 """Phases that a member states of itself; the other phases are claims of other members."""
 _LIVE_PHASES = (MemberPhase.ALIVE, MemberPhase.SUSPECT)
 
@@ -36,7 +36,7 @@
 @dataclass
 class _Entry:
     state: MemberState
-    since: float
+    phase_since: float
     """Time at which the phase last changed."""
 
 
@@ -47,7 +47,7 @@
         self.own = own
         self._options = options
         self._entries: dict[str, _Entry] = {}
-        self._fading: set[str] = set()
+        self._not_alive: set[str] = set()
         """Members that are suspected, leaving or lost, whose phase ends with a timeout."""
         self._live: tuple[MemberState, ...] | None = None
         self._digests: tuple[int, ...] | None = None
@@ -82,8 +82,8 @@
 
     def not_alive_at(self, address: str) -> list[MemberState]:
         """Return the members at an address that are suspected, leaving or lost."""
-        fading = (self._entries[name].state for name in self._fading)
-        return [state for state in fading if state.address == address]
+        states = (self._entries[name].state for name in self._not_alive)
+        return [state for state in states if state.address == address]
 
     @property
     def count(self) -> int:
@@ -92,17 +92,17 @@
 
     def take_changes(self) -> list[MemberChange]:
         """Return the phase changes since the last call."""
-        taken, self._changes = self._changes, []
-        return taken
+        changes, self._changes = self._changes, []
+        return changes
 
     def digests(self) -> tuple[int, ...]:
         """Return a digest for each group of names; equal if the same members are live."""
         if self._digests is None:
-            found = [0] * DIGEST_GROUPS
+            group_digests = [0] * DIGEST_GROUPS
             for state in self.live():
                 hashed = xxhash.xxh64_intdigest(state.name)
-                found[hashed % DIGEST_GROUPS] ^= hashed
-            self._digests = tuple(found)
+                group_digests[hashed % DIGEST_GROUPS] ^= hashed
+            self._digests = tuple(group_digests)
         return self._digests
 
     def digest(self) -> int:
@@ -112,21 +112,22 @@
             folded ^= number
         return folded
 
-    def differing_members(self, digests: Sequence[int], asker: str) -> list[MemberState]:
-        """Return the members to send to `asker`, whose digests differ.
+    def differing_members(self, digests: Sequence[int], requester: str) -> list[MemberState]:
+        """Return the members to send to `requester`, whose digests differ.
 
-        Suspected and lost members are sent within the own hall only, which a partition does not
-        divide: in another hall the claim could override what the asker observes itself.
+        Suspected and lost members are sent only within this hall, which a partition does not
+        divide: in another hall the claim could override what the requester observes itself.
         """
         own = self.digests()
         if len(digests) != len(own):
             return []
-        held = self.find(asker)
-        near = held is not None and held.hall == self.own.hall
+        state_of_requester = self.find(requester)
+        same_hall = state_of_requester is not None and state_of_requester.hall == self.own.hall
         return [
             state
             for state in (self.own, *self.others())
-            if (near or state.phase in _SURE_PHASES) and self._differs(state.name, own, digests)
+            if (same_hall or state.phase in _SELF_STATED_PHASES)
+            and self._differs(state.name, own, digests)
         ]
 
     @staticmethod
@@ -135,11 +136,11 @@
         return own[group] != other[group]
 
     def set_own(self, state: MemberState) -> None:
-        """Change the own state, with a new incarnation that supersedes the state others hold."""
+        """Change this member's state, in a new incarnation that supersedes the one others hold."""
         if state.phase is not self.own.phase:
-            self._recompose()
+            self._increment_composition()
         self.own = replace(state, incarnation=state.incarnation + 1)
-        self._touch()
+        self._increment_version()
 
     def merge(self, state: MemberState, now: float) -> bool:
         """Merge a claim about a member; return whether it is to be passed on to others.
@@ -156,7 +157,7 @@
             if state.phase is MemberPhase.LOST:
                 return False
             self._entries[state.name] = _Entry(state, now)
-            self._note(state, None, now)
+            self._record_change(state, None, now)
             return True
         if not supersedes(state, entry.state):
             return False
@@ -166,8 +167,8 @@
 
     def contradicts_loss(self, state: MemberState) -> bool:
         """Return whether a claim states that a member is alive which is lost here."""
-        held = self._entries.get(state.name)
-        lost = held is not None and held.state.phase is MemberPhase.LOST
+        member_entry = self._entries.get(state.name)
+        lost = member_entry is not None and member_entry.state.phase is MemberPhase.LOST
         return lost and state.phase is MemberPhase.ALIVE
 
     def suspect(self, name: str, now: float) -> bool:
@@ -180,57 +181,59 @@
 
     def expire(self, now: float) -> list[str]:
         """Apply the timeouts of members that are not alive; return the names to pass on."""
-        news = []
-        for name in list(self._fading):
+        changed = []
+        for name in list(self._not_alive):
             entry = self._entries[name]
-            held = now - entry.since
+            elapsed = now - entry.phase_since
             phase = entry.state.phase
-            if phase is MemberPhase.LOST and held >= self._options.lost_retention:
+            if phase is MemberPhase.LOST and elapsed >= self._options.lost_retention:
                 del self._entries[name]
-                self._fading.discard(name)
-                self._touch()
-                self._recompose()
-            elif phase is not MemberPhase.LOST and held >= self._time_of(phase):
+                self._not_alive.discard(name)
+                self._increment_version()
+                self._increment_composition()
+            elif phase is not MemberPhase.LOST and elapsed >= self._phase_timeout(phase):
                 self._set(entry, replace(entry.state, phase=MemberPhase.LOST), now)
-                news.append(name)
-        return news
+                changed.append(name)
+        return changed
 
-    def _time_of(self, phase: MemberPhase) -> float:
+    def _phase_timeout(self, phase: MemberPhase) -> float:
         if phase is MemberPhase.LEAVING:
             return self._options.leaving_timeout
         return self._options.lost_timeout
 
     def _refute(self, state: MemberState) -> None:
         newer = state.incarnation > self.own.incarnation
-        wrong = state.incarnation == self.own.incarnation and state.phase is not self.own.phase
-        if state.phase is MemberPhase.LOST and (newer or wrong):
+        contradicts = (
+            state.incarnation == self.own.incarnation and state.phase is not self.own.phase
+        )
+        if state.phase is MemberPhase.LOST and (newer or contradicts):
             self.times_declared_lost += 1
-        if newer or wrong:
+        if newer or contradicts:
             self.own = replace(self.own, incarnation=state.incarnation + 1)
-            self._touch()
+            self._increment_version()
 
     def _set(self, entry: _Entry, state: MemberState, now: float) -> None:
         former = entry.state
         if state.phase is not former.phase:
-            entry.since = now
+            entry.phase_since = now
         entry.state = state
-        self._note(state, former.phase, now)
+        self._record_change(state, former.phase, now)
 
-    def _note(self, state: MemberState, former: MemberPhase | None, now: float) -> None:
+    def _record_change(self, state: MemberState, former: MemberPhase | None, now: float) -> None:
         if state.phase is MemberPhase.ALIVE:
-            self._fading.discard(state.name)
+            self._not_alive.discard(state.name)
         else:
-            self._fading.add(state.name)
-        self._touch()
+            self._not_alive.add(state.name)
+        self._increment_version()
         if state.phase is not former:
-            self._recompose()
+            self._increment_composition()
             self.changed_at = now
             self._changes.append(MemberChange(state, former))
 
-    def _touch(self) -> None:
+    def _increment_version(self) -> None:
         self.version += 1
         self._live = None
 
-    def _recompose(self) -> None:
+    def _increment_composition(self) -> None:
         self.composition_version += 1
         self._digests = None
--- a/src/lotushill/membership/roster_sync.py
+++ b/src/lotushill/membership/roster_sync.py
@@ -25,8 +25,8 @@
         self._options = options
         self._pulled_at = float("-inf")
         self._differs_since: float | None = None
-        self._credit = options.max_rosters_per_second
-        self._credit_at = 0.0
+        self._tokens = options.max_rosters_per_second
+        self._tokens_at = 0.0
 
     def should_pull(self, digest: int, known: int, now: float) -> bool:
         """Return whether to pull from a member that has `known` live members with this digest."""
@@ -43,11 +43,11 @@
     def admit_pull(self, now: float) -> bool:
         """Return whether to answer a pull now; a member without an answer asks another one."""
         rate = self._options.max_rosters_per_second
-        self._credit = min(rate, self._credit + rate * max(0.0, now - self._credit_at))
-        self._credit_at = now
-        if self._credit < 1.0:
+        self._tokens = min(rate, self._tokens + rate * max(0.0, now - self._tokens_at))
+        self._tokens_at = now
+        if self._tokens < 1.0:
             return False
-        self._credit -= 1.0
+        self._tokens -= 1.0
         return True
 
     def _is_due(self, known: int, now: float) -> bool:
@@ -58,5 +58,5 @@
         assert self._differs_since is not None
         settled = now - self._roster.changed_at >= options.pull_interval
         settled = settled and now - self._differs_since >= options.pull_interval
-        old = now - self._differs_since >= options.max_difference_age
-        return (settled or old) and since_pull >= options.pull_interval
+        overdue = now - self._differs_since >= options.max_difference_age
+        return (settled or overdue) and since_pull >= options.pull_interval
--- a/src/lotushill/membership/schedulers.py
+++ b/src/lotushill/membership/schedulers.py
@@ -35,73 +35,79 @@
 
     def __init__(self, membership: Members) -> None:
         self._membership = membership
-        self._looked_at = -1
-        self._halls: dict[str, tuple[str, ...]] = {}
+        self._computed_version = -1
+        self._names_by_hall: dict[str, tuple[str, ...]] = {}
         self._all: tuple[str, ...] = ()
-        self._own = True
-        self._small = True
-        self._silent: dict[str, float] = {}
+        self._is_scheduler = True
+        self._is_small = True
+        self._silent_until: dict[str, float] = {}
         """Time until which each scheduler that did not answer is asked last, by name."""
 
     def is_scheduler(self) -> bool:
         """Return whether this gateway places requests itself, for all others or for its hall."""
-        self._look()
-        return self._own
+        self._update()
+        return self._is_scheduler
 
     def is_small_fleet(self) -> bool:
         """Return whether the fleet is so small that every gateway is a scheduler."""
-        self._look()
-        return self._small
+        self._update()
+        return self._is_small
 
     def others(self) -> list[MemberState]:
         """Return all schedulers except this gateway."""
-        self._look()
-        return self._found(name for name in self._all if name != self._membership.own.name)
+        self._update()
+        return self._known_states(name for name in self._all if name != self._membership.own.name)
 
     def note_silent(self, name: str, now: float) -> None:
         """Record that a scheduler did not answer in time."""
-        self._silent[name] = now + _SILENT_SECONDS
+        self._silent_until[name] = now + _SILENT_SECONDS
 
     def note_answer(self, name: str) -> None:
         """Record that a scheduler answered."""
-        self._silent.pop(name, None)
+        self._silent_until.pop(name, None)
 
-    def query_order(self, now: float, turn: int = 0) -> list[MemberState]:
-        """Return the schedulers to ask, in order: the own hall's, then the first of each other.
+    def query_order(self, now: float, request_number: int = 0) -> list[MemberState]:
+        """Return the schedulers to ask in order: those of this hall, then one of each other hall.
 
-        `turn`, the number of a request, distributes the requests over the schedulers of the hall: a
-        scheduler on a weak host that answers a whole burst alone is late. Schedulers that recently
-        did not answer come last.
+        `request_number` distributes the requests over the schedulers of the hall: a scheduler on a
+        weak host that answers a whole burst alone is late. Schedulers that recently did not answer
+        come last.
         """
-        self._look()
+        self._update()
         own = self._membership.own
-        near = [name for name in self._halls.get(own.hall, ()) if name != own.name]
-        if near:
-            first = turn % len(near)
-            near = near[first:] + near[:first]
-        far = [order[0] for hall, order in self._halls.items() if hall != own.hall and order]
-        order = sorted((*near, *far), key=lambda name: self._silent.get(name, now) > now)
-        return self._found(order)
+        same_hall = [name for name in self._names_by_hall.get(own.hall, ()) if name != own.name]
+        if same_hall:
+            first = request_number % len(same_hall)
+            same_hall = same_hall[first:] + same_hall[:first]
+        other_halls = [
+            order[0] for hall, order in self._names_by_hall.items() if hall != own.hall and order
+        ]
+        order = sorted(
+            (*same_hall, *other_halls), key=lambda name: self._silent_until.get(name, now) > now
+        )
+        return self._known_states(order)
 
     def names_by_hall(self) -> dict[str, tuple[str, ...]]:
         """Return the names of the schedulers by hall."""
-        self._look()
-        return self._halls
+        self._update()
+        return self._names_by_hall
 
-    def _found(self, names: Iterable[str]) -> list[MemberState]:
+    def _known_states(self, names: Iterable[str]) -> list[MemberState]:
         states = (self._membership.find(name) for name in names)
         return [state for state in states if state is not None]
 
-    def _look(self) -> None:
-        if self._membership.composition_version == self._looked_at:
+    def _update(self) -> None:
+        if self._membership.composition_version == self._computed_version:
             return
-        self._looked_at = self._membership.composition_version
+        self._computed_version = self._membership.composition_version
         members = self._membership.live()
-        self._small = len(members) <= MAX_SMALL_FLEET_GATEWAYS
-        count = len(members) if self._small else SCHEDULERS_PER_HALL
+        self._is_small = len(members) <= MAX_SMALL_FLEET_GATEWAYS
+        count = len(members) if self._is_small else SCHEDULERS_PER_HALL
         halls: dict[str, list[str]] = {}
         for member in members:
             halls.setdefault(member.hall, []).append(member.name)
-        self._halls = {hall: ranked(_KEY, names, count) for hall, names in sorted(halls.items())}
-        self._all = tuple(name for names in self._halls.values() for name in names)
-        self._own = self._small or self._membership.own.name in self._all
+        self._names_by_hall = {
+            hall: ranked(_KEY, names, count) for hall, names in sorted(halls.items())
+        }
+        self._all = tuple(name for names in self._names_by_hall.values() for name in names)
+        self._is_scheduler = self._is_small or self._membership.own.name in self._all
--- a/src/lotushill/peering/group_gossip.py
+++ b/src/lotushill/peering/group_gossip.py
@@ -21,7 +21,7 @@
     from lotushill.event_log import EventLog
     from lotushill.quarantine.isolation import Isolation
 
-_MOST_IN_DATAGRAM = 8
+_MAX_GROUPS_PER_DATAGRAM = 8
 
 
 class GroupGossip:
@@ -39,14 +39,14 @@
         """Send as the gateway `name`; `broadcast` sends to all other gateways."""
         self._name = name
         self._isolation = isolation
-        self._tell = broadcast
+        self._broadcast = broadcast
         self._log = log
         self._rng = rng
         self._clock = clock
-        self._ends: RepeatSchedule[GroupEnd] = RepeatSchedule()
-        self._proofs: RepeatSchedule[Group] = RepeatSchedule()
-        self._timer = TrickleTimer(rng)
-        """Timer for the isolated groups: a restarted gateway has not seen the upstream failures."""
+        self._due_failures: RepeatSchedule[GroupEnd] = RepeatSchedule()
+        self._due_completions: RepeatSchedule[Group] = RepeatSchedule()
+        self._isolated_timer = TrickleTimer(rng)
+        """Timer that repeats the isolated groups: a restarted gateway has seen no failures."""
 
     def is_isolated(self, groups: Iterable[Group]) -> bool:
         """Return whether a request of these groups is isolated."""
@@ -60,92 +60,100 @@
         """Record that an upstream failed before a request of these groups had its first event."""
         now = self._clock()
         for group in groups:
-            whole = self._isolation.completion_count(group, now)
-            end = GroupEnd(group.service, group.label, upstream, whole)
-            self._ends.schedule_repeats(end, now)
-            self._take_end(end, self._name)
+            completions = self._isolation.completion_count(group, now)
+            failure = GroupEnd(group.service, group.label, upstream, completions)
+            self._due_failures.schedule_repeats(failure, now)
+            self._record_failure(failure, self._name)
 
     def expire(self) -> None:
         """Discard groups under which no upstream has failed for a while."""
         self._isolation.expire(self._clock())
 
-    def receive(self, news: GroupNews) -> None:
+    def receive(self, update: GroupNews) -> None:
         """Merge an update from another gateway."""
-        for end in news.ends:
-            self._hear_end(end, news.sender)
-        if news.isolated:
-            self._hear_isolated(news.isolated)
+        for failure in update.ends:
+            self._merge_failure(failure, update.sender)
+        if update.isolated:
+            self._merge_isolated(update.isolated)
 
-    def _hear_end(self, end: GroupEnd, teller: str) -> None:
-        """Merge an upstream failure or completions; schedule a report of own completions if any."""
+    def _merge_failure(self, failure: GroupEnd, reporter: str) -> None:
+        """Merge an upstream failure or completions; schedule a report of any local completions."""
         now = self._clock()
-        group = Group(end.service, end.label)
-        if not end.upstream:
-            self._isolation.record_peer_completions(group, teller, end.whole, now)
+        group = Group(failure.service, failure.label)
+        if not failure.upstream:
+            self._isolation.record_peer_completions(group, reporter, failure.whole, now)
             return
-        self._take_end(end, teller)
-        if self._isolation.completion_count(group, now) and group not in self._proofs:
-            self._proofs.schedule_once(
+        self._record_failure(failure, reporter)
+        if self._isolation.completion_count(group, now) and group not in self._due_completions:
+            self._due_completions.schedule_once(
                 group, now + self._rng.uniform(0.0, KNOWN_GOOD_JITTER_SECONDS)
             )
 
-    def _take_end(self, end: GroupEnd, teller: str) -> None:
-        group = Group(end.service, end.label)
+    def _record_failure(self, failure: GroupEnd, reporter: str) -> None:
+        group = Group(failure.service, failure.label)
         if self._isolation.record_upstream_failure(
-            group, end.upstream, teller, end.whole, self._clock()
+            group, failure.upstream, reporter, failure.whole, self._clock()
         ):
-            self._note_isolated(group, end.upstream)
+            self._log_isolated(group, failure.upstream)
 
-    def _hear_isolated(self, told: tuple[IsolatedGroup, ...]) -> None:
+    def _merge_isolated(self, received: tuple[IsolatedGroup, ...]) -> None:
         now = self._clock()
-        for item in told:
+        for item in received:
             group = Group(item.service, item.label)
             if self._isolation.adopt(group, item.left, item.pause, now):
-                self._note_isolated(group, "")
-        if {Group(item.service, item.label) for item in told} >= set(
+                self._log_isolated(group, "")
+        if {Group(item.service, item.label) for item in received} >= set(
             self._isolation.isolated_groups(now)
         ):
-            self._timer.note_consistent()
+            self._isolated_timer.note_consistent()
 
-    def _note_isolated(self, group: Group, upstream: str) -> None:
+    def _log_isolated(self, group: Group, upstream: str) -> None:
         self._log.note(
             "quarantine.isolated", service=group.service, group=group.label, upstream=upstream
         )
-        self._timer.reset(self._clock())
+        self._isolated_timer.reset(self._clock())
 
     def next_due(self) -> float:
         """Return when the next update is due, infinity if none is."""
         if self._isolation.is_empty:
             return math.inf
-        return min(self._ends.next_due(), self._proofs.next_due(), self._timer.next_due)
+        return min(
+            self._due_failures.next_due(),
+            self._due_completions.next_due(),
+            self._isolated_timer.next_due,
+        )
 
     def send_due(self) -> None:
         """Send the updates that are due."""
-        ends = [*self._ends.pop_due(self._clock()), *self._due_proofs()]
-        for start in range(0, len(ends), _MOST_IN_DATAGRAM):
-            self._tell(GroupNews(self._name, tuple(ends[start : start + _MOST_IN_DATAGRAM])))
-        self._tell_isolated()
+        reports = [*self._due_failures.pop_due(self._clock()), *self._pop_completions()]
+        for start in range(0, len(reports), _MAX_GROUPS_PER_DATAGRAM):
+            self._broadcast(
+                GroupNews(self._name, tuple(reports[start : start + _MAX_GROUPS_PER_DATAGRAM]))
+            )
+        self._send_isolated()
 
-    def _due_proofs(self) -> list[GroupEnd]:
+    def _pop_completions(self) -> list[GroupEnd]:
         """Return the reports of completions that are due; none once enough are known."""
         now = self._clock()
-        found = []
-        for group in self._proofs.pop_due(now):
+        completion_reports = []
+        for group in self._due_completions.pop_due(now):
             if not self._isolation.needs_completion_reports(group, now):
                 continue
-            whole = self._isolation.completion_count(group, now)
-            self._isolation.record_peer_completions(group, self._name, whole, now)
-            found.append(GroupEnd(group.service, group.label, "", whole))
-        return found
+            completions = self._isolation.completion_count(group, now)
+            self._isolation.record_peer_completions(group, self._name, completions, now)
+            completion_reports.append(GroupEnd(group.service, group.label, "", completions))
+        return completion_reports
 
-    def _tell_isolated(self) -> None:
+    def _send_isolated(self) -> None:
         now = self._clock()
         terms = self._isolation.isolation_terms(now)
         if not terms:
-            self._timer.stop()
-        elif self._timer.is_due(now):
-            told = [
+            self._isolated_timer.stop()
+        elif self._isolated_timer.is_due(now):
+            groups_to_send = [
                 IsolatedGroup(group.service, group.label, term.left, term.pause)
                 for group, term in terms.items()
             ]
-            self._tell(GroupNews(self._name, isolated=tuple(told[:_MOST_IN_DATAGRAM])))
+            self._broadcast(
+                GroupNews(self._name, isolated=tuple(groups_to_send[:_MAX_GROUPS_PER_DATAGRAM]))
+            )
--- a/src/lotushill/peering/leaving_gossip.py
+++ b/src/lotushill/peering/leaving_gossip.py
@@ -35,31 +35,31 @@
         """Send as the gateway `name`; `broadcast` sends to all other gateways."""
         self._name = name
         self._upstreams = upstreams
-        self._tell = broadcast
+        self._broadcast = broadcast
         self._log = log
         self._clock = clock
-        self._telling = AnnouncementSchedule(rng)
+        self._schedule = AnnouncementSchedule(rng)
 
     def note_answer(self, upstream_id: str) -> None:
         """Record that an upstream announced in an answer that it leaves."""
-        self._take(upstream_id, "answer")
+        self._merge(upstream_id, "answer")
 
-    def receive(self, news: LeavingNews) -> None:
+    def receive(self, update: LeavingNews) -> None:
         """Merge the announcements that another gateway knows."""
-        for upstream_id in news.upstreams:
-            self._take(upstream_id, news.sender)
-        missing = set(self._upstreams.announced_leaving) - set(news.upstreams)
-        lacks = news.complete and bool(missing)
-        self._telling.note_received(news.upstreams, news.complete, lacks, self._clock())
+        for upstream_id in update.upstreams:
+            self._merge(upstream_id, update.sender)
+        missing = set(self._upstreams.announced_leaving) - set(update.upstreams)
+        lacks = update.complete and bool(missing)
+        self._schedule.note_received(update.upstreams, update.complete, lacks, self._clock())
 
-    def _take(self, upstream_id: str, source: str) -> None:
+    def _merge(self, upstream_id: str, source: str) -> None:
         if self._upstreams.note_leaving(upstream_id):
             self._log.note("upstream.leaving", upstream=upstream_id, source=source)
-            self._telling.note(upstream_id, self._clock())
+            self._schedule.note(upstream_id, self._clock())
 
     def send_due(self) -> None:
         """Send an update to the other gateways if one is due."""
         leaving = self._upstreams.announced_leaving
-        told = self._telling.due_names(leaving, self._clock())
-        if told:
-            self._tell(LeavingNews(self._name, tuple(told), len(told) == len(leaving)))
+        due = self._schedule.due_names(leaving, self._clock())
+        if due:
+            self._broadcast(LeavingNews(self._name, tuple(due), len(due) == len(leaving)))
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -76,9 +76,9 @@
     from lotushill.placement.messages import Load
     from lotushill.process.settings import GatewaySettings
 
-_TICK_SECONDS = 0.05
-_CONTEXT = b"gateway"
-_HEARD_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
+_TICK_INTERVAL_SECONDS = 0.05
+_SEAL_CONTEXT = b"gateway"
+_REACHABLE_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
 
 
 @dataclass(frozen=True)
@@ -166,8 +166,8 @@
         self._views = ViewExchange(self.membership, self.links, rng, hooks.view_text, hooks.on_view)
         self._relay = LoadRelay(settings.name, self.schedulers, self.send_message)
         self._transport: asyncio.DatagramTransport | None = None
-        self._cut_off: set[str] = set()
-        self._cut_off_at = -1
+        self._unreachable_halls: set[str] = set()
+        self._unreachable_version = -1
         """Version of the membership for which the unreachable halls were computed."""
         self.malformed = 0
         """Number of packets that were dropped because they could not be decoded."""
@@ -182,12 +182,12 @@
         self.links.start(group)
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         group.start_soon(listener.serve, self.links.accept)
-        group.start_soon(self._flush_for_ever)
+        group.start_soon(self._flush_forever)
         while True:
             self._tick(self._clock())
-            await anyio.sleep(_TICK_SECONDS)
+            await anyio.sleep(_TICK_INTERVAL_SECONDS)
 
-    async def _flush_for_ever(self) -> None:
+    async def _flush_forever(self) -> None:
         """Pass on pending load updates; without any, the task sleeps."""
         while True:
             await self._relay.wait_for_pending()
@@ -200,15 +200,15 @@
 
     def is_cut_off(self, hall: str) -> bool:
         """Return whether gateways of a hall are known but none of them is reachable."""
-        if self.membership.version != self._cut_off_at:
-            self._cut_off_at = self.membership.version
-            known = self.membership.all()
-            heard = {item.hall for item in known if item.phase in _HEARD_PHASES}
-            self._cut_off = {item.hall for item in known} - heard
-        return hall in self._cut_off or self._hall_contact.is_silent(hall, self._clock())
+        if self.membership.version != self._unreachable_version:
+            self._unreachable_version = self.membership.version
+            members = self.membership.all()
+            reachable = {item.hall for item in members if item.phase in _REACHABLE_PHASES}
+            self._unreachable_halls = {item.hall for item in members} - reachable
+        return hall in self._unreachable_halls or self._hall_contact.is_silent(hall, self._clock())
 
     def is_same_hall(self, name: str) -> bool:
-        """Return whether a gateway is in the own hall."""
+        """Return whether a gateway is in the same hall as this one."""
         member = self.membership.find(name)
         return member is not None and member.hall == self.membership.own.hall
 
@@ -222,7 +222,7 @@
 
     def broadcast(self, message: Message) -> None:
         """Send a message to every other live gateway."""
-        data = self._seal.sign(to_datagram(message), _CONTEXT)
+        data = self._seal.sign(to_datagram(message), _SEAL_CONTEXT)
         for member in self.membership.live():
             if member.name != self.membership.own.name:
                 self._send(data, member.address)
@@ -238,7 +238,7 @@
         if member is not None:
             self.send_message(message, member.address)
 
-    def _take_records(self, records: bytes) -> None:
+    def _receive_records(self, records: bytes) -> None:
         try:
             loads = unpack_loads(records, self._hooks.upstream_id)
         except MalformedFrameError:
@@ -248,7 +248,7 @@
             if load.sender != self.membership.own.name:
                 self._hooks.on_load(load)
 
-    def _take_paces(self, records: bytes) -> None:
+    def _receive_paces(self, records: bytes) -> None:
         try:
             self._hooks.on_paces(unpack_paces(records, self._hooks.upstream_id))
         except MalformedFrameError:
@@ -257,16 +257,16 @@
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         """Decode a datagram and pass its message to the part that handles it."""
         try:
-            message = from_datagram(self._seal.open(data, _CONTEXT))
+            message = from_datagram(self._seal.open(data, _SEAL_CONTEXT))
         except (ForgedFrameError, MalformedFrameError):
             self.malformed += 1
             return
         now = self._clock()
         if isinstance(message, LoadBatch):
             self._hall_contact.note_batch(message.sender, now)
-            self._take_records(message.records)
+            self._receive_records(message.records)
         elif isinstance(message, LoadNews):
-            self._take_records(message.records)
+            self._receive_records(message.records)
             self._relay.collect(message.records, now)
         elif isinstance(message, PlacementAsk):
             answer = self._hooks.answer_placement(message, now)
@@ -295,7 +295,7 @@
         elif isinstance(message, Ping | Pong | RosterPull | RosterPage):
             source = f"{addr[0]}:{addr[1]}"
             self._send_all(self.membership.receive(message, source, now))
-            self._follow_changes(now)
+            self._process_changes(now)
 
     def error_received(self, exc: Exception) -> None:
         """Ignore the notice that an earlier datagram was not delivered."""
@@ -306,7 +306,7 @@
 
     def send_message(self, message: Datagram, address: str) -> None:
         """Send one datagram to an address."""
-        self._send(self._seal.sign(to_datagram(message), _CONTEXT), address)
+        self._send(self._seal.sign(to_datagram(message), _SEAL_CONTEXT), address)
 
     def _send(self, data: bytes, address: str) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -326,8 +326,8 @@
             records = b"".join(pack_load(load) for load in self._hooks.all_running())
             self.links.post(peer, ModelPage(records, pack_paces(self._hooks.paces())))
         elif isinstance(message, ModelPage):
-            self._take_paces(message.paces)
-            self._take_records(message.records)
+            self._receive_paces(message.paces)
+            self._receive_records(message.records)
             self.model_sync.note_page()
 
     def _tick(self, now: float) -> None:
@@ -344,19 +344,19 @@
         if changed and contact is not StoreContact.PASSIVE:
             self._send_all(self.membership.announce())
         self._send_all(self.membership.tick(now))
-        self._follow_changes(now)
+        self._process_changes(now)
         self._views.pull_newer(revisions, now)
         self._hall_contact.update_listening(now)
         self._relay.send_keepalive(now)
         if min(revisions[ViewKind.CONFIGURATION], revisions[ViewKind.UPSTREAMS]) >= 0:
-            self._fill_model(now)
+            self._pull_model(now)
 
-    def _fill_model(self, now: float) -> None:
+    def _pull_model(self, now: float) -> None:
         source = self.model_sync.next_source(now)
         if source is not None:
             self.links.post(source, ModelPull(self.membership.own.name))
 
-    def _follow_changes(self, now: float) -> None:
+    def _process_changes(self, now: float) -> None:
         self._member_log.flush(now)
         for change in self.membership.take_changes():
             member = change.member
--- a/src/lotushill/peering/quarantine_gossip.py
+++ b/src/lotushill/peering/quarantine_gossip.py
@@ -33,12 +33,12 @@
 
     Clock = Callable[[], float]
 
-_ENDS_TO_STOP = 2
-"""Number of upstreams that failed under a request from which an arrival of it is not retried."""
-_MOST_IN_DATAGRAM = 8
-_MOST_PATH = 120
-_MOST_UPSTREAMS = 4
-"""Maximum number of upstreams sent with a suspect; others need no more than it takes to hold it."""
+_FAILURES_TO_STOP_RETRIES = 2
+"""Number of upstream failures under a request from which an arrival of it is not retried."""
+_MAX_SUSPECTS_PER_DATAGRAM = 8
+_MAX_PATH_LENGTH = 120
+_MAX_UPSTREAMS_SENT = 4
+"""Maximum number of failed upstreams sent with a suspect; so many are enough to hold it."""
 
 
 class QuarantineGossip:
@@ -56,21 +56,24 @@
         rng: random.Random,
         clock: Clock,
     ) -> None:
-        """Query `has_failed` on upstreams that interrupted a request; `broadcast` sends to all."""
+        """Query `has_failed` on upstreams that interrupted a request.
+
+        `broadcast` sends to all other gateways.
+        """
         self._name = name
         self._quarantine = quarantine
         self._groups = groups
         self._upstreams = upstreams
-        self._has_ended = has_failed
-        self._tell = broadcast
+        self._has_failed = has_failed
+        self._broadcast = broadcast
         self._log = log
         self._clock = clock
-        self._plan = UpdateSchedule(rng)
-        self._watch = FailureWatch()
-        self._checks: dict[str, asyncio.Task[bool | None]] = {}
+        self._update_schedule = UpdateSchedule(rng)
+        self._failure_watch = FailureWatch()
+        self._failure_checks: dict[str, asyncio.Task[bool | None]] = {}
         """Pending queries whether an upstream has failed, by upstream."""
-        self._notes: set[asyncio.Task[None]] = set()
-        self._wake = anyio.Event()
+        self._check_tasks: set[asyncio.Task[None]] = set()
+        self._new_update = anyio.Event()
         self.upstream_failures = 0
         """Number of upstream failures under requests of this gateway, counted once per request."""
         self.held_count = 0
@@ -88,7 +91,7 @@
             return False
         if self._quarantine.is_empty:
             return True
-        if self._quarantine.failure_count(request.identity) >= _ENDS_TO_STOP:
+        if self._quarantine.failure_count(request.identity) >= _FAILURES_TO_STOP_RETRIES:
             return False
         return not self._quarantine.is_held(request.identity, self._clock())
 
@@ -106,8 +109,8 @@
         """Record a completed request."""
         self._groups.record_completion(request.groups)
         if self._quarantine.record_completion(request.identity, self._clock()):
-            self._plan.schedule_cleared(request.identity)
-            self._wake.set()
+            self._update_schedule.schedule_cleared(request.identity)
+            self._new_update.set()
 
     def record_interruption(
         self, request: Request, upstream: Upstream, answer_started: bool
@@ -116,80 +119,80 @@
 
         `answer_started` states whether a part of the answer had arrived.
         """
-        path = request.target.partition(b"?")[0].decode("latin-1")[:_MOST_PATH]
+        path = request.target.partition(b"?")[0].decode("latin-1")[:_MAX_PATH_LENGTH]
         groups = () if answer_started else request.groups
-        cut = InterruptedRequest(request.identity, request.team, path, upstream.id, groups)
-        task = asyncio.create_task(self._check(cut, upstream))
-        self._notes.add(task)
-        task.add_done_callback(self._notes.discard)
+        interrupted = InterruptedRequest(request.identity, request.team, path, upstream.id, groups)
+        task = asyncio.create_task(self._check_failure(interrupted, upstream))
+        self._check_tasks.add(task)
+        task.add_done_callback(self._check_tasks.discard)
         return task
 
-    async def _check(self, cut: InterruptedRequest, upstream: Upstream) -> None:
+    async def _check_failure(self, interrupted: InterruptedRequest, upstream: Upstream) -> None:
         if self._listing(upstream.id) is not Listing.SERVING:
             # The upstream was leaving: a planned shutdown.
             return
-        check = self._checks.get(upstream.id)
+        check = self._failure_checks.get(upstream.id)
         if check is None:
-            check = asyncio.create_task(self._has_ended(upstream))
-            self._checks[upstream.id] = check
-            check.add_done_callback(lambda _: self._checks.pop(upstream.id, None))
+            check = asyncio.create_task(self._has_failed(upstream))
+            self._failure_checks[upstream.id] = check
+            check.add_done_callback(lambda _: self._failure_checks.pop(upstream.id, None))
         if await check:
-            self._note_end(cut)
+            self._record_failure(interrupted)
         else:
-            self._watch.add(cut, self._clock())
+            self._failure_watch.add(interrupted, self._clock())
 
     def _listing(self, upstream_id: str) -> Listing:
-        found = self._upstreams.find(upstream_id)
-        if found is None:
+        listed = self._upstreams.find(upstream_id)
+        if listed is None:
             return Listing.GONE
-        return Listing.LEAVING if found.draining else Listing.SERVING
+        return Listing.LEAVING if listed.draining else Listing.SERVING
 
-    def _note_end(self, cut: InterruptedRequest) -> None:
+    def _record_failure(self, interrupted: InterruptedRequest) -> None:
         now = self._clock()
-        if cut.groups:
-            self._groups.record_upstream_failure(cut.groups, cut.upstream)
-            self._wake.set()
+        if interrupted.groups:
+            self._groups.record_upstream_failure(interrupted.groups, interrupted.upstream)
+            self._new_update.set()
         if not self._quarantine.record_upstream_failure(
-            cut.identity, cut.team, cut.path, cut.upstream, now
+            interrupted.identity, interrupted.team, interrupted.path, interrupted.upstream, now
         ):
             return
         self.upstream_failures += 1
         self._log.note(
             "quarantine.end",
-            identity=cut.identity.hex(),
-            team=cut.team,
-            path=cut.path,
-            upstream=cut.upstream,
-            ends=self._quarantine.failure_count(cut.identity),
-            held=self._quarantine.is_held(cut.identity, now),
+            identity=interrupted.identity.hex(),
+            team=interrupted.team,
+            path=interrupted.path,
+            upstream=interrupted.upstream,
+            ends=self._quarantine.failure_count(interrupted.identity),
+            held=self._quarantine.is_held(interrupted.identity, now),
         )
-        self._plan.schedule_failure(cut.identity, now)
-        self._tell_proof(cut.identity, now)
-        self._wake.set()
+        self._update_schedule.schedule_failure(interrupted.identity, now)
+        self._schedule_known_good(interrupted.identity, now)
+        self._new_update.set()
 
-    def _tell_proof(self, identity: bytes, now: float) -> None:
+    def _schedule_known_good(self, identity: bytes, now: float) -> None:
         if self._quarantine.has_completed(identity, now):
-            self._plan.schedule_known_good(identity, now)
+            self._update_schedule.schedule_known_good(identity, now)
 
-    def receive(self, news: SuspectNews | ClearedNews | GroupNews) -> None:
+    def receive(self, update: SuspectNews | ClearedNews | GroupNews) -> None:
         """Merge an update from another gateway."""
         now = self._clock()
-        if isinstance(news, GroupNews):
-            self._groups.receive(news)
-            self._wake.set()
+        if isinstance(update, GroupNews):
+            self._groups.receive(update)
+            self._new_update.set()
             return
-        if isinstance(news, SuspectNews):
-            for state in news.suspects:
-                self._take(state, now)
+        if isinstance(update, SuspectNews):
+            for state in update.suspects:
+                self._merge(state, now)
             return
-        for identity in news.since:
+        for identity in update.since:
             self._quarantine.clear(identity)
-            self._plan.cancel(identity)
-        for identity in news.before:
+            self._update_schedule.cancel(identity)
+        for identity in update.before:
             self._quarantine.mark_known_good(identity, now)
-            self._plan.cancel_known_good(identity)
+            self._update_schedule.cancel_known_good(identity)
 
-    def _take(self, state: SuspectState, now: float) -> None:
+    def _merge(self, state: SuspectState, now: float) -> None:
         was_held = self._quarantine.is_held(state.identity, now)
         if not self._quarantine.merge_peer_state(state, now):
             return
@@ -201,8 +204,8 @@
                 path=state.path,
                 upstreams=list(state.upstreams),
             )
-        self._tell_proof(state.identity, now)
-        self._wake.set()
+        self._schedule_known_good(state.identity, now)
+        self._new_update.set()
 
     def replace_stored(self, holds: dict[bytes, StoredHold]) -> None:
         """Replace the known holds of the store by those that it has now."""
@@ -214,11 +217,11 @@
         now = self._clock()
         self._quarantine.expire(now)
         self._groups.expire()
-        for cut in self._watch.pop_failed(self._listing, now):
-            self._note_end(cut)
+        for interrupted in self._failure_watch.pop_failed(self._listing, now):
+            self._record_failure(interrupted)
         for identity in self._quarantine.unstored():
-            self._plan.schedule_held_repeat(identity, now)
-            self._wake.set()
+            self._update_schedule.schedule_held_repeat(identity, now)
+            self._new_update.set()
 
     async def run(self) -> None:
         """Send updates forever as they become due; while none is due, the task sleeps."""
@@ -226,28 +229,30 @@
             wait = self.next_due() - self._clock()
             if wait > 0:
                 with anyio.move_on_after(wait if wait < math.inf else None):
-                    await self._wake.wait()
-            self._wake = anyio.Event()
+                    await self._new_update.wait()
+            self._new_update = anyio.Event()
             self.send_due()
 
     def next_due(self) -> float:
         """Return when the next update is due, infinity if none is."""
-        return min(self._plan.next_due(), self._groups.next_due())
+        return min(self._update_schedule.next_due(), self._groups.next_due())
 
     def send_due(self) -> None:
         """Send the updates that are due."""
-        due = self._plan.pop_due(self._clock())
-        states = [state for item in due.suspects if (state := self._state(item)) is not None]
-        for start in range(0, len(states), _MOST_IN_DATAGRAM):
-            group = tuple(states[start : start + _MOST_IN_DATAGRAM])
-            self._tell(SuspectNews(self._name, group))
+        due = self._update_schedule.pop_due(self._clock())
+        states = [
+            state for item in due.suspects if (state := self._suspect_state(item)) is not None
+        ]
+        for start in range(0, len(states), _MAX_SUSPECTS_PER_DATAGRAM):
+            batch = tuple(states[start : start + _MAX_SUSPECTS_PER_DATAGRAM])
+            self._broadcast(SuspectNews(self._name, batch))
         if due.cleared_since or due.cleared_before:
-            self._tell(ClearedNews(self._name, due.cleared_since, due.cleared_before))
+            self._broadcast(ClearedNews(self._name, due.cleared_since, due.cleared_before))
         self._groups.send_due()
 
-    def _state(self, identity: bytes) -> SuspectState | None:
+    def _suspect_state(self, identity: bytes) -> SuspectState | None:
         suspect = self._quarantine.find(identity)
         if suspect is None or not suspect.failed_upstreams:
             return None
-        upstreams = tuple(suspect.failed_upstreams)[-_MOST_UPSTREAMS:]
+        upstreams = tuple(suspect.failed_upstreams)[-_MAX_UPSTREAMS_SENT:]
         return SuspectState(identity, suspect.team, suspect.path, upstreams)
--- a/src/lotushill/peering/reader_role.py
+++ b/src/lotushill/peering/reader_role.py
@@ -13,9 +13,9 @@
 
     from lotushill.membership.membership import Membership
 
-_DECIDED_SECONDS = 0.1
+_DECISION_SECONDS = 0.1
 """Time for which a decision is valid, for all kinds of objects that are watched."""
-_FIND_SECONDS = 0.6
+_DISCOVERY_SECONDS = 0.6
 """Time after its start for which a gateway waits for others that could send it all views."""
 
 
@@ -27,20 +27,20 @@
         self._membership = membership
         self._clock = clock
         self._started = clock()
-        self._due = float("-inf")
-        self._reads = False
+        self._next_decision = float("-inf")
+        self._is_reader = False
 
     def is_reader(self) -> bool:
         """Return whether this gateway reads the store now."""
         now = self._clock()
-        if now >= self._due:
-            self._due = now + _DECIDED_SECONDS
-            self._reads = self._decide(now)
-        return self._reads
+        if now >= self._next_decision:
+            self._next_decision = now + _DECISION_SECONDS
+            self._is_reader = self._decide(now)
+        return self._is_reader
 
     def _decide(self, now: float) -> bool:
         members = self._membership().live()
-        if len(members) < 2 and now - self._started < _FIND_SECONDS:
+        if len(members) < 2 and now - self._started < _DISCOVERY_SECONDS:
             return False
         return is_reader(self._membership().own, members)
 
--- a/src/lotushill/peering/registration.py
+++ b/src/lotushill/peering/registration.py
@@ -19,19 +19,19 @@
 
 KIND = "lotushill-gateways"
 """Kind of objects in the platform's store that contains one object per gateway."""
-_ALONE_SECONDS = (0.15, 0.6)
+_FRESH_READ_DELAY_SECONDS = (0.15, 0.6)
 """Range of delays after which a gateway that has found no other, as when all start at once, reads
 the current list. The first gateways to do so find many others, which then need not read it."""
-_LOOK_SECONDS = (1.5, 5.0)
+_EARLY_READ_INTERVALS_SECONDS = (1.5, 5.0)
 """Intervals before the next reads, which find gateways that registered a little later."""
-_LATER_SECONDS = 20.0
-_ALONE_AGAIN_SECONDS = 3.0
+_READ_INTERVAL_SECONDS = 20.0
+_READ_INTERVAL_ALONE_SECONDS = 3.0
 """Interval for a gateway that still knows no other: the store may have been unreachable."""
-_RETRY_SECONDS = 0.5
+_RETRY_INTERVAL_SECONDS = 0.5
 
 
 class Registration:
-    """Writes the own address once and reads those of the other gateways periodically.
+    """Writes this gateway's address once and reads those of the other gateways periodically.
 
     No request depends on it: it only seeds the membership.
     """
@@ -54,18 +54,18 @@
 
     async def run(self) -> None:
         """Read the registered gateways, register, and read them again periodically, forever."""
-        if not await self._look():
+        if not await self._read_registered():
             await self._register()
-        await anyio.sleep(self._rng.uniform(*_ALONE_SECONDS))
+        await anyio.sleep(self._rng.uniform(*_FRESH_READ_DELAY_SECONDS))
         if self._is_alone():
-            await self._look(stale=False)
-        for pause in _LOOK_SECONDS:
+            await self._read_registered(stale=False)
+        for pause in _EARLY_READ_INTERVALS_SECONDS:
             await anyio.sleep(pause * self._rng.uniform(0.7, 1.3))
-            await self._look()
+            await self._read_registered()
         while True:
-            later = _ALONE_AGAIN_SECONDS if self._is_alone() else _LATER_SECONDS
-            await anyio.sleep(later * self._rng.uniform(0.7, 1.3))
-            await self._look()
+            interval = _READ_INTERVAL_ALONE_SECONDS if self._is_alone() else _READ_INTERVAL_SECONDS
+            await anyio.sleep(interval * self._rng.uniform(0.7, 1.3))
+            await self._read_registered()
 
     def _is_alone(self) -> bool:
         return len(self._peers.membership.live()) < 2
@@ -85,10 +85,10 @@
                     self._log.note("registration.failed", error=repr(error))
             except StoreError as error:
                 self._log.note("registration.failed", error=repr(error))
-            await anyio.sleep(_RETRY_SECONDS * self._rng.uniform(0.7, 1.3))
+            await anyio.sleep(_RETRY_INTERVAL_SECONDS * self._rng.uniform(0.7, 1.3))
 
-    async def _look(self, stale: bool = True) -> bool:
-        """Read the registered gateways; return whether the own object is up to date.
+    async def _read_registered(self, stale: bool = True) -> bool:
+        """Read the registered gateways; return whether its own object is up to date.
 
         A stale answer may be seconds old, but costs the store and this gateway far less.
         """
--- a/src/lotushill/peering/return_gossip.py
+++ b/src/lotushill/peering/return_gossip.py
@@ -35,15 +35,17 @@
         self._send = send
         self._clock = clock
 
-    def receive(self, news: ReturnNews) -> None:
+    def receive(self, update: ReturnNews) -> None:
         """Merge an update from another gateway."""
-        if news.sender != self._name:
-            self._returns.merge(news.promises, self._clock())
+        if update.sender != self._name:
+            self._returns.merge(update.promises, self._clock())
 
     def send_due(self) -> None:
         """Send the promises that are due to the other schedulers."""
-        told = self._returns.due_states(self._clock())
-        for start in range(0, len(told), MAX_PROMISES_PER_DATAGRAM):
-            news = ReturnNews(self._name, tuple(told[start : start + MAX_PROMISES_PER_DATAGRAM]))
+        states = self._returns.due_states(self._clock())
+        for start in range(0, len(states), MAX_PROMISES_PER_DATAGRAM):
+            update = ReturnNews(
+                self._name, tuple(states[start : start + MAX_PROMISES_PER_DATAGRAM])
+            )
             for scheduler in self._schedulers.others():
-                self._send(news, scheduler.address)
+                self._send(update, scheduler.address)
--- a/src/lotushill/peering/view_exchange.py
+++ b/src/lotushill/peering/view_exchange.py
@@ -22,10 +22,10 @@
     from lotushill.links.peer_links import PeerLinks
     from lotushill.membership.membership import Membership
 
-_PULL_AFTER_SECONDS = 0.3
-"""Time for which a view has to be behind before it is pulled. Within it, the own watch or another
-gateway of the hall normally delivers the newer view."""
-_PULL_AGAIN_SECONDS = 0.5
+_PULL_DELAY_SECONDS = 0.3
+"""Time for which a view has to be behind before it is pulled. Within it, this gateway's watch of
+the store or another gateway of the hall normally delivers the newer view."""
+_PULL_INTERVAL_SECONDS = 0.5
 
 
 class ViewExchange:
@@ -39,23 +39,26 @@
         view_text: Callable[[ViewKind], tuple[int, str]],
         on_view: Callable[[ViewKind, int, str], None],
     ) -> None:
-        """Exchange views as JSON text: `view_text` returns the own, `on_view` receives a peer's."""
+        """Exchange views as JSON text.
+
+        `view_text` returns the local view; `on_view` receives a peer's.
+        """
         self._membership = membership
         self._links = links
         self._rng = rng
         self._view_text = view_text
         self._on_view = on_view
-        self._behind: dict[ViewKind, float] = {}
+        self._behind_since: dict[ViewKind, float] = {}
         self._packed: dict[ViewKind, tuple[str, bytes]] = {}
         """Latest text of each view that was sent, with its packed form."""
-        self._looked_at = -1
-        """Version of the membership when the revisions of others were last compared to the own."""
+        self._compared_version = -1
+        """Version of the membership at the last comparison with the revisions of other gateways."""
 
     def pull_newer(self, revisions: dict[ViewKind, int], now: float) -> None:
         """Pull the views that other gateways have at a higher revision."""
-        if self._membership.version == self._looked_at and not self._behind:
+        if self._membership.version == self._compared_version and not self._behind_since:
             return
-        self._looked_at = self._membership.version
+        self._compared_version = self._membership.version
         members = self._membership.live()
         for kind in ViewKind:
             self.pull_if_behind(kind, revisions[kind], members, now)
@@ -63,30 +66,30 @@
     def pull_if_behind(
         self, kind: ViewKind, revision: int, members: Sequence[MemberState], now: float
     ) -> None:
-        """Pull one view from a member with a higher revision, preferably one of the own hall."""
-        ahead = [item for item in members if _revision(item, kind) > revision]
-        if not ahead:
-            self._behind.pop(kind, None)
+        """Pull one view from a member with a higher revision, preferably one of the same hall."""
+        newer = [item for item in members if _revision(item, kind) > revision]
+        if not newer:
+            self._behind_since.pop(kind, None)
             return
-        near = [item for item in ahead if item.hall == self._membership.own.hall]
-        waits = self._pull_after(revision, bool(near))
-        since = self._behind.setdefault(kind, now)
-        if now - since < waits:
+        same_hall = [item for item in newer if item.hall == self._membership.own.hall]
+        delay = self._pull_delay(revision, bool(same_hall))
+        since = self._behind_since.setdefault(kind, now)
+        if now - since < delay:
             return
-        self._behind[kind] = now + _PULL_AGAIN_SECONDS - waits
-        self._links.post(self._rng.choice(near or ahead).name, ViewPull(kind, revision))
+        self._behind_since[kind] = now + _PULL_INTERVAL_SECONDS - delay
+        self._links.post(self._rng.choice(same_hall or newer).name, ViewPull(kind, revision))
 
-    def _pull_after(self, revision: int, near: bool) -> float:
+    def _pull_delay(self, revision: int, in_own_hall: bool) -> float:
         """Return how long others may have a higher revision before their view is pulled."""
         if revision < 0:
             # A gateway without any view has nothing to wait for.
             return 0.0
-        if near and self._membership.own.contact is not StoreContact.READING:
+        if in_own_hall and self._membership.own.contact is not StoreContact.READING:
             return 0.0
-        return _PULL_AFTER_SECONDS
+        return _PULL_DELAY_SECONDS
 
     def answer(self, peer: str, pull: ViewPull) -> None:
-        """Send the own view to a peer if it is newer than the peer's."""
+        """Send the local view to a peer if it is newer than the peer's."""
         revision, text = self._view_text(pull.kind)
         if revision > pull.revision:
             packed = self._pack(pull.kind, text)
--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -422,9 +422,9 @@
             Case(
                 "one gateway hears it, and datagrams are lost, halls cut off, gateways join",
                 (
-                    f"{_LEAVING_NEWS}.test_all_know_within_a_heartbeat_whoever_was_answered",
-                    f"{_LEAVING_NEWS}.test_halls_that_were_cut_off_from_each_other_learn_from_each_other",
-                    f"{_LEAVING_NEWS}.test_one_that_joins_later_hears_of_it",
+                    f"{_LEAVING_NEWS}.test_all_gateways_know_within_a_heartbeat",
+                    f"{_LEAVING_NEWS}.test_gateways_exchange_announcements_after_a_partition",
+                    f"{_LEAVING_NEWS}.test_gateway_that_joins_later_is_notified",
                 ),
             ),
             Case(
@@ -569,9 +569,9 @@
                 "the readers of a hall are turned away",
                 (
                     "tests.membership.test_readers.TestReaders."
-                    "test_each_hall_has_its_readers_whoever_is_turned_away",
+                    "test_each_hall_has_enough_readers_served_by_the_store",
                     "tests.peering.test_peers.TestPulls."
-                    "test_a_passive_one_pulls_at_once_from_its_hall_and_a_reader_waits",
+                    "test_passive_gateway_pulls_from_its_hall_at_once_and_a_reader_waits",
                 ),
             ),
             Case(
@@ -688,7 +688,7 @@
             Case(
                 "one of them is lost",
                 (
-                    "tests.peering.test_peers.TestSmallFleet.test_one_that_is_gone_keeps_nobody_in_the_dark",
+                    "tests.peering.test_peers.TestSmallFleet.test_load_reaches_the_others_while_one_gateway_is_down",
                 ),
             ),
             Case(
@@ -696,7 +696,7 @@
                 (
                     f"{_LOAD}.test_a_gateway_that_becomes_a_scheduler_is_told_all_that_runs_anywhere",
                     "tests.peering.test_peers.TestSmallFleet."
-                    "test_one_that_has_come_asks_one_other_for_all_that_runs",
+                    "test_new_gateway_pulls_the_model_from_one_other",
                 ),
             ),
             Case(
@@ -721,20 +721,20 @@
         "Gateways find one another, and notice who is lost.",
         "the brief",
         (
-            Case("a crash, with packets lost", (f"{_MEMBER}.test_a_crashed_member_is_noticed",)),
+            Case("a crash, with packets lost", (f"{_MEMBER}.test_crashed_member_is_detected",)),
             Case(
                 "a cut that heals",
-                (f"{_MEMBER}.test_a_cut_is_noticed_by_both_sides_and_healed",),
+                (f"{_MEMBER}.test_partition_is_detected_on_both_sides_and_heals",),
             ),
             Case(
                 "a clock that jumped back",
-                (f"{_MEMBER}.test_a_member_whose_clock_jumped_back_is_taken_in_again",),
+                (f"{_MEMBER}.test_restarted_member_with_older_incarnation_is_live_again",),
             ),
             Case(
                 "replayed and forged packets",
                 (
                     f"{_MEMBER}.test_a_replayed_packet_is_counted_and_dropped",
-                    f"{_MEMBER}.test_a_packet_in_anothers_name_is_dropped",
+                    f"{_MEMBER}.test_packet_without_state_of_its_sender_is_dropped",
                 ),
             ),
         ),
@@ -836,15 +836,15 @@
             ),
             Case(
                 "whoever promised is killed",
-                (f"{_RETURN_NEWS}.test_what_a_killed_scheduler_promised_is_kept_by_the_others",),
+                (f"{_RETURN_NEWS}.test_promises_of_a_killed_scheduler_are_kept_by_the_others",),
             ),
             Case(
                 "a cut between schedulers",
-                (f"{_RETURN_NEWS}.test_a_scheduler_that_is_cut_off_costs_its_own_promises_alone",),
+                (f"{_RETURN_NEWS}.test_partitioned_scheduler_loses_only_its_own_promises",),
             ),
             Case(
                 "news that are lost",
-                (f"{_RETURN_NEWS}.test_nearly_all_find_their_place_at_another_scheduler",),
+                (f"{_RETURN_NEWS}.test_nearly_all_callers_find_their_place_at_any_scheduler",),
             ),
             Case(
                 "a storm of refusals",
--- a/tests/membership/network.py
+++ b/tests/membership/network.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-STEP = 0.05
+STEP_SECONDS = 0.05
 
 
 class Network:
@@ -27,10 +27,10 @@
         self.now = 0.0
         self.members: dict[str, Membership] = {}
         self.down: set[str] = set()
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
         """Members on one side of a partition, which can reach only each other."""
-        self.packets = 0
-        self.states = 0
+        self.packet_count = 0
+        self.state_count = 0
         """Number of member states that the packets carried."""
         self.halls = 2
         self._addresses: dict[str, str] = {}
@@ -68,7 +68,7 @@
         """Advance the clock and tick the running members in each step."""
         end = self.now + seconds
         while self.now < end:
-            self.now += STEP
+            self.now += STEP_SECONDS
             for name, member in self.members.items():
                 if name not in self.down:
                     self.send(name, member.tick(self.now))
@@ -76,13 +76,13 @@
     def send(self, sender: str, packets: Iterable[OutgoingPacket]) -> None:
         """Deliver packets and their answers."""
         for packet in packets:
-            self.packets += 1
+            self.packet_count += 1
             if not isinstance(packet.message, RosterPull):
-                self.states += len(packet.message.members)
+                self.state_count += len(packet.message.members)
             receiver = self._by_address(packet.address)
             if receiver is None or self.rng.random() < self.loss:
                 continue
-            if (sender in self.cut) != (receiver.own.name in self.cut):
+            if (sender in self.partitioned) != (receiver.own.name in self.partitioned):
                 continue
             source = self.members[sender].own.address
             answers = receiver.receive(packet.message, source, self.now)
--- a/tests/membership/test_membership_fuzz.py
+++ b/tests/membership/test_membership_fuzz.py
@@ -54,13 +54,13 @@
 
     @settings(max_examples=20)
     @given(st.lists(PACKETS, max_size=6), st.integers(0, 99))
-    def test_the_members_agree_again_afterwards(
+    def test_members_agree_after_arbitrary_packets(
         self, packets: list[Ping | Pong], seed: int
     ) -> None:
         network = Network(3, seed)
         network.run(3.0)
-        told = [item for item in packets if all(s.incarnation < 2**62 for s in item.members)]
-        for packet in told:
+        plausible = [item for item in packets if all(s.incarnation < 2**62 for s in item.members)]
+        for packet in plausible:
             network.members["entry-0"].receive(packet, "10.0.0.9:1", network.now)
         network.run(20.0)
         for name, view in network.views().items():
@@ -68,7 +68,7 @@
 
 
 class TestConnections(unittest.TestCase):
-    def test_a_peer_with_an_address_that_is_none_is_down(self) -> None:
+    def test_peer_with_invalid_address_is_reported_down(self) -> None:
         """An invalid address may arrive in the state of a member that runs another version."""
         down: list[str] = []
 
@@ -89,13 +89,17 @@
 
     @settings(max_examples=25)
     @given(st.binary(max_size=80))
-    def test_a_stranger_is_dropped_and_counted(self, data: bytes) -> None:
-        heard: list[object] = []
+    def test_bytes_without_key_deliver_no_message(self, data: bytes) -> None:
+        received: list[object] = []
 
         async def main() -> None:
             seal = Seal((b"k" * 16,))
             links = PeerLinks(
-                "own", seal, lambda _: None, lambda *message: heard.append(message), heard.append
+                "own",
+                seal,
+                lambda _: None,
+                lambda *message: received.append(message),
+                received.append,
             )
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             port = listener.extra(SocketAttribute.local_port)
@@ -114,4 +118,4 @@
             anyio.run(main)
         except* anyio.EndOfStream:
             pass
-        self.assertEqual(heard, [])
+        self.assertEqual(received, [])
--- a/tests/membership/test_readers.py
+++ b/tests/membership/test_readers.py
@@ -31,7 +31,7 @@
 
 class TestReaders(unittest.TestCase):
     @given(FLEETS)
-    def test_each_hall_has_its_readers_whoever_is_turned_away(
+    def test_each_hall_has_enough_readers_served_by_the_store(
         self, fleet: list[MemberState]
     ) -> None:
         for hall in {item.hall for item in fleet}:
@@ -42,28 +42,28 @@
             self.assertEqual(min(wanted, len(healthy)), len(reading))
 
     @given(FLEETS)
-    def test_all_agree_whatever_the_order_in_which_they_hold_the_others(
-        self, fleet: list[MemberState]
-    ) -> None:
+    def test_selection_does_not_depend_on_order_of_members(self, fleet: list[MemberState]) -> None:
         for item in fleet:
             self.assertEqual(is_reader(item, fleet), is_reader(item, list(reversed(fleet))))
 
     @given(FLEETS)
-    def test_without_anybody_turned_away_nobody_stands_in(self, fleet: list[MemberState]) -> None:
-        calm = [member(index, item.hall, StoreContact.READING) for index, item in enumerate(fleet)]
-        self.assertFalse(any(is_substitute_reader(item, calm) for item in calm))
-
-    @given(FLEETS)
-    def test_several_read_while_nobody_of_a_hall_holds_a_configuration(
+    def test_no_substitute_readers_while_the_store_serves_all(
         self, fleet: list[MemberState]
     ) -> None:
-        new = [replace(item, configuration=-1) for item in fleet]
-        for hall in {item.hall for item in new}:
-            near = [item for item in new if item.hall == hall]
+        served = [
+            member(index, item.hall, StoreContact.READING) for index, item in enumerate(fleet)
+        ]
+        self.assertFalse(any(is_substitute_reader(item, served) for item in served))
+
+    @given(FLEETS)
+    def test_three_read_in_a_hall_without_configuration(self, fleet: list[MemberState]) -> None:
+        unconfigured = [replace(item, configuration=-1) for item in fleet]
+        for hall in {item.hall for item in unconfigured}:
+            near = [item for item in unconfigured if item.hall == hall]
             healthy = [item for item in near if item.contact is not StoreContact.AWAY]
-            reading = [item for item in healthy if is_reader(item, new)]
+            reading = [item for item in healthy if is_reader(item, unconfigured)]
             self.assertEqual(min(3, len(healthy)), len(reading))
 
-    def test_one_that_is_alone_reads(self) -> None:
+    def test_single_gateway_reads(self) -> None:
         alone = member(1, "z", StoreContact.PASSIVE)
         self.assertTrue(is_reader(alone, []))
--- a/tests/peering/test_member_log.py
+++ b/tests/peering/test_member_log.py
@@ -22,22 +22,22 @@
     def events(self) -> list[str]:
         return [json.loads(line)["event"] for line in self.lines]
 
-    def test_few_have_a_line_each(self) -> None:
+    def test_few_changes_have_a_line_each(self) -> None:
         for index in range(3):
             self.log.note(change(index), 10.0 + index * 0.1)
         self.assertEqual(["member.changed"] * 3, self.events())
 
-    def test_a_rolling_stop_of_a_large_fleet_has_a_bounded_number_of_lines(self) -> None:
+    def test_rolling_restart_of_a_large_fleet_writes_few_lines(self) -> None:
         for index in range(390):
             phase = MemberPhase.LEAVING if index % 2 else MemberPhase.ALIVE
             self.log.note(change(index, phase), index * 0.05)
         self.log.flush(30.0)
         self.assertLessEqual(len(self.lines), 5 * 20 + 1)
-        told = [json.loads(line) for line in self.lines]
-        counted = sum(line.get("count", 1) for line in told)
+        records = [json.loads(line) for line in self.lines]
+        counted = sum(line.get("count", 1) for line in records)
         self.assertEqual(390, counted)
 
-    def test_the_last_ones_are_named(self) -> None:
+    def test_summary_names_the_latest_members(self) -> None:
         for index in range(20):
             self.log.note(change(index), 10.0)
         self.log.flush(11.5)
--- a/tests/peering/test_peers.py
+++ b/tests/peering/test_peers.py
@@ -28,7 +28,7 @@
 LOAD = Load("gw-0", False, ended=(Ended(1),))
 
 
-class Wire:
+class FakeTransport:
     """Delivers datagrams immediately through the network, which counts them."""
 
     def __init__(self, network: Network, source: Peers) -> None:
@@ -106,8 +106,8 @@
         )
         links: Any = peers.links
         links.post = lambda peer, *messages: self.posted.append((name, peer, *messages))
-        wire: Any = Wire(self, peers)
-        peers._transport = wire
+        transport: Any = FakeTransport(self, peers)
+        peers._transport = transport
         self.peers[f"10.0.0.{index}"] = peers
         return peers
 
@@ -119,7 +119,7 @@
         host, _, port = source.membership.own.address.partition(":")
         target.datagram_received(data, (host, int(port)))
 
-    def join(self) -> None:
+    def converge(self) -> None:
         """Tick until all gateways know each other."""
         for _ in range(ROUNDS):
             self.now += 0.2
@@ -144,58 +144,62 @@
 class TestSmallFleet(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.network = Network(12)
-        self.network.join()
+        self.network.converge()
         self.sender = self.network.all()[0]
 
     def received(self) -> dict[str, int]:
         return {name: len(loads) for name, loads in self.network.loads.items()}
 
-    async def test_each_gateway_is_told_once(self) -> None:
+    async def test_each_gateway_receives_load_once(self) -> None:
         self.assertEqual(12, self.sender.count())
         self.sender.publish_load(LOAD)
-        told = self.received()
-        self.assertEqual(0, told.pop("gw-0"))
-        self.assertEqual({1}, set(told.values()))
+        counts = self.received()
+        self.assertEqual(0, counts.pop("gw-0"))
+        self.assertEqual({1}, set(counts.values()))
 
-    async def test_what_comes_quickly_is_told_in_batches(self) -> None:
+    async def test_quick_load_updates_are_sent_in_batches(self) -> None:
         self.network.datagrams = 0
         for number in range(20):
             self.sender.publish_load(Load("gw-0", False, ended=(Ended(number),)))
         self.network.flush()
-        late = self.received()
-        self.assertEqual({20}, {count for name, count in late.items() if name != "gw-0"})
+        counts_after_flush = self.received()
+        self.assertEqual(
+            {20}, {count for name, count in counts_after_flush.items() if name != "gw-0"}
+        )
         self.assertLessEqual(self.network.datagrams, 2 * 11)
 
-    async def test_one_that_is_gone_keeps_nobody_in_the_dark(self) -> None:
+    async def test_load_reaches_the_others_while_one_gateway_is_down(self) -> None:
         self.network.down = {"gw-1"}
         for number in range(40):
             self.sender.publish_load(Load("gw-0", False, ended=(Ended(number),)))
         self.network.flush()
-        told = self.received()
-        self.assertEqual({40}, {told[name] for name in told if name not in ("gw-0", "gw-1")})
+        counts = self.received()
+        self.assertEqual({40}, {counts[name] for name in counts if name not in ("gw-0", "gw-1")})
 
     async def test_records_that_cannot_be_read_are_counted(self) -> None:
-        self.sender._take_records(b"x")
-        self.sender._take_records(b"\x00" * 11 + b"\xff")
+        self.sender._receive_records(b"x")
+        self.sender._receive_records(b"\x00" * 11 + b"\xff")
         self.assertEqual(2, self.sender.malformed)
 
-    async def test_one_that_has_come_asks_one_other_for_all_that_runs(self) -> None:
+    async def test_new_gateway_pulls_the_model_from_one_other(self) -> None:
         self.network.posted.clear()
-        newcomer = self.network.add(12)
-        newcomer.membership.add_seeds([self.sender.membership.own.address])
+        new_gateway = self.network.add(12)
+        new_gateway.membership.add_seeds([self.sender.membership.own.address])
         self.network.run(0.4)
-        ((asker, asked, pull),) = self.network.posted
-        self.assertEqual("gw-12", asker)
+        ((puller, source_name, pull),) = self.network.posted
+        self.assertEqual("gw-12", puller)
         self.assertIsInstance(pull, ModelPull)
-        self.assertFalse(newcomer.model_sync.is_ready())
-        target = next(item for item in self.network.all() if item.membership.own.name == asked)
+        self.assertFalse(new_gateway.model_sync.is_ready())
+        target = next(
+            item for item in self.network.all() if item.membership.own.name == source_name
+        )
         self.network.posted.clear()
         target._on_message("gw-12", pull)
         ((_, receiver, page),) = self.network.posted
         self.assertEqual("gw-12", receiver)
         self.assertIsInstance(page, ModelPage)
-        newcomer._on_message(asked, page)
-        self.assertTrue(newcomer.model_sync.is_ready())
+        new_gateway._on_message(source_name, page)
+        self.assertTrue(new_gateway.model_sync.is_ready())
         self.assertEqual([7], [load.ended[0].request for load in self.network.loads["gw-12"]])
         self.assertEqual([LongTermPace("e1", 2.0, 1.0)], self.network.paces["gw-12"])
         self.network.posted.clear()
@@ -208,7 +212,7 @@
 
     async def asyncSetUp(self) -> None:
         self.network = Network(30)
-        self.network.join()
+        self.network.converge()
         everybody = self.network.all()
         self.schedulers = [item for item in everybody if item.schedulers.is_scheduler()]
         self.others = [item for item in everybody if not item.schedulers.is_scheduler()]
@@ -216,14 +220,14 @@
     def received(self) -> dict[str, int]:
         return {name: len(loads) for name, loads in self.network.loads.items() if loads}
 
-    async def test_each_hall_has_as_many_schedulers_and_all_agree_on_them(self) -> None:
+    async def test_all_gateways_agree_on_the_schedulers_of_each_hall(self) -> None:
         names = sorted(item.membership.own.name for item in self.schedulers)
         self.assertEqual(len(HALLS) * SCHEDULERS_PER_HALL, len(names))
         for peers in self.network.all():
             held = [name for order in peers.schedulers.names_by_hall().values() for name in order]
             self.assertEqual(names, sorted(held))
 
-    async def test_schedulers_hear_once_of_what_any_gateway_tells_and_others_do_not(self) -> None:
+    async def test_only_schedulers_receive_load_and_only_once(self) -> None:
         for sender in (self.others[0], self.schedulers[0]):
             for loads in self.network.loads.values():
                 loads.clear()
@@ -235,22 +239,22 @@
             expected.pop(own, None)
             self.assertEqual(expected, self.received())
 
-    async def test_telling_costs_one_that_does_not_schedule_one_datagram(self) -> None:
+    async def test_other_gateways_send_one_datagram_per_load_update(self) -> None:
         self.network.now += 1.0
         self.network.datagrams = 0
         self.others[0].publish_load(LOAD)
         self.network.flush()
         self.assertEqual(1 + len(self.schedulers) - 1, self.network.datagrams)
 
-    async def test_a_silent_scheduler_is_passed_over(self) -> None:
-        asker = self.others[0]
-        first, second, *_ = asker.schedulers.query_order(self.network.now)
-        asker.schedulers.note_silent(first.name, self.network.now)
-        self.assertEqual(second, asker.schedulers.query_order(self.network.now)[0])
-        asker.schedulers.note_answer(first.name)
-        self.assertEqual(first, asker.schedulers.query_order(self.network.now)[0])
+    async def test_silent_scheduler_is_asked_last(self) -> None:
+        gateway = self.others[0]
+        first, second, *_ = gateway.schedulers.query_order(self.network.now)
+        gateway.schedulers.note_silent(first.name, self.network.now)
+        self.assertEqual(second, gateway.schedulers.query_order(self.network.now)[0])
+        gateway.schedulers.note_answer(first.name)
+        self.assertEqual(first, gateway.schedulers.query_order(self.network.now)[0])
 
-    async def test_a_hall_whose_schedulers_are_all_silent_is_cut_off(self) -> None:
+    async def test_hall_with_all_schedulers_silent_is_unreachable(self) -> None:
         scheduler = self.schedulers[0]
         hall = next(name for name in HALLS if name != scheduler.membership.own.hall)
         self.network.run(2.0)
@@ -265,9 +269,9 @@
 
 
 class TestPulls(unittest.IsolatedAsyncioTestCase):
-    async def test_a_passive_one_pulls_at_once_from_its_hall_and_a_reader_waits(self) -> None:
+    async def test_passive_gateway_pulls_from_its_hall_at_once_and_a_reader_waits(self) -> None:
         network = Network(6)
-        network.join()
+        network.converge()
         ahead, behind = network.all()[0], network.all()[3]
         posted: list[str] = []
         links: Any = behind.links
@@ -278,7 +282,7 @@
         behind._views.pull_if_behind(ViewKind.CONFIGURATION, 1, behind.membership.live(), now)
         self.assertEqual(["gw-0"], posted)
         behind.membership.set_views(1, 1, 1, StoreContact.READING)
-        behind._views._behind.clear()
+        behind._views._behind_since.clear()
         behind._views.pull_if_behind(ViewKind.CONFIGURATION, 1, behind.membership.live(), now + 10)
         self.assertEqual(["gw-0"], posted)
         behind._views.pull_if_behind(ViewKind.CONFIGURATION, 1, behind.membership.live(), now + 11)
--- a/tests/peering/test_registration.py
+++ b/tests/peering/test_registration.py
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_PATIENCE_SECONDS = 60.0
+_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass
@@ -39,8 +39,8 @@
         assert kind == KIND
         self.stale_lists += stale
         self.lists += not stale
-        found = self.stale if stale else self.objects
-        items = tuple(StoredObject(name, 1, spec) for name, spec in found.items())
+        listed = self.stale if stale else self.objects
+        items = tuple(StoredObject(name, 1, spec) for name, spec in listed.items())
         return ObjectList(items, 1)
 
     async def create(self, kind: str, name: str, spec: Any) -> None:
@@ -87,22 +87,22 @@
     async with anyio.create_task_group() as group:
         for index, item in enumerate(peers):
             registration: Any = Registration
-            made = registration(
+            instance = registration(
                 settings(index),
                 store,
                 item,
                 EventLog("gw", lambda line: None),
                 random.Random(index),
             )
-            group.start_soon(made.run)
-        with anyio.fail_after(_PATIENCE_SECONDS):
+            group.start_soon(instance.run)
+        with anyio.fail_after(_TIMEOUT_SECONDS):
             while not done():
                 await anyio.sleep(0.01)
         group.cancel_scope.cancel()
 
 
 class TestRegistration(unittest.IsolatedAsyncioTestCase):
-    async def test_one_that_starts_again_at_its_address_writes_nothing(self) -> None:
+    async def test_restart_at_the_same_address_writes_nothing(self) -> None:
         spec = {"peers": "10.0.0.0:7", "hall": "h", "status": "10.0.0.1:2"}
         objects = {"gw-0": spec, "gw-1": {**spec, "peers": "10.0.0.1:7"}}
         store = CountingStore(dict(objects), dict(objects))
@@ -111,7 +111,7 @@
         self.assertEqual((0, 0), (store.writes, store.lists))
         self.assertIn("10.0.0.1:7", peers.membership.seeds)
 
-    async def test_those_that_start_at_once_find_one_another_though_lists_are_stale(self) -> None:
+    async def test_gateways_started_at_once_find_each_other_despite_stale_lists(self) -> None:
         store = CountingStore()
         peers = [KnownPeers() for _ in range(8)]
         await run_until(
@@ -119,7 +119,7 @@
         )
         self.assertEqual(8, store.writes)
 
-    async def test_one_that_others_have_found_does_not_ask_for_the_newest_list(self) -> None:
+    async def test_gateway_found_by_others_does_not_read_the_current_list(self) -> None:
         store = CountingStore()
         peers = KnownPeers(KnownMembers(others=3))
         await run_until(lambda: store.stale_lists == 2, store, [peers])
--- a/tests/peering/test_return_gossip.py
+++ b/tests/peering/test_return_gossip.py
@@ -22,18 +22,18 @@
 if TYPE_CHECKING:
     from lotushill.links.return_messages import ReturnNews
 
-TICK = 0.05
-DELAY = 0.02
-ROOM = 120.0
+TICK_SECONDS = 0.05
+DELAY_SECONDS = 0.02
+START_RATE = 120.0
 """Requests per second that start in the whole fleet."""
-REFUSED = 90.0
+REFUSAL_RATE = 90.0
 """Requests per second that are refused in the whole fleet."""
-BURST = 1.0
-TIME_LEFT = 9.0
+BURST_SECONDS = 1.0
+TIME_LEFT_SECONDS = 9.0
 
 
 @dataclass(frozen=True)
-class Other:
+class OtherScheduler:
     """The part of another scheduler's state that the exchange uses."""
 
     address: str
@@ -47,28 +47,28 @@
     loss: float
     now: float = 2.0
     rng: random.Random = field(default_factory=lambda: random.Random(3))
-    under_way: list[tuple[float, int, ReturnNews]] = field(default_factory=list)
+    in_transit: list[tuple[float, int, ReturnNews]] = field(default_factory=list)
     datagrams: int = 0
-    cut: set[int] = field(default_factory=set)
+    partitioned: set[int] = field(default_factory=set)
     """Schedulers on the far side of a partition from the others."""
 
     def __post_init__(self) -> None:
         self.returns = [ReturnPromises() for _ in range(self.count)]
-        self.keepers = [
+        self.gossips = [
             ReturnGossip(f"s{n}", self.returns[n], self._others(n), self._send(n), self._clock)  # type: ignore[arg-type]
             for n in range(self.count)
         ]
         for item in self.returns:
-            for number in range(int(2 * ROOM)):
-                item.start_rate.note("llm", 1, number / ROOM)
+            for number in range(int(2 * START_RATE)):
+                item.start_rate.note("llm", 1, number / START_RATE)
 
     def _clock(self) -> float:
         return self.now
 
     def _others(self, own: int) -> object:
         class Schedulers:
-            def others(_) -> list[Other]:  # noqa: N805
-                return [Other(str(n)) for n in range(self.count) if n != own]
+            def others(_) -> list[OtherScheduler]:  # noqa: N805
+                return [OtherScheduler(str(n)) for n in range(self.count) if n != own]
 
         return Schedulers()
 
@@ -76,93 +76,95 @@
         def send(news: ReturnNews, address: str) -> None:
             self.datagrams += 1
             to = int(address)
-            lost = self.rng.random() < self.loss or (own in self.cut) != (to in self.cut)
+            lost = self.rng.random() < self.loss or (own in self.partitioned) != (
+                to in self.partitioned
+            )
             if not lost:
-                self.under_way.append((self.now + DELAY, to, news))
+                self.in_transit.append((self.now + DELAY_SECONDS, to, news))
 
         return send
 
-    def pass_time(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         ends = self.now + seconds
         while self.now < ends:
-            self.now += TICK
-            due = [item for item in self.under_way if item[0] <= self.now]
-            self.under_way = [item for item in self.under_way if item[0] > self.now]
-            for _, to, news in due:
-                self.keepers[to].receive(news)
-            for item, keeper in zip(self.returns, self.keepers):
+            self.now += TICK_SECONDS
+            due = [item for item in self.in_transit if item[0] <= self.now]
+            self.in_transit = [item for item in self.in_transit if item[0] > self.now]
+            for _, to, update in due:
+                self.gossips[to].receive(update)
+            for item, gossip in zip(self.returns, self.gossips):
                 item.start_rate.note("llm", 1, self.now)
-                for _ in range(int(ROOM * TICK) - 1):
+                for _ in range(int(START_RATE * TICK_SECONDS) - 1):
                     item.start_rate.note("llm", 1, self.now)
-                keeper.send_due()
+                gossip.send_due()
 
     def refuse_burst(self) -> dict[int, tuple[float, int]]:
         """Refuse requests at random schedulers; return the retry time and promiser of each."""
         due: dict[int, tuple[float, int]] = {}
-        for number in range(1, int(REFUSED * BURST) + 1):
-            at = self.rng.randrange(self.count)
-            ask = Requester(number, "llm", 1, self.now, TIME_LEFT)
-            pause = self.returns[at].retry_after(ask, self.rng.random(), self.now)
-            due[number] = (self.now + pause, at)
-            if number % max(1, int(REFUSED * TICK)) == 0:
-                self.pass_time(TICK)
+        for number in range(1, int(REFUSAL_RATE * BURST_SECONDS) + 1):
+            scheduler = self.rng.randrange(self.count)
+            ask = Requester(number, "llm", 1, self.now, TIME_LEFT_SECONDS)
+            pause = self.returns[scheduler].retry_after(ask, self.rng.random(), self.now)
+            due[number] = (self.now + pause, scheduler)
+            if number % max(1, int(REFUSAL_RATE * TICK_SECONDS)) == 0:
+                self.run(TICK_SECONDS)
         return due
 
-    def come_back(
-        self, due: dict[int, tuple[float, int]], away: frozenset[int] = frozenset()
+    def return_callers(
+        self, due: dict[int, tuple[float, int]], stopped: frozenset[int] = frozenset()
     ) -> int:
         """Let all callers return on time to running schedulers; return how many have a place."""
-        there = [number for number in range(self.count) if number not in away]
-        found = 0
+        running = [number for number in range(self.count) if number not in stopped]
+        placed = 0
         for caller, (at, _) in sorted(due.items(), key=lambda item: item[1][0]):
             if at > self.now:
-                self.pass_time(at - self.now)
-            to = self.rng.choice(there)
+                self.run(at - self.now)
+            to = self.rng.choice(running)
             if self.returns[to].has_place(caller, self.now):
-                found += self.returns[to].note_placed(caller, self.now)
-        return found
+                placed += self.returns[to].note_placed(caller, self.now)
+        return placed
 
 
 class TestReturnGossip(unittest.TestCase):
-    def test_nearly_all_find_their_place_at_another_scheduler(self) -> None:
+    def test_nearly_all_callers_find_their_place_at_any_scheduler(self) -> None:
         for count in (1, 2, 8, 20):
             for loss in (0.0, 0.1):
                 with self.subTest(schedulers=count, loss=loss):
                     network = Network(count, loss)
                     due = network.refuse_burst()
-                    found = network.come_back(due)
-                    self.assertGreater(found / len(due), 0.9)
+                    placed = network.return_callers(due)
+                    self.assertGreater(placed / len(due), 0.9)
 
-    def test_the_fleet_promises_hardly_more_than_comes(self) -> None:
+    def test_fleet_promises_hardly_more_than_becomes_available(self) -> None:
         for count in (1, 8, 20):
             with self.subTest(schedulers=count):
                 network = Network(count, 0.02)
                 due = network.refuse_burst()
                 by_half_second = Counter(int(at * 2) for at, _ in due.values())
                 most = max(by_half_second.values())
-                self.assertLess(most, 1.6 * RESERVED_FRACTION * ROOM / 2 + 2)
+                self.assertLess(most, 1.6 * RESERVED_FRACTION * START_RATE / 2 + 2)
 
-    def test_what_a_killed_scheduler_promised_is_kept_by_the_others(self) -> None:
+    def test_promises_of_a_killed_scheduler_are_kept_by_the_others(self) -> None:
         network = Network(8, 0.02)
         due = network.refuse_burst()
-        network.pass_time(0.15)
-        theirs = {caller: item for caller, item in due.items() if item[1] == 0}
-        found = network.come_back(theirs, frozenset({0}))
-        self.assertGreaterEqual(found, 0.9 * len(theirs))
+        network.run(0.15)
+        promised_by_killed = {caller: item for caller, item in due.items() if item[1] == 0}
+        placed = network.return_callers(promised_by_killed, frozenset({0}))
+        self.assertGreaterEqual(placed, 0.9 * len(promised_by_killed))
 
-    def test_a_scheduler_that_is_cut_off_costs_its_own_promises_alone(self) -> None:
+    def test_partitioned_scheduler_loses_only_its_own_promises(self) -> None:
         network = Network(8, 0.02)
-        network.cut = {0}
+        network.partitioned = {0}
         due = network.refuse_burst()
         others = {caller: item for caller, item in due.items() if item[1] != 0}
-        found = network.come_back(others, frozenset({0}))
-        self.assertGreater(found, 0.9 * len(others))
+        placed = network.return_callers(others, frozenset({0}))
+        self.assertGreater(placed, 0.9 * len(others))
 
-    def test_news_are_few_and_end(self) -> None:
+    def test_updates_are_few_and_end(self) -> None:
         network = Network(8, 0.0)
         network.refuse_burst()
-        network.pass_time(6.0)
+        network.run(6.0)
         sent = network.datagrams
         self.assertLess(sent, 8 * 7 * 60)
-        network.pass_time(2.0)
+        network.run(2.0)
         self.assertEqual(sent, network.datagrams)
--- a/tests/peering/test_view_exchange.py
+++ b/tests/peering/test_view_exchange.py
@@ -28,7 +28,7 @@
 from lotushill.peering.view_exchange import ViewExchange
 
 MEMBERS = 18
-NARROW_BYTES = 1_250_000.0
+NARROW_LINK_BYTES_PER_SECOND = 1_250_000.0
 """Bytes per second of a link with 10 Mbit/s."""
 IN_FORCE_SECONDS = 3.0
 RNG = random.Random(7)
@@ -70,13 +70,13 @@
     def setUp(self) -> None:
         own = MemberState("a", "10.0.0.1:1", "h0", "r", 1, MemberPhase.ALIVE)
         self.links = Links()
-        self.taken: list[str] = []
+        self.received: list[str] = []
         self.exchange = ViewExchange(
             Membership(own, (), MembershipOptions(), random.Random(1)),
             self.links,  # type: ignore[arg-type]
             random.Random(1),
             lambda _: (15, TEXT),
-            lambda _kind, _revision, text: self.taken.append(text),
+            lambda _kind, _revision, text: self.received.append(text),
         )
 
     def test_a_thousand_routes_reach_a_hall_over_a_narrow_link_in_time(self) -> None:
@@ -84,31 +84,31 @@
             self.exchange.answer(f"m{number}", ViewPull(ViewKind.CONFIGURATION, 11))
         sent = sum(len(page.packed) + len(page.text) for page in self.links.posted)
         self.assertEqual(MEMBERS, len(self.links.posted))
-        self.assertLess(sent / NARROW_BYTES, IN_FORCE_SECONDS / 2)
+        self.assertLess(sent / NARROW_LINK_BYTES_PER_SECOND, IN_FORCE_SECONDS / 2)
 
-    def test_what_is_sent_is_what_is_taken(self) -> None:
+    def test_received_view_equals_the_sent_one(self) -> None:
         self.exchange.answer("m", ViewPull(ViewKind.CONFIGURATION, 11))
         self.assertTrue(self.exchange.receive(self.links.posted[0]))
-        self.assertEqual([TEXT], self.taken)
+        self.assertEqual([TEXT], self.received)
 
-    def test_a_page_of_an_older_process_is_taken(self) -> None:
+    def test_unpacked_page_of_an_older_process_is_accepted(self) -> None:
         self.assertTrue(self.exchange.receive(ViewPage(ViewKind.CONFIGURATION, 15, "{}")))
-        self.assertEqual(["{}"], self.taken)
+        self.assertEqual(["{}"], self.received)
 
-    def test_bytes_that_are_no_text_are_not(self) -> None:
+    def test_malformed_packed_views_are_rejected(self) -> None:
         for packed in (b"x", compress_text(TEXT)[:-9], compress_text("a" * 17_000_000)):
             page = ViewPage(ViewKind.CONFIGURATION, 15, packed=packed)
             self.assertFalse(self.exchange.receive(page))
-        self.assertEqual([], self.taken)
+        self.assertEqual([], self.received)
 
 
 class TestPackedText(unittest.TestCase):
     @given(st.text())
-    def test_every_text_comes_back(self, text: str) -> None:
+    def test_unpack_returns_the_packed_text(self, text: str) -> None:
         self.assertEqual(text, decompress_text(compress_text(text)))
 
     @given(st.binary(max_size=64))
-    def test_other_bytes_raise_the_one_error(self, data: bytes) -> None:
+    def test_other_bytes_raise_malformed_frame_error(self, data: bytes) -> None:
         try:
             decompress_text(data)
         except MalformedFrameError:
--- a/tests/requests/test_quarantine.py
+++ b/tests/requests/test_quarantine.py
@@ -155,10 +155,10 @@
             async def cannot_tell(_: Upstream) -> None:
                 return None
 
-            rig.quarantine_gossip._has_ended = cannot_tell
+            rig.quarantine_gossip._has_failed = cannot_tell
             got = await rig.call("r1", body=DEADLY)
             self.assertEqual(502, got.status)
-            while rig.quarantine_gossip._notes:
+            while rig.quarantine_gossip._check_tasks:
                 await asyncio.sleep(0)
             self.assertEqual(0, len(rig.quarantine))
             rig.view.replace([], 2)
@@ -171,7 +171,7 @@
 
         async with Rig([ScriptedUpstream([cut])], RouteKind.NON_IDEMPOTENT) as rig:
             await rig.call("r1", body=COMMON)
-            while rig.quarantine_gossip._notes:
+            while rig.quarantine_gossip._check_tasks:
                 await asyncio.sleep(0)
             rig.view.replace([dataclasses.replace(i, draining=True) for i in rig.view.all()], 2)
             rig.quarantine_gossip.process_pending()
