--- a/src/lotushill/membership/roster.py
+++ b/src/lotushill/membership/roster.py
@@ -1,4 +1,4 @@
-"""What one member holds of all members: their states, and which claims about them to believe."""
+"""Roster of all members known to one member: their states, merged from claims of others."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     from lotushill.membership.membership_options import MembershipOptions
 
 DIGEST_GROUPS = 64
-"""Groups of names that are compared on their own, so that two rosters which differ in a few members
-exchange some of their states and not all. Told as 8 bytes each, these fit one datagram."""
-_SURE_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
-"""What a member says of itself; the others are what it is held for."""
+"""Number of groups of names with a digest each, so that two rosters which differ in a few members
+exchange some of their states and not all. Sent as 8 bytes each, the digests fit one datagram."""
+_SELF_STATED_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
+"""Phases that a member states of itself; the other phases are claims of other members."""
 _LIVE_PHASES = (MemberPhase.ALIVE, MemberPhase.SUSPECT)
 
 
 @dataclass(frozen=True)
 class MemberChange:
-    """One change of phase, for the log and for those who follow it."""
+    """One change of phase, for the log and for code that follows the members."""
 
     member: MemberState
     former: MemberPhase | None
@@ -36,35 +36,33 @@
 @dataclass
 class _Entry:
     state: MemberState
-    since: float
-    """When the phase last changed."""
+    phase_since: float
+    """Time at which the phase last changed."""
 
 
 class Roster:
-    """The states of all members, oneself included; pure, with the clock passed in."""
+    """States of all members, this one included; pure, with the time passed in."""
 
     def __init__(self, own: MemberState, options: MembershipOptions) -> None:
         self.own = own
         self._options = options
         self._entries: dict[str, _Entry] = {}
-        self._fading: set[str] = set()
-        """Members that are suspected, leaving or lost, so that their time may run out."""
+        self._not_alive: set[str] = set()
+        """Members that are suspected, leaving or lost, whose phase ends with a timeout."""
         self._live: tuple[MemberState, ...] | None = None
         self._digests: tuple[int, ...] | None = None
         self._changes: list[MemberChange] = []
         self.version = 0
-        """Rises with every change of what is held of any member, oneself included."""
+        """Number that increases with every change to the state of any member, this one included."""
         self.composition_version = 0
-        """Rises when a member comes, goes or changes its phase, oneself included."""
+        """Number that increases when this or another member joins, leaves or changes its phase."""
         self.changed_at = float("-inf")
-        """When a member last came, went or was doubted."""
+        """Time at which a member last joined, left or was suspected."""
         self.times_declared_lost = 0
-        """Times that this member heard that others had taken it for lost."""
-
-    # Views
+        """Number of times that this member was notified that others had declared it lost."""
 
     def live(self) -> tuple[MemberState, ...]:
-        """Return oneself and all members not taken for lost or leaving."""
+        """Return this member and all members that are neither lost nor leaving."""
         if self._live is None:
             own = (self.own,) if self.own.phase is MemberPhase.ALIVE else ()
             others = (entry.state for entry in self._entries.values())
@@ -72,65 +70,64 @@
         return self._live
 
     def find(self, name: str) -> MemberState | None:
-        """Return what is held of a member, oneself included."""
+        """Return the known state of any member, this one included, or None if it is unknown."""
         if name == self.own.name:
             return self.own
         entry = self._entries.get(name)
         return entry.state if entry else None
 
     def others(self) -> list[MemberState]:
-        """Return what is held of every other member."""
+        """Return the known states of all other members."""
         return [entry.state for entry in self._entries.values()]
 
     def not_alive_at(self, address: str) -> list[MemberState]:
-        """Return the members of an address that are not held for alive."""
-        fading = (self._entries[name].state for name in self._fading)
-        return [state for state in fading if state.address == address]
+        """Return the members at an address that are suspected, leaving or lost."""
+        states = (self._entries[name].state for name in self._not_alive)
+        return [state for state in states if state.address == address]
 
     @property
     def count(self) -> int:
-        """Return of how many members anything is held, oneself included."""
+        """Return the number of known members, this one included."""
         return 1 + len(self._entries)
 
     def take_changes(self) -> list[MemberChange]:
-        """Return the changes since the last call."""
-        taken, self._changes = self._changes, []
-        return taken
-
-    # Comparing rosters
+        """Return the phase changes since the last call."""
+        changes, self._changes = self._changes, []
+        return changes
 
     def digests(self) -> tuple[int, ...]:
-        """Return a number for each group of names: equal where the same members are live."""
+        """Return a digest for each group of names; equal if the same members are live."""
         if self._digests is None:
-            found = [0] * DIGEST_GROUPS
+            group_digests = [0] * DIGEST_GROUPS
             for state in self.live():
                 hashed = xxhash.xxh64_intdigest(state.name)
-                found[hashed % DIGEST_GROUPS] ^= hashed
-            self._digests = tuple(found)
+                group_digests[hashed % DIGEST_GROUPS] ^= hashed
+            self._digests = tuple(group_digests)
         return self._digests
 
     def digest(self) -> int:
-        """Return one number for all live members."""
+        """Return one digest of all live members."""
         folded = 0
         for number in self.digests():
             folded ^= number
         return folded
 
-    def differing_members(self, digests: Sequence[int], asker: str) -> list[MemberState]:
-        """Return the members to tell `asker`, which holds other digests.
+    def differing_members(self, digests: Sequence[int], requester: str) -> list[MemberState]:
+        """Return the members to send to `requester`, whose digests differ.
 
-        Who is doubted or lost is told in the own hall only, which a cut leaves whole: elsewhere the
-        claim could overrule what the asker hears itself.
+        Suspected and lost members are sent only within this hall, which a partition does not
+        divide: in another hall the claim could override what the requester observes itself.
         """
         own = self.digests()
         if len(digests) != len(own):
             return []
-        held = self.find(asker)
-        near = held is not None and held.hall == self.own.hall
+        state_of_requester = self.find(requester)
+        same_hall = state_of_requester is not None and state_of_requester.hall == self.own.hall
         return [
             state
             for state in (self.own, *self.others())
-            if (near or state.phase in _SURE_PHASES) and self._differs(state.name, own, digests)
+            if (same_hall or state.phase in _SELF_STATED_PHASES)
+            and self._differs(state.name, own, digests)
         ]
 
     @staticmethod
@@ -138,21 +135,19 @@
         group = xxhash.xxh64_intdigest(name) % DIGEST_GROUPS
         return own[group] != other[group]
 
-    # Changes
-
     def set_own(self, state: MemberState) -> None:
-        """Change one's own state, which then overrules what others hold of it."""
+        """Change this member's state, in a new incarnation that supersedes the one others hold."""
         if state.phase is not self.own.phase:
-            self._recompose()
+            self._increment_composition()
         self.own = replace(state, incarnation=state.incarnation + 1)
-        self._touch()
+        self._increment_version()
 
     def merge(self, state: MemberState, now: float) -> bool:
-        """Take in a claim; return whether others have to hear of it.
+        """Merge a claim about a member; return whether it is to be passed on to others.
 
-        Who it is and how it reads is passed on, but not what it holds: what views a member holds it
-        tells itself, in each of its packets. Passed on by all others as well, each change of an
-        upstream would fill the packets of the whole fleet.
+        Changes of a member's phase and store contact are passed on, but not those of the views that
+        it holds: each member sends these itself, in each of its packets. If all others passed them
+        on as well, each change of an upstream would fill the packets of the whole fleet.
         """
         if state.name == self.own.name:
             self._refute(state)
@@ -162,7 +157,7 @@
             if state.phase is MemberPhase.LOST:
                 return False
             self._entries[state.name] = _Entry(state, now)
-            self._note(state, None, now)
+            self._record_change(state, None, now)
             return True
         if not supersedes(state, entry.state):
             return False
@@ -171,13 +166,13 @@
         return state.phase is not former.phase or state.contact is not former.contact
 
     def contradicts_loss(self, state: MemberState) -> bool:
-        """Return whether a claim says that one is alive that is held for lost here."""
-        held = self._entries.get(state.name)
-        lost = held is not None and held.state.phase is MemberPhase.LOST
+        """Return whether a claim states that a member is alive which is lost here."""
+        member_entry = self._entries.get(state.name)
+        lost = member_entry is not None and member_entry.state.phase is MemberPhase.LOST
         return lost and state.phase is MemberPhase.ALIVE
 
     def suspect(self, name: str, now: float) -> bool:
-        """Doubt a member that does not answer; return whether that is news."""
+        """Suspect a member that does not answer; return whether this changed its phase."""
         entry = self._entries.get(name)
         if entry is None or entry.state.phase is not MemberPhase.ALIVE:
             return False
@@ -185,58 +180,60 @@
         return True
 
     def expire(self, now: float) -> list[str]:
-        """Let time run out for those that fade; return whom others have to hear of."""
-        news = []
-        for name in list(self._fading):
+        """Apply the timeouts of members that are not alive; return the names to pass on."""
+        changed = []
+        for name in list(self._not_alive):
             entry = self._entries[name]
-            held = now - entry.since
+            elapsed = now - entry.phase_since
             phase = entry.state.phase
-            if phase is MemberPhase.LOST and held >= self._options.lost_retention:
+            if phase is MemberPhase.LOST and elapsed >= self._options.lost_retention:
                 del self._entries[name]
-                self._fading.discard(name)
-                self._touch()
-                self._recompose()
-            elif phase is not MemberPhase.LOST and held >= self._time_of(phase):
+                self._not_alive.discard(name)
+                self._increment_version()
+                self._increment_composition()
+            elif phase is not MemberPhase.LOST and elapsed >= self._phase_timeout(phase):
                 self._set(entry, replace(entry.state, phase=MemberPhase.LOST), now)
-                news.append(name)
-        return news
+                changed.append(name)
+        return changed
 
-    def _time_of(self, phase: MemberPhase) -> float:
+    def _phase_timeout(self, phase: MemberPhase) -> float:
         if phase is MemberPhase.LEAVING:
             return self._options.leaving_timeout
         return self._options.lost_timeout
 
     def _refute(self, state: MemberState) -> None:
         newer = state.incarnation > self.own.incarnation
-        wrong = state.incarnation == self.own.incarnation and state.phase is not self.own.phase
-        if state.phase is MemberPhase.LOST and (newer or wrong):
+        contradicts = (
+            state.incarnation == self.own.incarnation and state.phase is not self.own.phase
+        )
+        if state.phase is MemberPhase.LOST and (newer or contradicts):
             self.times_declared_lost += 1
-        if newer or wrong:
+        if newer or contradicts:
             self.own = replace(self.own, incarnation=state.incarnation + 1)
-            self._touch()
+            self._increment_version()
 
     def _set(self, entry: _Entry, state: MemberState, now: float) -> None:
         former = entry.state
         if state.phase is not former.phase:
-            entry.since = now
+            entry.phase_since = now
         entry.state = state
-        self._note(state, former.phase, now)
+        self._record_change(state, former.phase, now)
 
-    def _note(self, state: MemberState, former: MemberPhase | None, now: float) -> None:
+    def _record_change(self, state: MemberState, former: MemberPhase | None, now: float) -> None:
         if state.phase is MemberPhase.ALIVE:
-            self._fading.discard(state.name)
+            self._not_alive.discard(state.name)
         else:
-            self._fading.add(state.name)
-        self._touch()
+            self._not_alive.add(state.name)
+        self._increment_version()
         if state.phase is not former:
-            self._recompose()
+            self._increment_composition()
             self.changed_at = now
             self._changes.append(MemberChange(state, former))
 
-    def _touch(self) -> None:
+    def _increment_version(self) -> None:
         self.version += 1
         self._live = None
 
-    def _recompose(self) -> None:
+    def _increment_composition(self) -> None:
         self.composition_version += 1
         self._digests = None
--- a/src/lotushill/peering/leaving_gossip.py
+++ b/src/lotushill/peering/leaving_gossip.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of upstreams that said that they leave."""
+"""Updates between gateways on upstreams that have announced a shutdown in an answer."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class LeavingGossip:
-    """Passes on what upstreams say in answers, for as long as their entries do not say it.
+    """Passes on the announcements of leaving upstreams until their entries in the store show them.
 
-    The entry of an upstream that leaves is late in an outage of the store, and silent where the
-    upstream never says there that it drains: the gateways that it did not answer would go on
-    sending it requests until it has ended.
+    The entry of a leaving upstream is late during an outage of the store, and never shows it if the
+    upstream does not mark itself as draining there. The gateways without an answer from it would
+    then keep sending it requests until it has terminated.
     """
 
     def __init__(
@@ -32,34 +32,34 @@
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Tell as the gateway `name`; `tell` sends to all other gateways."""
+        """Send as the gateway `name`; `broadcast` sends to all other gateways."""
         self._name = name
         self._upstreams = upstreams
-        self._tell = broadcast
+        self._broadcast = broadcast
         self._log = log
         self._clock = clock
-        self._telling = AnnouncementSchedule(rng)
+        self._schedule = AnnouncementSchedule(rng)
 
     def note_answer(self, upstream_id: str) -> None:
-        """Note that an upstream has said in an answer that it leaves."""
-        self._take(upstream_id, "answer")
+        """Record that an upstream announced in an answer that it leaves."""
+        self._merge(upstream_id, "answer")
 
-    def receive(self, news: LeavingNews) -> None:
-        """Take what another gateway was told."""
-        for upstream_id in news.upstreams:
-            self._take(upstream_id, news.sender)
-        missing = set(self._upstreams.announced_leaving) - set(news.upstreams)
-        lacks = news.complete and bool(missing)
-        self._telling.note_received(news.upstreams, news.complete, lacks, self._clock())
+    def receive(self, update: LeavingNews) -> None:
+        """Merge the announcements that another gateway knows."""
+        for upstream_id in update.upstreams:
+            self._merge(upstream_id, update.sender)
+        missing = set(self._upstreams.announced_leaving) - set(update.upstreams)
+        lacks = update.complete and bool(missing)
+        self._schedule.note_received(update.upstreams, update.complete, lacks, self._clock())
 
-    def _take(self, upstream_id: str, source: str) -> None:
+    def _merge(self, upstream_id: str, source: str) -> None:
         if self._upstreams.note_leaving(upstream_id):
             self._log.note("upstream.leaving", upstream=upstream_id, source=source)
-            self._telling.note(upstream_id, self._clock())
+            self._schedule.note(upstream_id, self._clock())
 
     def send_due(self) -> None:
-        """Tell the others, if that is due."""
+        """Send an update to the other gateways if one is due."""
         leaving = self._upstreams.announced_leaving
-        told = self._telling.due_names(leaving, self._clock())
-        if told:
-            self._tell(LeavingNews(self._name, tuple(told), len(told) == len(leaving)))
+        due = self._schedule.due_names(leaving, self._clock())
+        if due:
+            self._broadcast(LeavingNews(self._name, tuple(due), len(due) == len(leaving)))
--- a/src/lotushill/peering/reader_role.py
+++ b/src/lotushill/peering/reader_role.py
@@ -1,4 +1,4 @@
-"""Whether this gateway reads the platform's store, or leaves that to others of its hall."""
+"""Decides whether this gateway reads the platform's store or leaves it to others of its hall."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 
     from lotushill.membership.membership import Membership
 
-_DECIDED_SECONDS = 0.1
-"""A decision holds so long, for all kinds that are followed."""
-_FIND_SECONDS = 0.6
-"""After its start, a gateway waits so long for others that could tell it everything."""
+_DECISION_SECONDS = 0.1
+"""Time for which a decision is valid, for all kinds of objects that are watched."""
+_DISCOVERY_SECONDS = 0.6
+"""Time after its start for which a gateway waits for others that could send it all views."""
 
 
 class ReaderRole:
-    """Decides from the members that are heard; pure, with the clock passed in."""
+    """Decides from the live members; pure, with the clock passed in."""
 
     def __init__(self, membership: Callable[[], Membership], clock: Callable[[], float]) -> None:
-        """Follow a membership from now on."""
+        """Decide by the members of a membership; the start of the gateway is now."""
         self._membership = membership
         self._clock = clock
         self._started = clock()
-        self._due = float("-inf")
-        self._reads = False
+        self._next_decision = float("-inf")
+        self._is_reader = False
 
     def is_reader(self) -> bool:
         """Return whether this gateway reads the store now."""
         now = self._clock()
-        if now >= self._due:
-            self._due = now + _DECIDED_SECONDS
-            self._reads = self._decide(now)
-        return self._reads
+        if now >= self._next_decision:
+            self._next_decision = now + _DECISION_SECONDS
+            self._is_reader = self._decide(now)
+        return self._is_reader
 
     def _decide(self, now: float) -> bool:
         members = self._membership().live()
-        if len(members) < 2 and now - self._started < _FIND_SECONDS:
+        if len(members) < 2 and now - self._started < _DISCOVERY_SECONDS:
             return False
         return is_reader(self._membership().own, members)
 
     def is_substitute_reader(self) -> bool:
-        """Return whether it reads only since others are turned away by the store."""
+        """Return whether it reads only because the store turns others away."""
         return is_substitute_reader(self._membership().own, self._membership().live())
 
     def has_current_reader(self, configuration: int) -> bool:
-        """Return whether another one reads the store and has no newer configuration."""
+        """Return whether another gateway reads the store and has no newer configuration."""
         membership = self._membership()
         return any(
             member.contact is StoreContact.READING and member.configuration <= configuration
--- a/src/lotushill/peering/return_gossip.py
+++ b/src/lotushill/peering/return_gossip.py
@@ -1,4 +1,4 @@
-"""Passes on who was told to come back, so that a caller may return to any gateway."""
+"""Updates on refused callers with a promised retry time, so that they may return to any gateway."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class ReturnGossip:
-    """Tells the other schedulers of promises made here, and takes theirs.
+    """Sends promises made here to the other schedulers, and merges theirs.
 
-    News that are lost cost a caller its place and nothing else: it is then a newcomer.
+    A lost update costs a caller its place and nothing else: its request then counts as new.
     """
 
     def __init__(
@@ -28,22 +28,24 @@
         send: Callable[[ReturnNews, str], None],
         clock: Callable[[], float],
     ) -> None:
-        """Tell as the gateway `name`; `send` sends a message to an address."""
+        """Send as the gateway `name`; `send` sends a message to an address."""
         self._name = name
         self._returns = returns
         self._schedulers = schedulers
         self._send = send
         self._clock = clock
 
-    def receive(self, news: ReturnNews) -> None:
-        """Take what another gateway tells."""
-        if news.sender != self._name:
-            self._returns.merge(news.promises, self._clock())
+    def receive(self, update: ReturnNews) -> None:
+        """Merge an update from another gateway."""
+        if update.sender != self._name:
+            self._returns.merge(update.promises, self._clock())
 
     def send_due(self) -> None:
-        """Tell the other schedulers, if something is due."""
-        told = self._returns.due_states(self._clock())
-        for start in range(0, len(told), MAX_PROMISES_PER_DATAGRAM):
-            news = ReturnNews(self._name, tuple(told[start : start + MAX_PROMISES_PER_DATAGRAM]))
+        """Send the promises that are due to the other schedulers."""
+        states = self._returns.due_states(self._clock())
+        for start in range(0, len(states), MAX_PROMISES_PER_DATAGRAM):
+            update = ReturnNews(
+                self._name, tuple(states[start : start + MAX_PROMISES_PER_DATAGRAM])
+            )
             for scheduler in self._schedulers.others():
-                self._send(news, scheduler.address)
+                self._send(update, scheduler.address)
