--- a/src/lotushill/views/__init__.py
+++ b/src/lotushill/views/__init__.py
@@ -1,3 +1,3 @@
-"""Views of the platform's store that every gateway follows."""
+"""Views: a gateway's copies of objects in the platform's store, kept up to date."""
 
 from __future__ import annotations
--- a/src/lotushill/views/configuration_view.py
+++ b/src/lotushill/views/configuration_view.py
@@ -1,4 +1,4 @@
-"""The configuration in force, which never goes back; a pure state machine."""
+"""View of the configuration in force: its revision only increases; a pure state machine."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class ConfigurationView:
-    """The newest routing table known, with the store's revision of it."""
+    """Holds the newest known routing table and the store's revision of it."""
 
     def __init__(self) -> None:
         self.revision = -1
-        """Revision of the configuration object; below 0 while there is none."""
+        """Revision of the configuration object; below 0 before the first one."""
         self.table: RoutingTable | None = None
 
     def take(self, table: RoutingTable, revision: int) -> bool:
-        """Put a table in force if it is newer; return whether it was."""
+        """Put a table in force if it is newer than the current one; return whether it was."""
         if revision <= self.revision:
             return False
         if self.table is not None and table.version < self.table.version:
--- a/src/lotushill/views/entry_faults.py
+++ b/src/lotushill/views/entry_faults.py
@@ -1,4 +1,4 @@
-"""Objects of the store that could not be read: each is told of once, until it changes."""
+"""Objects of the store that could not be parsed; each fault is logged once, until it changes."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
     from lotushill.event_log import EventLog
 
 _MOST_LINES = 20
-"""Of one reading; how many more there are is told in one line."""
+"""Maximum log lines per revision; one more line states how many faults were left out."""
 
 
 class EntryFaults:
-    """What is wrong with objects of one kind, by name."""
+    """Holds and logs the current faults of the objects of one kind, by object name."""
 
     def __init__(self, kind: str, log: EventLog) -> None:
         self._kind = kind
         self._log = log
         self.held: Mapping[str, str] = {}
         self.counted = 0
-        """Faults that were found so far, one that stands counted once."""
+        """Number of faults found so far; a fault that persists is counted once."""
 
     def replace(self, faults: Mapping[str, str], revision: int) -> None:
-        """Take all faults as of a revision."""
+        """Replace all faults by those of a revision, and log the new ones."""
         news = {name: why for name, why in faults.items() if self.held.get(name) != why}
         self.held = dict(faults)
         self.counted += len(news)
--- a/src/lotushill/views/exceptions.py
+++ b/src/lotushill/views/exceptions.py
@@ -1,30 +1,30 @@
-"""Errors of following the store."""
+"""Errors of calls to the store and of views."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """A call to the store that did not bring what it was for."""
+    """Base of errors of calls to the store."""
 
 
 class StoreUnavailableError(StoreError):
-    """No answer, or one that says the store does not serve now; a write may have been done."""
+    """The store did not answer or answered that it is unavailable; a write may have been done."""
 
 
 class HistoryGoneError(StoreError):
-    """The store no longer knows what changed since a revision."""
+    """The store no longer has the history of changes since the requested revision."""
 
 
 class RevisionConflictError(StoreError):
-    """The object is there already, or has another revision."""
+    """The object exists already, or its revision differs from the expected one."""
 
 
 class MalformedViewError(Exception):
-    """A view of a peer that cannot be read."""
+    """A view received from a peer cannot be parsed."""
 
 
 class MalformedEntryError(ValueError):
-    """An object that another writer made or spoilt: one of its fields is not as it should be."""
+    """A field of an object in the store is invalid, as another writer created or corrupted it."""
 
     def __init__(self, field: str, why: str) -> None:
         super().__init__(f"{field} {why}")
--- a/src/lotushill/views/fields.py
+++ b/src/lotushill/views/fields.py
@@ -1,7 +1,7 @@
-"""The fields of an object of the store, checked for type and range as they are read.
+"""Access to the fields of an object of the store, with checks of type and range.
 
-The library that checks the settings tree takes a third of a gateway's start to load; what is read
-at the start is checked by these few functions.
+Loading the library that validates the settings tree takes a third of a gateway's start-up time.
+Objects that are read at start-up are therefore validated by these few functions.
 """
 
 from __future__ import annotations
@@ -25,44 +25,44 @@
 
 
 class Fields:
-    """The fields of one object; what cannot be read as asked for raises MalformedEntryError."""
+    """Fields of one object; a field of another type or range raises MalformedEntryError."""
 
     def __init__(self, value: Any) -> None:
         if not isinstance(value, dict):
-            raise MalformedEntryError("entry", "is no object")
+            raise MalformedEntryError("entry", "is not an object")
         self._values = value
 
     def has(self, name: str) -> bool:
-        """Return whether there is a field."""
+        """Return whether the field exists."""
         return name in self._values
 
     def all_of(self, name: str) -> list[Any]:
-        """Return a list, whatever stands in it."""
+        """Return an array, whose items are not checked."""
         value = self._value(name)
         if not isinstance(value, list):
-            raise MalformedEntryError(name, "is no list")
+            raise MalformedEntryError(name, "is not an array")
         return value
 
     def inner(self, name: str) -> Fields:
-        """Return the fields of an object within."""
+        """Return the fields of a nested object."""
         return Fields(self._value(name))
 
     def raw(self, name: str) -> Any:
-        """Return whatever stands there, None for nothing."""
+        """Return the unchecked value, None if the field is missing."""
         return self._values.get(name)
 
     def text(self, name: str) -> str:
-        """Return a text that says something."""
+        """Return a text that is not empty and not longer than the limit."""
         value = self._value(name)
         if not isinstance(value, str) or not value or len(value) > _MOST_TEXT:
-            raise MalformedEntryError(name, "is no text")
+            raise MalformedEntryError(name, "is not a non-empty text of bounded length")
         return value
 
     def whole(self, name: str, least: int, most: int) -> int:
-        """Return a whole number within bounds."""
+        """Return an integer within bounds."""
         value = self._value(name)
         if type(value) is not int or not least <= value <= most:
-            raise MalformedEntryError(name, f"is no whole number from {least} to {most}")
+            raise MalformedEntryError(name, f"is not an integer from {least} to {most}")
         return value
 
     def number(self, name: str, least: float, most: float) -> float:
@@ -73,32 +73,32 @@
             or not least <= value <= most
             or not math.isfinite(value)
         ):
-            raise MalformedEntryError(name, f"is no number from {least} to {most}")
+            raise MalformedEntryError(name, f"is not a number from {least} to {most}")
         return float(value)
 
     def number_if_any(self, name: str, least: float, most: float, unit: float) -> float | None:
-        """Return a number in units of `unit`, None where it is missing or cannot be read."""
+        """Return a number divided by `unit`, None if it is missing or invalid."""
         try:
             return self.number(name, least, most) / unit
         except MalformedEntryError:
             return None
 
     def choice(self, name: str, known: frozenset[str]) -> str:
-        """Return one of the texts that are known."""
+        """Return a text that is one of the `known` values."""
         value = self.text(name)
         if value not in known:
-            raise MalformedEntryError(name, "is none that is known")
+            raise MalformedEntryError(name, "is not one of the known values")
         return value
 
     def address(self, name: str) -> str:
-        """Return an IP number and a port."""
+        """Return an address of the form IP:PORT."""
         value = self.text(name)
         try:
             _, port = split_address(value)
         except ValueError as error:
-            raise MalformedEntryError(name, "is no IP:PORT") from error
+            raise MalformedEntryError(name, "is not an address of the form IP:PORT") from error
         if not port:
-            raise MalformedEntryError(name, "has no port")
+            raise MalformedEntryError(name, "has port 0; expected one from 1 to 65535")
         return value
 
     def _value(self, name: str) -> Any:
@@ -108,12 +108,12 @@
 
 
 def is_header_text(text: str) -> bool:
-    """Return whether a text can stand in a header as it is."""
+    """Return whether a text is valid as a header value without encoding."""
     return _HEADER_TEXT.fullmatch(text) is not None
 
 
 def readable(read: Callable[[Any], Item], items: list[Any]) -> list[Item]:
-    """Return what can be read of a list: an item that cannot must not cost those beside it."""
+    """Return the parsed items; malformed ones are skipped so that the others are not lost."""
     found = []
     for item in items:
         try:
--- a/src/lotushill/views/stored_object.py
+++ b/src/lotushill/views/stored_object.py
@@ -1,4 +1,4 @@
-"""Objects of the store."""
+"""Objects and changes as the store returns them."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 @dataclass(frozen=True)
 class StoredObject:
-    """One object; `spec` is plain data as JSON knows it."""
+    """One object of the store; `spec` is plain JSON data."""
 
     name: str
     revision: int
-    """Revision of its last change."""
+    """Revision of the object's last change."""
     spec: Any
 
 
 @dataclass(frozen=True)
 class Change:
-    """One change: what an object became, or that it is gone."""
+    """One change of an object: its new state, or its deletion."""
 
     object: StoredObject
     gone: bool
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class ObjectList:
-    """All objects of a kind, as of a revision of the store."""
+    """All objects of a kind as of a revision of the store."""
 
     objects: tuple[StoredObject, ...]
     revision: int
--- a/src/lotushill/views/upstream_view.py
+++ b/src/lotushill/views/upstream_view.py
@@ -1,4 +1,4 @@
-"""The upstreams that are known, as of a revision of the store; a pure state machine."""
+"""View of all known upstreams as of a revision of the store; a pure state machine."""
 
 from __future__ import annotations
 
@@ -15,58 +15,59 @@
     from lotushill.routing.upstream import Upstream
 
 _MOST_LEAVING = 4096
-"""Lives that are remembered as leaving: some times as many as the largest fleet has upstreams."""
+"""Maximum incarnations remembered as leaving: several times the upstreams of the largest fleet."""
 NOTHING_KEPT: Mapping[str, float] = MappingProxyType({})
 
 
 class UpstreamView:
-    """All upstreams by id; a newer revision replaces an older one and never the reverse.
+    """Holds all upstreams by id; only a newer revision replaces the current one.
 
-    Entries lapse while the store is away, though their upstreams live. What is missing after an
-    outage is therefore kept until a given time, by when living upstreams are listed again.
+    Entries lapse during an outage of the store although their upstreams still run. Upstreams that
+    are missing after an outage are therefore kept until a given time, by which the running ones
+    are listed again.
     """
 
     def __init__(self) -> None:
         self.revision = -1
-        """The store's revision that the view stands at; below 0 while nothing is known."""
+        """Store revision of the view; below 0 before the first list."""
         self._upstreams: dict[str, Upstream] = {}
         self._lapsed: dict[str, float] = {}
-        """Upstreams that no entry names any longer, by when they are taken for gone."""
+        """Times at which upstreams that no entry names any longer are removed, by id."""
         self._leaving: dict[str, None] = {}
-        """Lives that said that they leave, whatever their entries say; the latest last."""
+        """Incarnations that announced that they leave, whatever their entries say; latest last."""
         self._leaving_by_word: set[str] = set()
         self._by_service: dict[str, list[Upstream]] = {}
         self._by_number: dict[int, str] = {}
 
     @property
     def lapsed(self) -> dict[str, float]:
-        """Return the upstreams that are kept without an entry, by when they are gone."""
+        """Return the times at which upstreams that are kept without an entry are removed."""
         return dict(self._lapsed)
 
     @property
     def known(self) -> bool:
-        """Return whether anything was ever read."""
+        """Return whether a list has been received."""
         return self.revision >= 0
 
     def of(self, service: str) -> list[Upstream]:
-        """Return the upstreams of a service that may get new requests."""
+        """Return the upstreams of a service that may receive new requests."""
         return self._by_service.get(service, [])
 
     @property
     def leaving_by_word(self) -> tuple[str, ...]:
-        """Return the lives that said that they leave, and whose entries do not say it."""
+        """Return the incarnations that announced to leave but whose entries do not say so."""
         return tuple(sorted(self._leaving_by_word)) if self._leaving_by_word else ()
 
     def find(self, upstream_id: str) -> Upstream | None:
-        """Return an upstream by its id."""
+        """Return the upstream with an id, None if it is unknown."""
         return self._upstreams.get(upstream_id)
 
     def id_of(self, number: int) -> str | None:
-        """Return the id of the upstream that a number stands for between gateways."""
+        """Return the id of the upstream that a number identifies in messages between gateways."""
         return self._by_number.get(number)
 
     def all(self) -> tuple[Upstream, ...]:
-        """Return all upstreams, those that are leaving included."""
+        """Return all upstreams, including those that are leaving."""
         return tuple(self._upstreams.values())
 
     def replace(
@@ -76,11 +77,11 @@
         keep: Mapping[str, float] = NOTHING_KEPT,
         unreadable: frozenset[str] = frozenset(),
     ) -> bool:
-        """Take a whole list; return whether it was newer than what is held.
+        """Replace the view by a complete list; return whether the list was newer.
 
-        Upstreams in `keep` that are missing and were not leaving stay until the time given
-        there, and so do those that were kept before, unless a later life of theirs is listed
-        or their entries are `unreadable`.
+        An upstream in `keep` that is missing from the list and was not leaving stays until the
+        time given there, and so does one that was kept before. It is dropped if a later
+        incarnation of it is listed or its entry is `unreadable`.
         """
         if revision <= self.revision:
             return False
@@ -106,10 +107,10 @@
         return True
 
     def note_leaving(self, upstream_id: str) -> bool:
-        """Note that a life takes no more requests; return whether that is news.
+        """Record that an incarnation accepts no more requests; return whether that was unknown.
 
-        It holds until the life has ended: an entry that is late, or silent in an outage of the
-        store, does not take it back.
+        The record holds until the incarnation has ended. An entry that is updated late, or not at
+        all in an outage of the store, does not revoke it.
         """
         if upstream_id in self._leaving:
             return False
@@ -126,7 +127,7 @@
         return True
 
     def expire(self, now: float) -> tuple[str, ...]:
-        """Drop upstreams whose entries stayed away for too long, and return their ids."""
+        """Remove upstreams whose entries have been missing for too long, and return their ids."""
         gone = tuple(name for name, until in self._lapsed.items() if now >= until)
         for name in gone:
             del self._lapsed[name]
@@ -137,7 +138,7 @@
         return gone
 
     def _bound(self, upstream: Upstream) -> Upstream:
-        """Return the newer of two entries; a life that once drained takes no more requests."""
+        """Return the newer of two entries; an incarnation that has drained stays draining."""
         if upstream.id in self._leaving:
             return replace(upstream, draining=True)
         known = self._upstreams.get(upstream.id)
--- a/src/lotushill/views/watcher.py
+++ b/src/lotushill/views/watcher.py
@@ -1,4 +1,4 @@
-"""Follows one kind of the store's objects: a list, then watches, and a list after a gap."""
+"""Follows one kind of the store's objects: lists it, then watches it; lists again after a gap."""
 
 from __future__ import annotations
 
@@ -22,45 +22,47 @@
 
 _WATCH_SECONDS = 3.0
 _SHORTEST_WATCH_SHARE = 0.3
-"""A store that forgets its history may tell those that wait nothing of a change. A watch is then
-out of date until it ends, so that watches are short, and end at different times in the fleet: the
-first to end tells the others."""
+"""Shortest watch as a fraction of the longest.
+
+A store that drops its history may not report a change to the watches that are open, which are then
+out of date until they end. Watches are therefore short, and end at different times in the fleet:
+the first gateway whose watch ends notifies the others."""
 _FIRST_PAUSE_SECONDS = 0.05
 _LONGEST_PAUSE_SECONDS = 0.8
 _STAND_IN_PAUSE_SECONDS = 4.0
-"""The longest pause of one that reads only since others are turned away."""
+"""Longest pause of a substitute reader, which reads only while others cannot reach the store."""
 _START_SECONDS = 0.01
-"""Between two looks at whether what has to be known before is known."""
+"""Interval between checks whether the data required before the first read is loaded."""
 _PASSIVE_SECONDS = 0.15
-"""Between two looks at whether it is this gateway's turn to read."""
+"""Interval between checks whether this gateway has become a reader."""
 
 
 class Store(Protocol):
-    """The calls that a watcher makes."""
+    """Calls that a watcher makes to the store."""
 
     async def list_kind(self, kind: str, stale: bool = False) -> ObjectList:
         """Return all objects of a kind."""
         ...
 
     async def watch(self, kind: str, revision: int, seconds: float) -> tuple[list[Change], int]:
-        """Return changes after a revision."""
+        """Wait for changes after a revision; return them with the revision that they lead to."""
         ...
 
 
 class Reading(Protocol):
-    """Who reads the store; the others hear of changes from those who do."""
+    """Decides which gateways read the store; the others receive changes from these readers."""
 
     def reads(self) -> bool:
-        """Return whether this gateway reads the store now."""
+        """Return whether this gateway currently reads the store."""
         ...
 
     def stands_in(self) -> bool:
-        """Return whether it does so only since others are turned away."""
+        """Return whether it reads only because other readers cannot reach the store."""
         ...
 
 
 class AlwaysReading:
-    """Reads whatever others do."""
+    """Reads the store independently of other gateways."""
 
     def reads(self) -> bool:
         """Return True."""
@@ -73,23 +75,23 @@
 
 @dataclass(frozen=True)
 class WatchedKind:
-    """What is followed, and what becomes of it; times are seconds."""
+    """The kind to follow, the callbacks for its data and the timing; times are seconds."""
 
     name: str
     on_list: Callable[[ObjectList], None]
     on_changes: Callable[[list[Change], int], None]
     held: Callable[[], int]
-    """Revision of the view, which may have come from others; below 0 for none."""
+    """Returns the view's revision, which may come from other gateways; below 0 for none."""
     interval: float
-    """At least, from one watch to the next."""
+    """Minimum time from one watch to the next."""
     wait: float = _WATCH_SECONDS
-    """How long one watch waits for a change, at most."""
+    """Maximum time for which one watch waits for a change."""
     may_start: Callable[[], bool] = lambda: True
-    """Whether what has to be known before this kind is known."""
+    """Returns whether the data required before the first read of this kind is loaded."""
 
 
 class Watcher:
-    """Calls back with lists and changes, for ever; an outage changes nothing."""
+    """Delivers lists and changes of a kind without end; during an outage the view is unchanged."""
 
     def __init__(
         self,
@@ -100,7 +102,7 @@
         reading: Reading | None = None,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
-        """Follow `kind` while `reading` says that this gateway reads."""
+        """Follow `kind` while `reading` selects this gateway as a reader."""
         self._store = store
         self._kind = kind
         self._rng = rng
@@ -114,31 +116,32 @@
         self._away_at: float | None = None
         self._step_scope: anyio.CancelScope | None = None
         self.confirmed_from = float("-inf")
-        """When the last list was asked for that has come."""
+        """Time at which the last successful list was requested."""
         self.active = False
-        """Whether this gateway reads the kind itself."""
+        """Whether this gateway reads the kind from the store itself."""
         self.failing = False
-        """Whether the last call brought no answer."""
+        """Whether the last call failed."""
         self.answering_since: float | None = None
-        """Since when each call was answered, None while the last one was not."""
+        """Time since which every call was answered, None while the last one was not."""
 
     @property
     def away_at(self) -> float | None:
-        """Return when the last call began that the store did not answer, None without any.
+        """Return the time at which the last failed call was sent, None if no call has failed.
 
-        Not when the failure was noticed, nor when the store answered again: both may be seconds
-        after its return, and only what lies behind the failed call is known to be outage.
+        Neither the time at which the failure was detected nor that of the next answer is used:
+        both may be seconds after the store's return. Only the time from the start of the failed
+        call is known to be an outage.
         """
         return self._away_at
 
     def doubt(self) -> None:
-        """List again at once: what was told may be old, and the watch under way may have died."""
+        """List again at once: received data may be out of date, and the open watch may be dead."""
         self._history_gone = True
         if self._step_scope is not None:
             self._step_scope.cancel()
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the kind until cancelled."""
         while True:
             self.active = self._reading.reads()
             if not self.active:
@@ -158,20 +161,21 @@
             except StoreError as error:
                 await self._back_off(error)
             except Exception as error:
-                # A fault of ours in reading must not end the following for good.
+                # A programming error in a callback must not stop this loop permanently.
                 self._log.note("watch.fault", kind=self._kind.name, error=repr(error))
                 self._history_gone = True
                 await anyio.sleep(self._jitter(_LONGEST_PAUSE_SECONDS))
 
     def _rest(self) -> None:
-        """Go on later from what the others brought meanwhile."""
+        """Reset, so that reading later resumes from the revision received from other gateways."""
         self.failing = False
         self._revision = -1
         self._pause = _FIRST_PAUSE_SECONDS
 
     async def _step(self) -> None:
         kind = self._kind
-        # What others brought need not be asked for again: its history may be gone by now.
+        # Changes received from other gateways are not requested again: the store may no longer
+        # have their history.
         self._revision = max(self._revision, kind.held())
         if self._revision < 0 or self._history_gone:
             await self._list()
@@ -197,8 +201,8 @@
         if changes:
             kind.on_changes(changes, revision)
             self._revision = max(self._revision, revision)
-        # Without changes it goes on from where it was: a store in trouble may hold events
-        # back while its revision moves on, and would never tell of them again.
+        # Without changes the revision stays as it is: an impaired store may withhold events while
+        # its revision increases, and would not deliver them after that revision.
 
     def _note_answer(self) -> None:
         self._pause = _FIRST_PAUSE_SECONDS
--- a/tests/views/test_watcher.py
+++ b/tests/views/test_watcher.py
@@ -18,7 +18,7 @@
 
 
 class ScriptedStore:
-    """A store whose watches and lists follow a script; then it is silent."""
+    """A store whose watches follow a script; after its last step they wait without end."""
 
     def __init__(self, *steps: object) -> None:
         self.steps = list(steps)
@@ -26,7 +26,7 @@
         self.waits: list[float] = []
         self.now = 0.0
         self.seconds_a_watch = 0.0
-        """What each watch takes until it is answered, or fails."""
+        """Time that each watch takes until it is answered or fails."""
         self.lists = 0
         self.done = asyncio.Event()
 
@@ -55,7 +55,7 @@
 
 
 class Turns:
-    """Reads in some of the turns that it is asked for."""
+    """Allows reading in the given turns, then always."""
 
     def __init__(self, test: TestWatcher, turns: list[bool]) -> None:
         self._test = test
@@ -66,7 +66,7 @@
             return True
         turn = self._turns.pop(0)
         if not turn:
-            # While it rests, others bring it further.
+            # While this gateway does not read, the others advance its view.
             self._test.held = 30
         return turn
 
@@ -76,7 +76,7 @@
 
 class TestWatcher(unittest.IsolatedAsyncioTestCase):
     held = -1
-    """Revision of the view, as others have brought it."""
+    """Revision of the view, as received from other gateways."""
     reading: Reading = AlwaysReading()
 
     async def follow(self, store: ScriptedStore) -> list[str]:
@@ -109,8 +109,8 @@
         self.assertEqual([10, 14, 15], store.watched)
 
     async def test_a_revision_that_moved_on_without_events_skips_nothing(self) -> None:
-        store = ScriptedStore(([], 13), ([change("held back", 12)], 13))
-        self.assertEqual(["list@10", "['held back']@13"], await self.follow(store))
+        store = ScriptedStore(([], 13), ([change("withheld", 12)], 13))
+        self.assertEqual(["list@10", "['withheld']@13"], await self.follow(store))
         self.assertEqual([10, 10, 13], store.watched)
 
     async def test_after_a_gap_it_lists_and_after_an_outage_it_goes_on(self) -> None:
@@ -194,7 +194,8 @@
         store = ScriptedStore(StoreUnavailableError("cut"), ([change("a", 12)], 12))
         store.seconds_a_watch = 5.0
         await self.follow(store)
-        # Noticed at 5 s, answered again at 10 s: what left after the start of the call is bound.
+        # The failure is detected at 5 s and the next answer arrives at 10 s, but the outage counts
+        # from the start of the failed call.
         self.assertEqual((10.0, 0.0), (store.now, self.watcher.away_at))
 
     async def test_without_a_failed_call_no_outage_is_known(self) -> None:
