--- a/src/lotushill/following/__init__.py
+++ b/src/lotushill/following/__init__.py
@@ -1,3 +1,3 @@
-"""What a gateway follows of the store, kind by kind: from the store itself, or told by peers."""
+"""Follows the kinds of the store: keeps their views up to date from the store or from peers."""
 
 from __future__ import annotations
--- a/src/lotushill/following/configuration.py
+++ b/src/lotushill/following/configuration.py
@@ -1,4 +1,4 @@
-"""The platform's configuration, followed."""
+"""Follows the platform's configuration."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 
 
 class FollowedConfiguration(Followed):
-    """The newest configuration that can be read is in force."""
+    """Keeps the newest valid configuration in force."""
 
     def __init__(
         self, log: EventLog, on_change: Callable[[], None], may_start: Callable[[], bool]
     ) -> None:
-        """Call `on_change` when another one is in force; read the store once `may_start` says."""
+        """Call `on_change` after each change; read the store once `may_start` returns True."""
         self.view = ConfigurationView()
         self._log = log
         self._on_change = on_change
         self._may_start = may_start
         self._text = ""
         self._rejected = -1
-        """Revision of the last one that could not be read."""
+        """Revision of the last configuration that could not be parsed."""
 
     @property
     def revision(self) -> int:
-        """Return the revision in force."""
+        """Return the revision of the configuration in force."""
         return self.view.revision
 
     def watched(self) -> WatchedKind:
-        """Return how it is followed at the store."""
+        """Return how the watcher follows the configuration at the store."""
         return WatchedKind(
             names.CONFIGURATION_KIND,
             self._on_list,
@@ -57,11 +57,11 @@
         )
 
     def text(self) -> str:
-        """Return the configuration in force."""
+        """Return the configuration in force as JSON."""
         return self._text
 
     def take_from_peer(self, value: Any, revision: int) -> None:
-        """Take a peer's."""
+        """Put a peer's configuration in force if it is newer."""
         self._take(value, revision, FROM_PEER)
 
     def _on_list(self, listed: ObjectList) -> None:
--- a/src/lotushill/following/followed.py
+++ b/src/lotushill/following/followed.py
@@ -1,4 +1,4 @@
-"""What all kinds that are followed have in common."""
+"""Common interface of all followed kinds."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 FROM_PEER = "peer"
 
 Specs = dict[str, Any]
-"""The specs of all objects of a kind, by name, as the store has them."""
+"""Specs of all objects of a kind by name, as stored."""
 
 
 class Followed(ABC):
-    """One kind at the highest revision that was heard of."""
+    """Keeps one kind at the highest revision received from the store or from peers."""
 
     @property
     @abstractmethod
     def revision(self) -> int:
-        """Return the store's revision that is held; below 0 while nothing is known."""
+        """Return the store revision of the view; below 0 before the first data."""
 
     @abstractmethod
     def watched(self) -> WatchedKind:
-        """Return how it is followed at the store."""
+        """Return how the watcher follows the kind at the store."""
 
     @abstractmethod
     def text(self) -> str:
-        """Return what is held as JSON, for a peer."""
+        """Return the view as JSON for a peer."""
 
     @abstractmethod
     def take_from_peer(self, value: Any, revision: int) -> None:
-        """Take what a peer holds if it is newer; any error says that it cannot be read."""
+        """Apply a peer's view if it is newer; raise any exception if it cannot be parsed."""
 
 
 def specs_of(listed: ObjectList) -> Specs:
-    """Return the specs of a list."""
+    """Return the specs of a list of objects by name."""
     return {item.name: item.spec for item in listed.objects}
 
 
 def changed(specs: Specs, changes: list[Change]) -> Specs:
-    """Return specs with changes made."""
+    """Return a copy of the specs with the changes applied."""
     out = dict(specs)
     for change in changes:
         if change.gone:
--- a/src/lotushill/following/followed_objects.py
+++ b/src/lotushill/following/followed_objects.py
@@ -1,4 +1,4 @@
-"""A kind whose objects are all held as they are, and change seldom."""
+"""A followed kind whose objects are all kept as stored, and change rarely."""
 
 from __future__ import annotations
 
@@ -21,11 +21,15 @@
 
 _INTERVAL_SECONDS = 0.5
 _WATCH_SECONDS = 25.0
-"""Changes come as soon as they are made; only a silent cut is noticed later."""
+"""Maximum duration of one watch.
+
+Changes arrive as soon as they are made; only a connection that was lost without notice is detected
+later than with shorter watches.
+"""
 
 
 class ObjectsView(Protocol):
-    """Holds all objects of a kind as of a revision."""
+    """View that holds all objects of a kind as of a revision."""
 
     revision: int
 
@@ -35,12 +39,12 @@
         ...
 
     def replace(self, objects: Specs, revision: int) -> bool:
-        """Take all objects of a newer revision; return whether the view is another now."""
+        """Replace all objects by those of a newer revision; return whether the view changed."""
         ...
 
 
 class FollowedObjects(Followed):
-    """Follows one kind into a view."""
+    """Keeps the view of one kind up to date."""
 
     def __init__(self, kind: str, view: ObjectsView) -> None:
         self._kind = kind
@@ -48,11 +52,11 @@
 
     @property
     def revision(self) -> int:
-        """Return the revision that is held."""
+        """Return the revision of the view."""
         return self._objects.revision
 
     def watched(self) -> WatchedKind:
-        """Return how it is followed at the store."""
+        """Return how the watcher follows the kind at the store."""
         return WatchedKind(
             self._kind,
             lambda listed: self._take(specs_of(listed), listed.revision, FROM_STORE),
@@ -63,11 +67,11 @@
         )
 
     def text(self) -> str:
-        """Return all objects."""
+        """Return all objects as JSON."""
         return json.dumps(self._objects.objects)
 
     def take_from_peer(self, value: Any, revision: int) -> None:
-        """Take a peer's."""
+        """Replace the view by a peer's if that is newer."""
         self._take(dict(value), revision, FROM_PEER)
 
     def _on_changes(self, changes: list[Change], revision: int) -> None:
@@ -79,4 +83,4 @@
 
     @abstractmethod
     def note_change(self, source: str) -> None:
-        """Tell of another view, which came from `source`."""
+        """Log and report a changed view, which came from `source`."""
--- a/src/lotushill/following/holds.py
+++ b/src/lotushill/following/holds.py
@@ -1,6 +1,7 @@
-"""The requests that are held, followed.
+"""Follows the held requests.
 
-Gateways tell each other of ends at once; the store is for what has to last, and for releases.
+Gateways send each other upstream failures directly and at once; the store is for holds that must
+persist, and for releases.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
 
 
 class FollowedHolds(FollowedObjects):
-    """All holds of the store."""
+    """Keeps the view of all holds in the store."""
 
     def __init__(self, log: EventLog, on_change: Callable[[], None]) -> None:
-        """Call `on_change` when other requests are held."""
+        """Call `on_change` when the set of holds changes."""
         self.view = HoldView()
         super().__init__(KIND, self.view)
         self.faults = EntryFaults(KIND, log)
@@ -30,7 +31,7 @@
         self._on_change = on_change
 
     def note_change(self, source: str) -> None:
-        """Tell of other holds, and of what names none."""
+        """Log the change and the objects that are no valid holds, then call back."""
         revision, count = self.view.revision, len(self.view.objects)
         self.faults.replace(self.view.faults, revision)
         self._log.note("holds.in_force", revision=revision, objects=count, source=source)
--- a/src/lotushill/following/settings.py
+++ b/src/lotushill/following/settings.py
@@ -1,4 +1,4 @@
-"""The settings tree, followed."""
+"""Follows the settings tree."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FollowedSettings(FollowedObjects):
-    """All objects of the tree; one that cannot be read keeps its last good state."""
+    """Keeps the view of the tree; an object that cannot be parsed keeps its last valid state."""
 
     def __init__(self, log: EventLog) -> None:
         self.view = SettingsView()
@@ -21,7 +21,7 @@
         self._log = log
 
     def note_change(self, source: str) -> None:
-        """Tell of another tree, and of what in it cannot be read."""
+        """Log the change and the objects of the tree that cannot be parsed."""
         revision, count = self.view.revision, len(self.view.objects)
         self._log.note("settings.in_force", revision=revision, objects=count, source=source)
         for name, error in self.view.faults.items():
--- a/src/lotushill/following/upstreams.py
+++ b/src/lotushill/following/upstreams.py
@@ -1,4 +1,4 @@
-"""The entries of upstreams, followed."""
+"""Follows the entries of upstreams."""
 
 from __future__ import annotations
 
@@ -29,18 +29,19 @@
 
 _INTERVAL_SECONDS = 0.4
 _RELISTED_SECONDS = 1.8
-"""After an outage of the store, living upstreams have their entries again within about so long.
+"""Time for which upstreams without entries are kept after an outage of the store.
 
-Counted from the last call that failed, it is also less than an upstream may serve on after it left.
+Running upstreams have their entries again within about this time. Counted from the start of the
+last failed call, it is also shorter than an upstream may continue to serve after it has left.
 """
 _LAPSED_SOURCE = "lapsed"
-# What a page for peers holds.
+# Keys of the JSON object that peers receive.
 _ENTRIES = "entries"
 _LAPSED = "lapsed"
 
 
 class FollowedUpstreams(Followed):
-    """All upstreams whose entries can be read, and those whose entries lapsed in an outage."""
+    """Keeps the upstreams with valid entries, and those whose entries lapsed in an outage."""
 
     def __init__(
         self,
@@ -48,7 +49,7 @@
         clock: Callable[[], float],
         away_at: Callable[[], float | None],
     ) -> None:
-        """Keep what is missing after an outage; `away_at` tells when the store last was away."""
+        """Keep upstreams missing after an outage; `away_at` returns the last failed call's time."""
         self.view = UpstreamView()
         self.faults = EntryFaults(names.BACKEND_KIND, log)
         self._log = log
@@ -58,11 +59,11 @@
 
     @property
     def revision(self) -> int:
-        """Return the revision that is held."""
+        """Return the revision of the view."""
         return self.view.revision
 
     def watched(self) -> WatchedKind:
-        """Return how it is followed at the store."""
+        """Return how the watcher follows the entries at the store."""
         return WatchedKind(
             names.BACKEND_KIND,
             self._on_list,
@@ -72,18 +73,18 @@
         )
 
     def expire(self) -> None:
-        """Take for gone what stayed away for too long after an outage of the store."""
+        """Remove upstreams whose entries have been missing for too long after an outage."""
         for upstream in self.view.expire(self._clock()):
             self._note_gone(upstream, _LAPSED_SOURCE)
 
     def text(self) -> str:
-        """Return all entries, and how many seconds are left to those that are kept without."""
+        """Return as JSON all entries and the seconds left to upstreams kept without one."""
         now = self._clock()
         left = {name: until - now for name, until in self.view.lapsed.items()}
         return json.dumps({_ENTRIES: self._specs, _LAPSED: left})
 
     def take_from_peer(self, value: Any, revision: int) -> None:
-        """Take a peer's."""
+        """Replace the view by a peer's if that is newer."""
         if revision <= self.revision:
             return
         now = self._clock()
@@ -100,7 +101,7 @@
             self._replace(specs, revision, FROM_STORE, self._kept_after_outage())
 
     def _kept_after_outage(self) -> dict[str, float]:
-        """Return until when each upstream is kept without an entry: none in calm times."""
+        """Return until when each upstream is kept without an entry; empty without recent outage."""
         away = self._away_at()
         if away is None or self._clock() - away >= _RELISTED_SECONDS:
             return {}
