--- a/src/lotushill/links/__init__.py
+++ b/src/lotushill/links/__init__.py
@@ -1,3 +1,3 @@
-"""Connections and codecs between processes."""
+"""Connections, message types and codecs for communication between processes."""
 
 from __future__ import annotations
--- a/src/lotushill/links/asgi.py
+++ b/src/lotushill/links/asgi.py
@@ -1,4 +1,4 @@
-"""The few ASGI steps that the servers here share."""
+"""ASGI helpers that the HTTP servers of this project share."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 class BodyTooLargeError(Exception):
-    """A request body longer than allowed."""
+    """The request body is longer than allowed."""
 
 
 class SlowSenderError(Exception):
-    """A request body that did not arrive in time."""
+    """The request body did not arrive within the timeout."""
 
 
 class CallerGoneError(Exception):
-    """The other end closed the connection before its request was whole."""
+    """The client closed the connection before its request was complete."""
 
 
 async def read_body(receive: Receive, limit: int, patience: float) -> bytes:
-    """Return the whole body; raise when it is too large, too slow or cut off."""
+    """Return the complete body; raise if it is too large, too slow or truncated."""
     body = bytearray()
     try:
         with anyio.fail_after(patience):
@@ -51,7 +51,7 @@
 
 
 async def send_whole(send: Send, status: int, headers: Headers, body: bytes) -> None:
-    """Send a whole response."""
+    """Send a response with its complete body."""
     length = (b"content-length", str(len(body)).encode())
     start = {"type": "http.response.start", "status": status, "headers": [*headers, length]}
     await send(start)
@@ -59,5 +59,5 @@
 
 
 async def send_json(send: Send, status: int, value: Any, headers: Headers = ()) -> None:
-    """Send a value as JSON."""
+    """Send a response with a value as its JSON body."""
     await send_whole(send, status, [JSON_TYPE, *headers], json.dumps(value).encode())
--- a/src/lotushill/links/channel.py
+++ b/src/lotushill/links/channel.py
@@ -1,7 +1,7 @@
-"""A TCP connection between two processes that carries sealed frames both ways.
+"""A TCP connection between two processes that carries authenticated frames in both directions.
 
-Each end opens with a random challenge; every code covers the other end's challenge and the
-frame's number, so frames cannot be replayed, reordered or reflected.
+Each side first sends a random challenge. Every authentication code covers the challenge of the
+other side and the frame's number, so frames cannot be replayed, reordered or reflected.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Channel:
-    """One connection; frames come out in the order they went in."""
+    """One connection; frames are received in the order in which they were sent."""
 
     def __init__(self, stream: ByteStream, seal: Seal, own: bytes, other: bytes) -> None:
         self._stream = stream
@@ -45,7 +45,7 @@
 
     @classmethod
     async def open(cls, stream: ByteStream, seal: Seal, challenge: bytes) -> Channel:
-        """Exchange challenges over a fresh connection; raise LinkClosedError if it ends."""
+        """Exchange challenges over a new connection; raise LinkClosedError if it is closed."""
         try:
             await stream.send(challenge)
             other = b""
@@ -56,7 +56,7 @@
         return cls(stream, seal, challenge, other)
 
     async def send(self, *messages: Message) -> None:
-        """Send messages in one write; raise LinkClosedError if the other end has gone."""
+        """Send messages in one write; raise LinkClosedError if the connection is closed."""
         async with self._lock:
             data = b"".join(self._frame(message) for message in messages)
             try:
@@ -65,7 +65,7 @@
                 raise LinkClosedError from error
 
     async def receive(self) -> Message:
-        """Return the next message; raise a LinkError when the connection is of no more use."""
+        """Return the next message; raise a LinkError if the connection is no longer usable."""
         size = _HEAD.unpack(await self._take(_HEAD.size))[0]
         if not CODE_BYTES <= size <= MAX_FRAME_BYTES:
             raise FrameTooLargeError(size, MAX_FRAME_BYTES)
--- a/src/lotushill/links/codec.py
+++ b/src/lotushill/links/codec.py
@@ -1,4 +1,4 @@
-"""From typed messages to packed Cap'n Proto frames and back."""
+"""Converts typed messages to packed Cap'n Proto frames and back."""
 
 from __future__ import annotations
 
@@ -64,15 +64,15 @@
 
 _SCHEMA = capnp.load(str(Path(__file__).with_name("frame.capnp")))
 _TRAVERSAL_LIMIT_WORDS = 1 << 22
-"""Bound on what a reader follows, so that a small hostile frame cannot cost much."""
+"""Limit on the words that a reader traverses, which bounds the cost of a small hostile frame."""
 
 
 @dataclass(frozen=True)
 class _Plain:
-    """A number, truth value or text, carried as it is."""
+    """Codec of a number, boolean or text, which is transferred unchanged."""
 
     def put(self, builder: Any, name: str, value: Any) -> None:
-        # What is left out reads as zero or empty, which costs nothing on the wire.
+        # An omitted field reads as zero or empty, and takes no bytes on the wire.
         if value:
             setattr(builder, name, value)
 
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True)
 class _Choice:
-    """An enumeration, carried as its text."""
+    """Codec of an enumeration, which is transferred as its text value."""
 
     kind: type[Enum]
 
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True)
 class _Record:
-    """A nested message."""
+    """Codec of a nested message."""
 
     shape: _Shape
 
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True)
 class _Sequence:
-    """A tuple of any of the above."""
+    """Codec of a tuple whose items are plain values, enumerations or nested messages."""
 
     item: _Plain | _Choice | _Record
 
@@ -140,7 +140,7 @@
 
 
 class _Shape:
-    """How one dataclass maps to its struct."""
+    """Mapping between a dataclass and its Cap'n Proto struct."""
 
     def __init__(self, kind: type[Any]) -> None:
         self.kind = kind
@@ -151,19 +151,19 @@
         )
 
     def fill(self, builder: Any, message: Any) -> None:
-        """Write a message into a builder, field by field: far cheaper than from a mapping."""
+        """Write a message into a builder field by field: far cheaper than from a mapping."""
         for item in self.fields:
             item.kind.put(builder, item.wire_name, getattr(message, item.name))
 
     def from_reader(self, reader: Any) -> Any:
-        """Return the message that a reader holds."""
+        """Return the message that a reader contains."""
         return self.kind(
             *(item.kind.decode(getattr(reader, item.wire_name)) for item in self.fields)
         )
 
 
 def _shape(kind: type[Any]) -> _Shape:
-    """Return the shape of a dataclass, worked out when it is first used: starts are to be short."""
+    """Return the shape of a dataclass, which is built on first use to keep start-up short."""
     found = _SHAPES.get(kind)
     if found is None:
         found = _SHAPES[kind] = _Shape(kind)
--- a/src/lotushill/links/datagram.py
+++ b/src/lotushill/links/datagram.py
@@ -1,7 +1,8 @@
 """Datagrams between gateways: one byte for the kind, then the message.
 
-News of load come hundreds of times a second and are records already, so that they travel as they
-are: opening a packed frame around them would cost a scheduler as much as the news themselves.
+Load updates arrive hundreds of times a second and consist of records already, so they are sent
+without a frame: decoding a packed frame around them would cost a scheduler as much as processing
+the updates themselves.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 def to_datagram(message: Datagram) -> bytes:
-    """Return the bytes of a message."""
+    """Return the datagram of a message."""
     if isinstance(message, LoadNews):
         return _NEWS + message.records
     if isinstance(message, LoadBatch):
@@ -39,7 +40,7 @@
     if kind == _NEWS:
         return LoadNews(rest)
     if kind != _BATCH or not rest or len(rest) <= rest[0]:
-        raise MalformedFrameError("no kind of datagram")
+        raise MalformedFrameError("datagram is truncated or its kind is unknown")
     try:
         return LoadBatch(rest[1 : 1 + rest[0]].decode(), rest[1 + rest[0] :])
     except UnicodeDecodeError as error:
--- a/src/lotushill/links/exceptions.py
+++ b/src/lotushill/links/exceptions.py
@@ -1,32 +1,32 @@
-"""Failures of the links between processes."""
+"""Errors of the links between processes."""
 
 from __future__ import annotations
 
 
 class LinkError(Exception):
-    """Base of all failures of a link."""
+    """Base of all errors of a link."""
 
 
 class MalformedFrameError(LinkError):
-    """Bytes that are no frame of this protocol."""
+    """The received bytes are not a valid frame of this protocol."""
 
 
 class ForgedFrameError(LinkError):
-    """A frame whose authentication code fits none of the keys."""
+    """The authentication code of a frame matches none of the keys."""
 
 
 class FrameTooLargeError(LinkError):
-    """A frame longer than the protocol allows."""
+    """The frame is longer than the protocol allows."""
 
     def __init__(self, size: int, limit: int) -> None:
         self.size = size
         self.limit = limit
-        super().__init__(f"frame of {size} bytes, limit is {limit}")
+        super().__init__(f"frame length of {size} bytes is out of range; the limit is {limit}")
 
 
 class LinkClosedError(LinkError):
-    """The other end has gone."""
+    """The peer has closed the connection."""
 
 
 class NoAnswerError(Exception):
-    """A call that brought no answer that can be read; it may have been done."""
+    """A call got no answer, or one that cannot be parsed; it may have been executed."""
--- a/src/lotushill/links/hop_headers.py
+++ b/src/lotushill/links/hop_headers.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection only, and do not travel on."""
+"""Hop-by-hop headers, which apply to one connection only and are not forwarded."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
         b"proxy-authorization",
     )
 )
-"""Headers that concern one connection only, and the length, which is told anew."""
+"""Hop-by-hop request headers, and the length, which is set again for the forwarded request."""
 _ANSWER_DROPPED = frozenset((b"connection", b"keep-alive", b"transfer-encoding", b"upgrade"))
 
 
 def one_connection(connection: bytes) -> frozenset[bytes]:
-    """Return the headers of a request that stay behind, with those that `connection` names."""
+    """Return the request headers that are not forwarded, with those that `connection` names."""
     named = frozenset(item.strip().lower() for item in connection.split(b",") if item.strip())
     return _ONE_CONNECTION | named
 
 
 def relayed(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """Return the headers of an answer that travel on to the client."""
+    """Return the response headers that are forwarded to the client."""
     return [item for item in headers if item[0] not in _ANSWER_DROPPED]
--- a/src/lotushill/links/http_server.py
+++ b/src/lotushill/links/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server inside a program that keeps its own loop and signals."""
+"""An HTTP server for a program that runs its own event loop and handles signals itself."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     from lotushill.links.asgi import Send
 
 CUT = "lotushill.cut"
-"""Where a scope holds the function that cuts its connection off."""
+"""Key of an ASGI scope under which the function that aborts its connection is stored."""
 _BACKLOG = 2048
 _KEEP_ALIVE_SECONDS = 75
 
 
 class _QuietServer(uvicorn.Server):
-    """A uvicorn server that leaves signals to the program around it."""
+    """A uvicorn server that leaves signal handling to the program."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
@@ -36,7 +36,7 @@
 
 
 class HttpServer:
-    """One listening address and the application behind it."""
+    """Serves an application on one listening address."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         lets_cut: bool = False,
         protocol: Callable[..., asyncio.Protocol] | None = None,
     ) -> None:
-        """Bind the address; with `lets_cut` the application may cut its connections off."""
+        """Bind the address; with `lets_cut` the application may abort its connections."""
         host, port = split_address(address)
         self._socket = socket.create_server((host, port), backlog=_BACKLOG)
         bound_host, bound_port = self._socket.getsockname()[:2]
@@ -66,19 +66,19 @@
         self._server = _QuietServer(config)
 
     async def serve(self) -> None:
-        """Serve until told to stop; every response in progress is finished first."""
+        """Serve until stopped; every response in progress is finished first."""
         await self._server.serve(sockets=[self._socket])
 
     def stop(self) -> None:
-        """Take no more connections, and end `serve` when all responses are finished."""
+        """Accept no more connections, and end `serve` when all responses are finished."""
         self._server.should_exit = True
 
     def connections(self) -> int:
-        """Return how many connections are open; one closes when all it owes is written."""
+        """Return the number of open connections; one closes when its responses are written."""
         return len(self._server.server_state.connections)
 
     def set_idle_seconds(self, seconds: float) -> None:
-        """Let idle connections rest so long, those included that are open."""
+        """Set the idle timeout of connections, including those that are open already."""
         self._server.config.timeout_keep_alive = int(seconds)
         for connection in self._server.server_state.connections:
             connection.timeout_keep_alive = int(seconds)  # type: ignore[union-attr]
@@ -89,7 +89,7 @@
         self._server.should_exit = True
 
     async def wait_started(self) -> None:
-        """Return when the server takes connections."""
+        """Wait until the server accepts connections."""
         while not self._server.started:
             await anyio.sleep(0.005)
 
--- a/src/lotushill/links/json_client.py
+++ b/src/lotushill/links/json_client.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP/1.1 with JSON in both directions."""
+"""Client for HTTP/1.1 calls with JSON requests and answers."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True)
 class JsonAnswer:
-    """Status and content of an answer."""
+    """Status and body of an answer."""
 
     status: int
     content: bytes
 
     def read(self) -> Any:
-        """Return what the answer says, nothing for an empty one; raise NoAnswerError for no JSON.
+        """Return the parsed JSON body, {} if it is empty; raise NoAnswerError if it is not JSON.
 
-        Bytes that are no text cost the value that they stand in, and no other.
+        Bytes that are not valid UTF-8 corrupt only the value that contains them.
         """
         if not self.content:
             return {}
@@ -40,7 +40,7 @@
 
 
 class JsonClient:
-    """Client of the server at `address` (IP:PORT), over a few connections that are kept."""
+    """Client of the server at `address` (IP:PORT) that keeps a small pool of connections open."""
 
     def __init__(
         self, address: str, most_connections: int, kept_seconds: float, connect_seconds: float
@@ -51,7 +51,7 @@
             max_connections=most_connections, keepalive_expiry=kept_seconds
         )
         self.calls = 0
-        """Calls made so far."""
+        """Number of calls made so far."""
 
     async def call(
         self,
@@ -61,7 +61,7 @@
         patience: float = 2.0,
         headers: Iterable[Header] = (),
     ) -> JsonAnswer:
-        """Make one call and return its answer; raise NoAnswerError if none comes in `patience`."""
+        """Make one call and return its answer; raise NoAnswerError after `patience` without one."""
         self.calls += 1
         sent = [("host", self._host), *headers]
         body = b""
--- a/src/lotushill/links/limit_messages.py
+++ b/src/lotushill/links/limit_messages.py
@@ -1,4 +1,4 @@
-"""What gateways tell and ask each other of limits that upstreams name."""
+"""Messages between gateways about the limits that upstreams state, and about permits."""
 
 from __future__ import annotations
 
@@ -7,49 +7,49 @@
 
 @dataclass(frozen=True)
 class LimitState:
-    """What an upstream last said of its limit, as far as one gateway knows."""
+    """The latest limit report of an upstream that one gateway knows."""
 
     upstream: str
     rate: float
-    """Requests a second from all gateways together, infinity where it names none any more."""
+    """Requests per second from all gateways together; infinity if it no longer states a limit."""
     asked_age: float
-    """Seconds since the request was sent to whose answer it said so."""
+    """Seconds since the request was sent whose answer stated the limit."""
     heard_age: float
-    """Seconds since that answer came."""
+    """Seconds since that answer arrived."""
 
 
 @dataclass(frozen=True)
 class LimitNews:
-    """Limits that upstreams named in answers, and ends of such limits."""
+    """Limits that upstreams stated in answers, and withdrawals of such limits."""
 
     sender: str
     limits: tuple[LimitState, ...]
     complete: bool
-    """Whether these are all that the sender knows of."""
+    """Whether the list contains all limits that the sender knows."""
 
 
 @dataclass(frozen=True)
 class PermitAsk:
-    """Asks the gateway that counts for an upstream with a limit to let one request through."""
+    """Asks the limit owner of an upstream for a permit for one request."""
 
     sender: str
     number: int
-    """Of the ask, at its sender."""
+    """Number of the ask, unique at its sender."""
     limit: LimitState
     tier: int
-    """0 is the most urgent."""
+    """Tier of the request; 0 is the most urgent."""
     route: str
     prompt_tokens: int
 
 
 @dataclass(frozen=True)
 class PermitAnswer:
-    """Lets a request through or not."""
+    """Grants or denies a permit."""
 
     number: int
-    """Of the ask."""
+    """Number of the ask that is answered."""
     granted: bool
     again_in: float
-    """Seconds until a request like it may be asked for again, where it was not granted."""
+    """Seconds until a permit of the same rank may be requested again, if it was denied."""
     rank: int
-    """Where it comes among all that ask, 0 for the first."""
+    """Rank of the request among all that ask for a permit, 0 for the first."""
--- a/src/lotushill/links/load_records.py
+++ b/src/lotushill/links/load_records.py
@@ -1,8 +1,9 @@
-"""News of load as fixed records: what is told hundreds of times a second has to be cheap.
+"""Encodes load updates as fixed-size records: they are frequent and must be cheap.
 
-The news of one gateway is a head with its name and counts, then a record for each request that was
-placed, began, was paced or ended, and the bare numbers of those that run. Several can stand one
-after another. Upstreams are named by a hash of their id.
+Updates are sent hundreds of times a second. The update of one gateway is a header with its name and
+counts, then a record for each request that was placed, began, was paced or ended, and the bare
+numbers of the running requests. Several updates can follow one another. Upstreams are identified by
+a hash of their id.
 """
 
 from __future__ import annotations
@@ -27,29 +28,29 @@
     UpstreamId = Callable[[int], str | None]
 
 _HEAD = struct.Struct("<BBHHHHH")
-"""Length of the sender's name, whole; counts of placed, began, paced, ended, running."""
+"""Length of the sender's name, whole, and the counts of placed, began, paced, ended, running."""
 _PLACED = struct.Struct("<QQIIIIIIffffBBB")
-"""Request, upstream, route, team, prompt, reading, ahead, memory, gap, seconds, age, first, tier,
-began, parts."""
+"""Fields of a placed request: request, upstream, route, team, prompt, reading, ahead, memory, gap,
+seconds, age, first, tier, began, parts."""
 _TIMED = struct.Struct("<Qf")
-"""Request, seconds: of one that began or was paced."""
+"""Fields of a request that began or was paced: request, seconds."""
 _ENDED = struct.Struct("<QBf")
-"""Request, outcome, seconds."""
+"""Fields of a request that ended: request, outcome, seconds."""
 _PART = struct.Struct("<QI")
 _NUMBER_BYTES = 8
 _MOST_PARTS = 255
 _LAST_TIER = 255
-"""What is less urgent is told as this tier."""
+"""Highest tier in a record; less urgent requests are sent as this tier."""
 _MOST_TOKENS = 2**32 - 1
 
 
 def upstream_number(upstream_id: str) -> int:
-    """Return the number that stands for an upstream in records."""
+    """Return the number that identifies an upstream in records."""
     return xxhash.xxh64_intdigest(upstream_id)
 
 
 def pack(load: Load) -> bytes:
-    """Return a load as records."""
+    """Return the records of a load."""
     sender = load.sender.encode()
     head = _HEAD.pack(
         len(sender),
@@ -70,9 +71,9 @@
 
 
 def unpack(data: bytes, upstream_id: UpstreamId) -> list[Load]:
-    """Return the loads of records; raise MalformedFrameError for anything else.
+    """Return the loads that records contain; raise MalformedFrameError for anything else.
 
-    `upstream_id` finds the id of an upstream by its number; requests on unknown ones are left out.
+    `upstream_id` returns the id of an upstream by its number; requests at unknown ones are omitted.
     """
     found = []
     position = 0
@@ -108,7 +109,7 @@
 
 
 def _unpack_load(data: bytes, position: int, upstream_id: UpstreamId) -> tuple[Load, int]:
-    """Return one load and where the next one begins."""
+    """Return one load and the position of the next one."""
     name, whole, placed, began, paced, ended, running = _HEAD.unpack_from(data, position)
     position += _HEAD.size
     sender = data[position : position + name].decode()
@@ -137,17 +138,17 @@
 def _unpack_all(
     record: struct.Struct, count: int, data: bytes, position: int
 ) -> tuple[list[tuple[Any, ...]], int]:
-    """Return so many records and where the next ones begin."""
+    """Return `count` records and the position after them."""
     end = position + record.size * count
     if end > len(data):
-        raise struct.error("records are cut off")
+        raise struct.error("load records are truncated")
     return list(record.iter_unpack(data[position:end])), end
 
 
 def _unpack_placed(
     data: bytes, position: int, upstream_id: UpstreamId
 ) -> tuple[Placed | None, int]:
-    """Return one placed request, None on an unknown upstream, and where the next one begins."""
+    """Return one placed request, None if its upstream is unknown, and the position after it."""
     (
         request,
         upstream,
--- a/src/lotushill/links/messages.py
+++ b/src/lotushill/links/messages.py
@@ -1,4 +1,4 @@
-"""Messages between gateways: membership, and views passed on."""
+"""Messages between gateways: membership, views, load, placement and usage."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ViewKind(Enum):
-    """A view of the store that gateways pass on to each other."""
+    """A view of the store that gateways send to each other."""
 
     CONFIGURATION = "configuration"
     UPSTREAMS = "upstreams"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class ViewPull:
-    """Asks a peer for its view, if it is newer than the asker's revision."""
+    """Requests a peer's view if it is newer than the sender's revision."""
 
     kind: ViewKind
     revision: int
@@ -25,26 +25,26 @@
 
 @dataclass(frozen=True)
 class ViewPage:
-    """A peer's view, as JSON text."""
+    """A peer's view as JSON text."""
 
     kind: ViewKind
     revision: int
     text: str = ""
-    """Empty where it is packed."""
+    """JSON text; empty if `packed` is set."""
     packed: bytes = b""
-    """The text as `links/packed_text.py` packs it."""
+    """The JSON text, compressed by `links/packed_text.py`."""
 
 
 @dataclass(frozen=True)
 class LoadNews:
-    """News of load that a scheduler is to pass on, as records (`links/load_records.py`)."""
+    """A load update that a scheduler is to forward, as records (`links/load_records.py`)."""
 
     records: bytes
 
 
 @dataclass(frozen=True)
 class LoadBatch:
-    """News of several gateways from one scheduler to another; empty to say that it is there."""
+    """Load updates of several gateways, sent between schedulers; empty as a keepalive."""
 
     sender: str
     records: bytes
@@ -52,14 +52,14 @@
 
 @dataclass(frozen=True)
 class ModelPull:
-    """Asks a scheduler for all that it holds to run, since the asker has become one."""
+    """Requests a scheduler's model of running requests, as the sender has become a scheduler."""
 
     sender: str
 
 
 @dataclass(frozen=True)
 class ModelPage:
-    """All that a scheduler holds to run, and the paces it has found, as records."""
+    """A scheduler's model of running requests and its measured paces, as records."""
 
     records: bytes
     paces: bytes
@@ -67,11 +67,11 @@
 
 @dataclass(frozen=True)
 class PlacementAsk:
-    """Asks a scheduler where a request is to go; times are seconds, lengths tokens."""
+    """Asks a scheduler to place a request; times are in seconds, lengths in tokens."""
 
     sender: str
     request: int
-    """Number of the attempt, if there is to be one."""
+    """Number of the attempt, if one is made."""
     service: str
     route: str
     target: float
@@ -79,39 +79,39 @@
     time_left: float
     stream: bool
     copied: bool
-    """Whether a copy of the run may be kept, since it must not run twice."""
+    """Whether a backup of the run may be kept, as the request must not be executed twice."""
     again: bool
-    """Whether the request was asked for before."""
+    """Whether a placement of this request was requested before."""
     prompt_tokens: int
     output_tokens: int
     part_ids: tuple[int, ...]
     part_tokens: tuple[int, ...]
     tier: int
     excluded: tuple[str, ...]
-    """Upstreams that the asker has tried or cannot reach."""
+    """Upstreams that the sender has tried or cannot reach."""
     team: str = ""
     share: float = 1.0
-    """Weight of the team's part of the service."""
+    """Weight of the team's share of the service."""
     waited: float = 0.0
-    """Since the request came to its gateway."""
+    """Seconds since the request arrived at its gateway."""
     caller: int = 0
-    """Number of what stays the same when the request is sent again."""
+    """Number of the caller, from properties that are the same when the request is sent again."""
     waits: bool = False
-    """Whether the asker waits for room where the answer says `HELD`; asked again, with the same
-    number, the request keeps its place."""
+    """Whether the sender waits for a free slot if the answer is `HELD`; a renewal with the same
+    number keeps the request's place in the queue."""
     leaves: bool = False
-    """Whether the request waits no longer, so that nothing is to be placed."""
+    """Whether the request has left the queue, so that nothing is to be placed."""
 
 
 @dataclass(frozen=True)
 class PlacementAnswer:
-    """Where a request is to go, or why it goes nowhere; the figures are those of `Choice`."""
+    """The upstream of a request or the refusal; the figures are those of `Choice`."""
 
     sender: str
     request: int
     upstream: str = ""
     refusal: str = ""
-    """Empty where an upstream is named; `UNREADY` where the scheduler cannot tell yet."""
+    """Reason of a refusal, empty if an upstream is named; `UNREADY` if it cannot be decided yet."""
     retry_after: float = 0.0
     cost: float = 0.0
     first: float = 0.0
@@ -132,18 +132,21 @@
     returned: bool = False
     standing: float = 0.0
     final: bool = False
-    """Whether a refused request would also wait in vain."""
+    """Whether waiting would not help a refused request either."""
 
 
 UNREADY = "unready"
 HELD = "held"
-"""In place of a refusal: the request waits there, and is to be asked for again after `retry_after`
-seconds; another answer comes as soon as there is room."""
+"""Value in place of a refusal: the request is queued at the scheduler.
+
+The request is renewed after `retry_after` seconds; another answer follows as soon as there is a
+free slot.
+"""
 
 
 @dataclass(frozen=True)
 class WaitingNews:
-    """How many requests of each tier wait for a service at a scheduler."""
+    """Queue entries of a service per tier at one scheduler."""
 
     sender: str
     service: str
@@ -152,7 +155,7 @@
 
 
 class MemberPhase(Enum):
-    """What is held of a member."""
+    """Phase of a member as another member knows it."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -161,19 +164,19 @@
 
 
 class StoreContact(Enum):
-    """How a member stands with the platform's store."""
+    """Contact of a member with the platform's store."""
 
     PASSIVE = "passive"
-    """It leaves reading to others."""
+    """The member does not read the store; other members do."""
     READING = "reading"
-    """It reads, and is answered."""
+    """The member reads the store, and its calls are answered."""
     AWAY = "away"
-    """It tries to read, and is not answered."""
+    """The member tries to read the store, but its calls are not answered."""
 
 
 @dataclass(frozen=True)
 class MemberState:
-    """What one member says, or passes on, of a member."""
+    """State of a member, as it reports itself or as another member forwards it."""
 
     name: str
     address: str
@@ -182,14 +185,14 @@
     incarnation: int
     phase: MemberPhase
     configuration: int = -1
-    """Revision of the configuration that it has in force; below 0 for none."""
+    """Revision of the configuration that the member has in force; below 0 for none."""
     upstreams: int = -1
     """Revision of the member's view of the upstreams."""
     settings: int = -1
     """Revision of the member's view of the settings tree."""
     contact: StoreContact = StoreContact.PASSIVE
     holds: int = -1
-    """Revision of the member's view of the requests that are held."""
+    """Revision of the member's view of held requests."""
 
 
 @dataclass(frozen=True)
@@ -200,16 +203,16 @@
     sequence: int
     target: str
     members: tuple[MemberState, ...]
-    """The sender's own state first, then states of others passed on."""
+    """The sender's own state first, then forwarded states of other members."""
     digest: int = 0
-    """Of the names of all members that the sender holds for live; says nothing without `known`."""
+    """Hash of the names of all members live at the sender; has no meaning without `known`."""
     known: int = 0
-    """How many these are."""
+    """Number of members that the digest covers."""
 
 
 @dataclass(frozen=True)
 class Pong:
-    """Answer to a ping; with a target, that member answered."""
+    """Answer to a ping; with a target, it reports that this member answered."""
 
     sender: str
     sequence: int
@@ -221,18 +224,18 @@
 
 @dataclass(frozen=True)
 class WorkPull:
-    """Asks a gateway what it counted for the holder of the duties."""
+    """Requests the usage counts and demand of a gateway for the holder of the duties."""
 
     sender: str
     since: int
-    """The first window of usage that is of interest."""
+    """First usage window that is requested."""
     now: float
-    """True time in seconds since 1970, as the sender works it out from many clocks."""
+    """True time in seconds since 1970, which the sender estimates from many clocks."""
 
 
 @dataclass(frozen=True)
 class TeamCount:
-    """Requests of a team that began at an upstream in one window of usage."""
+    """Number of requests of a team that began at an upstream in one usage window."""
 
     window: int
     team: str
@@ -241,33 +244,33 @@
 
 @dataclass(frozen=True)
 class ServiceDemand:
-    """What one gateway has to do for a service."""
+    """Demand for a service at one gateway."""
 
     service: str
     running: int
-    """Requests in progress, those that wait included."""
+    """Requests in progress, including those that wait."""
 
 
 @dataclass(frozen=True)
 class WorkPage:
-    """What a gateway counted, or a part of it."""
+    """The usage counts and demand of a gateway, or a part of them."""
 
     sender: str
     age: float
     """Seconds since its process started."""
     wall: float
-    """What its host's clock shows, in seconds since 1970."""
+    """Time of the host's clock in seconds since 1970."""
     counts: tuple[TeamCount, ...] = ()
     demand: tuple[ServiceDemand, ...] = ()
 
 
 @dataclass(frozen=True)
 class RosterPull:
-    """Asks a member for the members by which its roster differs from the sender's."""
+    """Requests the members by which the receiver's roster differs from the sender's."""
 
     sender: str
     digests: tuple[int, ...]
-    """The sender's, one for each group of names."""
+    """Digests of the sender's roster, one for each digest group."""
 
 
 @dataclass(frozen=True)
@@ -280,9 +283,9 @@
 
 @dataclass(frozen=True)
 class LeavingNews:
-    """Upstreams that said in answers that they leave, and whose entries do not say it."""
+    """Upstreams that announced in answers that they leave, but whose entries do not say so."""
 
     sender: str
     upstreams: tuple[str, ...]
     complete: bool
-    """Whether these are all that the sender knows of."""
+    """Whether the list contains all such upstreams that the sender knows."""
--- a/src/lotushill/links/pace_records.py
+++ b/src/lotushill/links/pace_records.py
@@ -1,7 +1,7 @@
-"""Lasting paces of upstreams as fixed records, for a gateway that becomes a scheduler.
+"""Encodes long-term paces of upstreams as fixed-size records, for a new scheduler.
 
-Upstreams are named by a hash of their id. A page is bounded, and paces out of their range are left
-out: a wrong one would keep requests from an upstream until it was used again.
+Upstreams are identified by a hash of their id. The size of a page is bounded, and paces out of
+range are omitted: a wrong pace would keep requests from an upstream until it was used again.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
     from collections.abc import Sequence
 
 _RECORD = struct.Struct("<Qff")
-"""Upstream; times slower than its like in steps, and beside these in reading."""
+"""Fields of a pace: upstream; slowness in steps; slowness in prefill relative to that in steps."""
 MOST_PACES = 2_000
-"""Told on one page: 32 kB."""
+"""Maximum paces on one page, which is 32 kB."""
 _LEAST = 0.05
 _MOST = 20.0
 
 
 def pack_paces(paces: Sequence[LongTermPace]) -> bytes:
-    """Return paces as records, as many as are told."""
+    """Return the records of the paces, up to the maximum of one page."""
     return b"".join(
         _RECORD.pack(upstream_number(item.upstream), item.step_slowness, item.read_slowness)
         for item in paces[:MOST_PACES]
@@ -34,12 +34,12 @@
 
 
 def unpack_paces(data: bytes, upstream_id: Callable[[int], str | None]) -> list[LongTermPace]:
-    """Return the paces of records; raise MalformedFrameError for anything else.
+    """Return the paces that records contain; raise MalformedFrameError for anything else.
 
-    `upstream_id` finds the id of an upstream by its number; unknown ones are left out.
+    `upstream_id` returns the id of an upstream by its number; unknown ones are omitted.
     """
     if len(data) % _RECORD.size or len(data) > MOST_PACES * _RECORD.size:
-        raise MalformedFrameError("paces are cut off, or too many")
+        raise MalformedFrameError("pace records are truncated or more than one page may contain")
     found = []
     for number, steps, reading in _RECORD.iter_unpack(data):
         name = upstream_id(number)
--- a/src/lotushill/links/packed_text.py
+++ b/src/lotushill/links/packed_text.py
@@ -1,7 +1,7 @@
-"""Long texts as few bytes: a view goes over links that are narrow beside it.
+"""Compresses long texts, as views are large relative to the bandwidth of the links.
 
-The configuration of a thousand routes is some 300 KB of JSON. One reader of a hall hands it to all
-others of the hall within the seconds in which it has to be in force.
+The configuration of a thousand routes is about 300 KB of JSON. One reader of a hall sends it to all
+other gateways of the hall within the few seconds in which it has to be in force.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 from lotushill.links.exceptions import MalformedFrameError
 
 _LEVEL = 1
-"""The fastest: JSON of many alike objects shrinks to a sixth with it."""
+"""Fastest compression level: it reduces JSON of many similar objects to a sixth."""
 _MOST_BYTES = 16 * 1024 * 1024
-"""Of a text that is taken, so that few bytes cannot fill the memory."""
+"""Maximum decompressed size, so that a small message cannot exhaust the memory."""
 
 
 def pack(text: str) -> bytes:
-    """Return a text compressed."""
+    """Return the compressed text."""
     return zlib.compress(text.encode(), _LEVEL)
 
 
 def unpack(data: bytes) -> str:
-    """Return the text of packed bytes; raise MalformedFrameError for anything else."""
+    """Return the text of compressed bytes; raise MalformedFrameError for anything else."""
     reader = zlib.decompressobj()
     try:
         text = reader.decompress(data, _MOST_BYTES)
         if not reader.eof:
-            raise MalformedFrameError("a packed text is cut off or too long")
+            raise MalformedFrameError("compressed text is truncated or longer than allowed")
         return text.decode()
     except (zlib.error, UnicodeDecodeError) as error:
         raise MalformedFrameError(str(error)) from error
--- a/src/lotushill/links/peer_links.py
+++ b/src/lotushill/links/peer_links.py
@@ -1,4 +1,4 @@
-"""One connection to each peer that this process talks to, opened when first needed."""
+"""Keeps one connection to each peer that this process sends to, opened on first use."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class PeerLinks:
-    """Posts messages to peers and hands over what they send."""
+    """Sends messages to peers and delivers those that are received."""
 
     def __init__(
         self,
@@ -59,14 +59,14 @@
         self._links: dict[str, _Link] = {}
         self._group: TaskGroup | None = None
         self.dropped = 0
-        """Connections dropped for frames that were malformed or forged."""
+        """Connections dropped for malformed or forged frames, or without a valid first message."""
 
     def start(self, group: TaskGroup) -> None:
-        """Use a task group for the connections."""
+        """Set the task group in which connections run."""
         self._group = group
 
     def post(self, peer: str, *messages: Message) -> None:
-        """Send messages to a peer in order; a peer that cannot be reached is reported down."""
+        """Send messages to a peer in order; an unreachable peer is reported as down."""
         link = self._links.get(peer) or self._dial_soon(peer)
         try:
             for message in messages:
@@ -75,7 +75,7 @@
             self._drop(peer, link)
 
     async def accept(self, stream: ByteStream) -> None:
-        """Serve a connection that a peer opened."""
+        """Serve a connection that a peer has opened."""
         channel: Channel | None = None
         async with stream:
             try:
@@ -92,13 +92,13 @@
                 pass
             except LinkError as error:
                 self.dropped += 1
-                log.warning("Dropped a connection. error=%r", error)
+                log.warning("Dropped a connection after an invalid frame. error=%r", error)
 
     async def _open(self, stream: ByteStream) -> Channel:
         return await Channel.open(stream, self._seal, secrets.token_bytes(CHALLENGE_BYTES))
 
     def _dial_soon(self, peer: str) -> _Link:
-        assert self._group is not None, "start() comes first"
+        assert self._group is not None, "start() must be called before messages are posted"
         outbox, inbox = anyio.create_memory_object_stream["Message"](_QUEUE)
         link = _Link(outbox)
         self._links[peer] = link
@@ -121,13 +121,13 @@
                     await channel.send(Ping(self._own_name, 0, "", ()))
                 await self._pump(peer, channel, inbox)
         except (OSError, ValueError, LinkError):
-            log.info("Lost a link. peer=%s", peer)
+            log.info("Connection to a peer failed or was lost. peer=%s", peer)
         finally:
             inbox.close()
             self._drop(peer, link)
 
     async def _run(self, peer: str, channel: Channel) -> None:
-        """Serve an accepted channel, and use it for what is posted to that peer."""
+        """Serve an accepted channel, and use it for messages that are posted to that peer."""
         outbox, inbox = anyio.create_memory_object_stream["Message"](_QUEUE)
         link = _Link(outbox)
         self._links.setdefault(peer, link)
@@ -168,7 +168,7 @@
 
 
 def _waiting(inbox: MemoryObjectReceiveStream[Message]) -> list[Message]:
-    """Return messages that are already there, so that one write carries them all."""
+    """Return messages that are queued already, so that one write sends all of them."""
     found: list[Message] = []
     try:
         while len(found) < _BATCH:
--- a/src/lotushill/links/quarantine_messages.py
+++ b/src/lotushill/links/quarantine_messages.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of requests under which upstreams end."""
+"""Messages between gateways about requests during which upstreams failed."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True)
 class SuspectState:
-    """What a gateway holds against one request."""
+    """Upstream failures that a gateway has recorded for one request."""
 
     identity: bytes
     team: str
     path: str
     upstreams: tuple[str, ...]
-    """Those that ended under it since it was last cleared."""
+    """Upstreams that failed during the request since it was last cleared."""
 
 
 @dataclass(frozen=True)
 class SuspectNews:
-    """Requests under which upstreams ended."""
+    """Requests during which upstreams failed."""
 
     sender: str
     suspects: tuple[SuspectState, ...]
@@ -26,45 +26,45 @@
 
 @dataclass(frozen=True)
 class GroupEnd:
-    """An upstream ended before a request of a group had its first event."""
+    """An upstream failed before a request of a group received its first event."""
 
     service: str
     label: str
-    """Of the group."""
+    """Label of the group."""
     upstream: str
-    """Empty where only whole answers are told."""
+    """Failed upstream; empty if only completions are reported."""
     whole: int
-    """Requests of the group that the sender had answered whole of late."""
+    """Number of recently completed requests of the group at the sender."""
 
 
 @dataclass(frozen=True)
 class IsolatedGroup:
-    """A group that is kept apart; times are seconds."""
+    """An isolated group; times are in seconds."""
 
     service: str
     label: str
     left: float
-    """How much longer."""
+    """Remaining time of the isolation."""
     pause: float
-    """After its next end."""
+    """Pause after the group's next upstream failure."""
 
 
 @dataclass(frozen=True)
 class GroupNews:
-    """Groups of requests under which upstreams ended."""
+    """Groups of requests during which upstreams failed."""
 
     sender: str
     ends: tuple[GroupEnd, ...] = ()
     isolated: tuple[IsolatedGroup, ...] = ()
-    """What the sender keeps apart, empty where it tells of ends alone."""
+    """Groups that the sender isolates; empty if it reports only failures."""
 
 
 @dataclass(frozen=True)
 class ClearedNews:
-    """Requests that were answered whole."""
+    """Completed requests."""
 
     sender: str
     since: tuple[bytes, ...]
-    """Since their last end, so that it was not theirs."""
+    """Requests completed after their last failure, so that they did not cause it."""
     before: tuple[bytes, ...]
-    """Before their first end."""
+    """Requests completed before their first failure."""
--- a/src/lotushill/links/return_messages.py
+++ b/src/lotushill/links/return_messages.py
@@ -1,4 +1,4 @@
-"""What gateways that place requests tell each other of callers that were refused."""
+"""Messages between schedulers about refused callers."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from lotushill.returns.promise import PromiseState  # noqa: TC001 - the codec reads the types
 
 MOST_PROMISES = 30
-"""Told in one datagram."""
+"""Maximum promises in one datagram."""
 
 
 @dataclass(frozen=True)
 class ReturnNews:
-    """Callers that were told when to come back, and such as have come back."""
+    """Callers that received a retry time, and callers that have returned."""
 
     sender: str
     promises: tuple[PromiseState, ...]
--- a/src/lotushill/links/seal.py
+++ b/src/lotushill/links/seal.py
@@ -1,4 +1,4 @@
-"""Keyed authentication codes for messages between the system's own processes."""
+"""Keyed message authentication codes for messages between the processes of this system."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 @dataclass(frozen=True)
 class Seal:
-    """The peer keys: the first signs, all of them are accepted, so that keys can rotate."""
+    """The peer keys: the first one signs, all of them are accepted, so that keys can rotate."""
 
     keys: tuple[bytes, ...]
 
     def sign(self, data: bytes, context: bytes = b"") -> bytes:
-        """Return the data with its code in front."""
+        """Return the data prefixed with its authentication code."""
         return _code(self.keys[0], data, context) + data
 
     def open(self, sealed: bytes, context: bytes = b"") -> bytes:
-        """Return the data behind a valid code; raise ForgedFrameError for any other."""
+        """Return the data after a valid code; raise ForgedFrameError if the code is invalid."""
         code, data = sealed[:CODE_BYTES], sealed[CODE_BYTES:]
         for key in self.keys:
             if hmac.compare_digest(code, _code(key, data, context)):
                 return data
-        raise ForgedFrameError("no key fits")
+        raise ForgedFrameError("authentication code matches none of the peer keys")
 
 
 def _code(key: bytes, data: bytes, context: bytes) -> bytes:
--- a/tests/links/test_codec.py
+++ b/tests/links/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames: every message survives the way, and hostile bytes are typed errors."""
+"""Frames are decoded to the encoded message; invalid or forged bytes raise typed errors."""
 
 from __future__ import annotations
 
--- a/tests/links/test_datagram.py
+++ b/tests/links/test_datagram.py
@@ -1,4 +1,4 @@
-"""Datagrams: every message survives the way, and hostile bytes are typed errors."""
+"""Datagrams are decoded to the encoded message; invalid bytes raise MalformedFrameError."""
 
 from __future__ import annotations
 
--- a/tests/links/test_load_records.py
+++ b/tests/links/test_load_records.py
@@ -1,4 +1,4 @@
-"""Records of load: what goes in comes out, and hostile bytes are typed errors."""
+"""Load records are decoded to the encoded loads; invalid bytes raise MalformedFrameError."""
 
 from __future__ import annotations
 
@@ -45,8 +45,8 @@
     route=TOKENS,
     tier=st.integers(0, 255),
     prompt=TOKENS,
-    first=SECONDS,
-    ahead=TOKENS,
+    first_event_seconds=SECONDS,
+    total_prefill_tokens=TOKENS,
 )
 PLACED = st.builds(placed, PARTS, PLAIN)
 LISTS = st.lists(NUMBERS, max_size=8).map(tuple)
