--- a/src/lotushill/following/followed.py
+++ b/src/lotushill/following/followed.py
@@ -19,7 +19,7 @@
 """Specs of all objects of a kind by name, as stored."""
 
 
-class Followed(ABC):
+class FollowedKind(ABC):
     """Keeps one kind at the highest revision received from the store or from peers."""
 
     @property
@@ -28,24 +28,24 @@
         """Return the store revision of the view; below 0 before the first data."""
 
     @abstractmethod
-    def watched(self) -> WatchedKind:
+    def watched_kind(self) -> WatchedKind:
         """Return how the watcher follows the kind at the store."""
 
     @abstractmethod
-    def text(self) -> str:
+    def to_json(self) -> str:
         """Return the view as JSON for a peer."""
 
     @abstractmethod
-    def take_from_peer(self, value: Any, revision: int) -> None:
+    def receive_from_peer(self, value: Any, revision: int) -> None:
         """Apply a peer's view if it is newer; raise any exception if it cannot be parsed."""
 
 
-def specs_of(listed: ObjectList) -> Specs:
+def specs_by_name(listed: ObjectList) -> Specs:
     """Return the specs of a list of objects by name."""
     return {item.name: item.spec for item in listed.objects}
 
 
-def changed(specs: Specs, changes: list[Change]) -> Specs:
+def apply_changes(specs: Specs, changes: list[Change]) -> Specs:
     """Return a copy of the specs with the changes applied."""
     out = dict(specs)
     for change in changes:
--- a/src/lotushill/following/holds.py
+++ b/src/lotushill/following/holds.py
@@ -30,7 +30,7 @@
         self._log = log
         self._on_change = on_change
 
-    def note_change(self, source: str) -> None:
+    def report_change(self, source: str) -> None:
         """Log the change and the objects that are no valid holds, then call back."""
         revision, count = self.view.revision, len(self.view.objects)
         self.faults.replace(self.view.faults, revision)
--- a/src/lotushill/links/load_records.py
+++ b/src/lotushill/links/load_records.py
@@ -49,7 +49,7 @@
     return xxhash.xxh64_intdigest(upstream_id)
 
 
-def pack(load: Load) -> bytes:
+def pack_load(load: Load) -> bytes:
     """Return the records of a load."""
     sender = load.sender.encode()
     head = _HEAD.pack(
@@ -70,7 +70,7 @@
     return b"".join(records)
 
 
-def unpack(data: bytes, upstream_id: UpstreamId) -> list[Load]:
+def unpack_loads(data: bytes, upstream_id: UpstreamId) -> list[Load]:
     """Return the loads that records contain; raise MalformedFrameError for anything else.
 
     `upstream_id` returns the id of an upstream by its number; requests at unknown ones are omitted.
--- a/src/lotushill/links/packed_text.py
+++ b/src/lotushill/links/packed_text.py
@@ -16,12 +16,12 @@
 """Maximum decompressed size, so that a small message cannot exhaust the memory."""
 
 
-def pack(text: str) -> bytes:
+def compress_text(text: str) -> bytes:
     """Return the compressed text."""
     return zlib.compress(text.encode(), _LEVEL)
 
 
-def unpack(data: bytes) -> str:
+def decompress_text(data: bytes) -> str:
     """Return the text of compressed bytes; raise MalformedFrameError for anything else."""
     reader = zlib.decompressobj()
     try:
--- a/src/lotushill/views/upstream_view.py
+++ b/src/lotushill/views/upstream_view.py
@@ -45,7 +45,7 @@
         return dict(self._lapsed)
 
     @property
-    def known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Return whether a list has been received."""
         return self.revision >= 0
 
@@ -54,7 +54,7 @@
         return self._by_service.get(service, [])
 
     @property
-    def leaving_by_word(self) -> tuple[str, ...]:
+    def announced_leaving(self) -> tuple[str, ...]:
         """Return the incarnations that announced to leave but whose entries do not say so."""
         return tuple(sorted(self._leaving_by_word)) if self._leaving_by_word else ()
 
@@ -62,7 +62,7 @@
         """Return the upstream with an id, None if it is unknown."""
         return self._upstreams.get(upstream_id)
 
-    def id_of(self, number: int) -> str | None:
+    def id_by_number(self, number: int) -> str | None:
         """Return the id of the upstream that a number identifies in messages between gateways."""
         return self._by_number.get(number)
 
@@ -74,7 +74,7 @@
         self,
         upstreams: Iterable[Upstream],
         revision: int,
-        keep: Mapping[str, float] = NOTHING_KEPT,
+        keep_until: Mapping[str, float] = NOTHING_KEPT,
         unreadable: frozenset[str] = frozenset(),
     ) -> bool:
         """Replace the view by a complete list; return whether the list was newer.
@@ -90,7 +90,7 @@
         self._leaving_by_word = {
             item.id for item in entries if item.id in self._leaving and not item.draining
         }
-        wanted = {**keep, **self._lapsed}
+        wanted = {**keep_until, **self._lapsed}
         replaced = unreadable | {item.name for item in listed.values()}
         missing = {
             name: item
--- a/src/lotushill/views/watcher.py
+++ b/src/lotushill/views/watcher.py
@@ -49,26 +49,26 @@
         ...
 
 
-class Reading(Protocol):
+class ReadPolicy(Protocol):
     """Decides which gateways read the store; the others receive changes from these readers."""
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return whether this gateway currently reads the store."""
         ...
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         """Return whether it reads only because other readers cannot reach the store."""
         ...
 
 
-class AlwaysReading:
+class AlwaysReader:
     """Reads the store independently of other gateways."""
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return True."""
         return True
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         """Return False."""
         return False
 
@@ -80,11 +80,11 @@
     name: str
     on_list: Callable[[ObjectList], None]
     on_changes: Callable[[list[Change], int], None]
-    held: Callable[[], int]
+    held_revision: Callable[[], int]
     """Returns the view's revision, which may come from other gateways; below 0 for none."""
     interval: float
     """Minimum time from one watch to the next."""
-    wait: float = _WATCH_SECONDS
+    max_watch_seconds: float = _WATCH_SECONDS
     """Maximum time for which one watch waits for a change."""
     may_start: Callable[[], bool] = lambda: True
     """Returns whether the data required before the first read of this kind is loaded."""
@@ -99,7 +99,7 @@
         kind: WatchedKind,
         rng: random.Random,
         log: EventLog,
-        reading: Reading | None = None,
+        reading: ReadPolicy | None = None,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
         """Follow `kind` while `reading` selects this gateway as a reader."""
@@ -107,7 +107,7 @@
         self._kind = kind
         self._rng = rng
         self._log = log
-        self._reading = reading or AlwaysReading()
+        self._reading = reading or AlwaysReader()
         self._clock = clock
         self._revision = -1
         self._history_gone = False
@@ -115,7 +115,7 @@
         self._asked_at = 0.0
         self._away_at: float | None = None
         self._step_scope: anyio.CancelScope | None = None
-        self.confirmed_from = float("-inf")
+        self.last_list_sent_at = float("-inf")
         """Time at which the last successful list was requested."""
         self.active = False
         """Whether this gateway reads the kind from the store itself."""
@@ -125,7 +125,7 @@
         """Time since which every call was answered, None while the last one was not."""
 
     @property
-    def away_at(self) -> float | None:
+    def last_failure_at(self) -> float | None:
         """Return the time at which the last failed call was sent, None if no call has failed.
 
         Neither the time at which the failure was detected nor that of the next answer is used:
@@ -134,7 +134,7 @@
         """
         return self._away_at
 
-    def doubt(self) -> None:
+    def relist(self) -> None:
         """List again at once: received data may be out of date, and the open watch may be dead."""
         self._history_gone = True
         if self._step_scope is not None:
@@ -143,7 +143,7 @@
     async def run(self) -> None:
         """Follow the kind until cancelled."""
         while True:
-            self.active = self._reading.reads()
+            self.active = self._reading.is_reader()
             if not self.active:
                 self._rest()
                 await anyio.sleep(self._jitter(_PASSIVE_SECONDS))
@@ -176,7 +176,7 @@
         kind = self._kind
         # Changes received from other gateways are not requested again: the store may no longer
         # have their history.
-        self._revision = max(self._revision, kind.held())
+        self._revision = max(self._revision, kind.held_revision())
         if self._revision < 0 or self._history_gone:
             await self._list()
         else:
@@ -189,13 +189,13 @@
         self._note_answer()
         self._history_gone = False
         self._revision = listed.revision
-        self.confirmed_from = self._asked_at
+        self.last_list_sent_at = self._asked_at
         self._kind.on_list(listed)
 
     async def _watch(self) -> None:
         kind = self._kind
         self._asked_at = self._clock()
-        wait = kind.wait * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)
+        wait = kind.max_watch_seconds * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)
         changes, revision = await self._store.watch(kind.name, self._revision, wait)
         self._note_answer()
         if changes:
@@ -218,7 +218,11 @@
         if not self.failing:
             self.failing = True
             self._log.note("dependency.lost", name="store", kind=self._kind.name, error=repr(error))
-        longest = _STAND_IN_PAUSE_SECONDS if self._reading.stands_in() else _LONGEST_PAUSE_SECONDS
+        longest = (
+            _STAND_IN_PAUSE_SECONDS
+            if self._reading.is_substitute_reader()
+            else _LONGEST_PAUSE_SECONDS
+        )
         await anyio.sleep(self._jitter(min(longest, self._pause)))
         self._pause = min(longest, self._pause * 2)
 
