--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -246,8 +246,8 @@
     Break(
         "gateway: entries that lapsed in an outage are kept for a while",
         "following/upstreams.py",
-        "        return {item.id: away + _RELISTED_SECONDS for item in self.view.all()}",
-        "        return {}",
+        "return {item.id: failed_at + _LAPSED_RETENTION_SECONDS for item in self.view.all()}",
+        "return {}",
         "tests.platform.test_object_store",
     ),
     Break(
@@ -281,8 +281,8 @@
     Break(
         "gateway: an outage counts from when the call that failed began",
         "views/watcher.py",
-        "self._away_at = self._asked_at",
-        "self._away_at = self._clock()",
+        "self._last_failure_at = self._call_sent_at",
+        "self._last_failure_at = self._clock()",
         "tests.views.test_watcher",
     ),
     Break(
@@ -365,7 +365,7 @@
     Break(
         "gateway: watches end at different times",
         "views/watcher.py",
-        "kind.max_watch_seconds * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)",
+        "kind.max_watch_seconds * self._rng.uniform(_MIN_WATCH_FRACTION, 1.0)",
         "kind.max_watch_seconds",
         "tests.views.test_watcher",
     ),
--- a/src/lotushill/following/configuration.py
+++ b/src/lotushill/following/configuration.py
@@ -22,7 +22,7 @@
     from lotushill.views.stored_object import Change
     from lotushill.views.stored_object import ObjectList
 
-_INTERVAL_SECONDS = 0.05
+_WATCH_INTERVAL_SECONDS = 0.05
 
 
 class FollowedConfiguration(FollowedKind):
@@ -37,7 +37,7 @@
         self._on_change = on_change
         self._may_start = may_start
         self._text = ""
-        self._rejected = -1
+        self._rejected_revision = -1
         """Revision of the last configuration that could not be parsed."""
 
     @property
@@ -52,7 +52,7 @@
             self._on_list,
             self._on_changes,
             lambda: self.revision,
-            _INTERVAL_SECONDS,
+            _WATCH_INTERVAL_SECONDS,
             may_start=self._may_start,
         )
 
@@ -62,26 +62,26 @@
 
     def receive_from_peer(self, value: Any, revision: int) -> None:
         """Put a peer's configuration in force if it is newer."""
-        self._take(value, revision, FROM_PEER)
+        self._apply(value, revision, FROM_PEER)
 
     def _on_list(self, listed: ObjectList) -> None:
         for item in listed.objects:
             if item.name == names.CONFIGURATION_NAME:
-                self._take(item.spec, item.revision, FROM_STORE)
+                self._apply(item.spec, item.revision, FROM_STORE)
 
     def _on_changes(self, changes: list[Change], revision: int) -> None:
         del revision
         for change in changes:
             if change.object.name == names.CONFIGURATION_NAME and not change.gone:
-                self._take(change.object.spec, change.object.revision, FROM_STORE)
+                self._apply(change.object.spec, change.object.revision, FROM_STORE)
 
-    def _take(self, spec: Any, revision: int, source: str) -> None:
-        if revision <= max(self.revision, self._rejected):
+    def _apply(self, spec: Any, revision: int, source: str) -> None:
+        if revision <= max(self.revision, self._rejected_revision):
             return
         try:
             table = parse_table(spec)
         except InvalidTableError as error:
-            self._rejected = revision
+            self._rejected_revision = revision
             self._log.note("configuration.rejected", revision=revision, error=str(error))
             return
         if self.view.replace(table, revision):
--- a/src/lotushill/following/followed_objects.py
+++ b/src/lotushill/following/followed_objects.py
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from lotushill.views.stored_object import Change
 
-_INTERVAL_SECONDS = 0.5
-_WATCH_SECONDS = 25.0
+_WATCH_INTERVAL_SECONDS = 0.5
+_MAX_WATCH_SECONDS = 25.0
 """Maximum duration of one watch.
 
 Changes arrive as soon as they are made; only a connection that was lost without notice is detected
@@ -48,37 +48,37 @@
 
     def __init__(self, kind: str, view: ObjectsView) -> None:
         self._kind = kind
-        self._objects = view
+        self._objects_view = view
 
     @property
     def revision(self) -> int:
         """Return the revision of the view."""
-        return self._objects.revision
+        return self._objects_view.revision
 
     def watched_kind(self) -> WatchedKind:
         """Return how the watcher follows the kind at the store."""
         return WatchedKind(
             self._kind,
-            lambda listed: self._take(specs_by_name(listed), listed.revision, FROM_STORE),
+            lambda listed: self._apply(specs_by_name(listed), listed.revision, FROM_STORE),
             self._on_changes,
             lambda: self.revision,
-            _INTERVAL_SECONDS,
-            _WATCH_SECONDS,
+            _WATCH_INTERVAL_SECONDS,
+            _MAX_WATCH_SECONDS,
         )
 
     def to_json(self) -> str:
         """Return all objects as JSON."""
-        return json.dumps(self._objects.objects)
+        return json.dumps(self._objects_view.objects)
 
     def receive_from_peer(self, value: Any, revision: int) -> None:
         """Replace the view by a peer's if that is newer."""
-        self._take(dict(value), revision, FROM_PEER)
+        self._apply(dict(value), revision, FROM_PEER)
 
     def _on_changes(self, changes: list[Change], revision: int) -> None:
-        self._take(apply_changes(self._objects.objects, changes), revision, FROM_STORE)
+        self._apply(apply_changes(self._objects_view.objects, changes), revision, FROM_STORE)
 
-    def _take(self, specs: Specs, revision: int, source: str) -> None:
-        if self._objects.replace(specs, revision):
+    def _apply(self, specs: Specs, revision: int, source: str) -> None:
+        if self._objects_view.replace(specs, revision):
             self.report_change(source)
 
     @abstractmethod
--- a/src/lotushill/following/upstreams.py
+++ b/src/lotushill/following/upstreams.py
@@ -27,8 +27,8 @@
     from lotushill.views.stored_object import Change
     from lotushill.views.stored_object import ObjectList
 
-_INTERVAL_SECONDS = 0.4
-_RELISTED_SECONDS = 1.8
+_WATCH_INTERVAL_SECONDS = 0.4
+_LAPSED_RETENTION_SECONDS = 1.8
 """Time for which upstreams without entries are kept after an outage of the store.
 
 Running upstreams have their entries again within about this time. Counted from the start of the
@@ -49,12 +49,15 @@
         clock: Callable[[], float],
         last_failure_at: Callable[[], float | None],
     ) -> None:
-        """Keep upstreams missing after an outage; `away_at` returns the last failed call's time."""
+        """Keep upstreams that are missing after an outage for a limited time.
+
+        `last_failure_at` returns the time at which the last failed call was sent.
+        """
         self.view = UpstreamView()
         self.faults = EntryFaults(names.BACKEND_KIND, log)
         self._log = log
         self._clock = clock
-        self._away_at = last_failure_at
+        self._last_failure_at = last_failure_at
         self._specs: Specs = {}
 
     @property
@@ -69,7 +72,7 @@
             self._on_list,
             self._on_changes,
             lambda: self.revision,
-            _INTERVAL_SECONDS,
+            _WATCH_INTERVAL_SECONDS,
         )
 
     def expire(self) -> None:
@@ -80,53 +83,58 @@
     def to_json(self) -> str:
         """Return as JSON all entries and the seconds left to upstreams kept without one."""
         now = self._clock()
-        left = {name: until - now for name, until in self.view.lapsed.items()}
-        return json.dumps({_ENTRIES: self._specs, _LAPSED: left})
+        seconds_left = {name: until - now for name, until in self.view.lapsed.items()}
+        return json.dumps({_ENTRIES: self._specs, _LAPSED: seconds_left})
 
     def receive_from_peer(self, value: Any, revision: int) -> None:
         """Replace the view by a peer's if that is newer."""
         if revision <= self.revision:
             return
         now = self._clock()
-        keep = {str(name): now + float(left) for name, left in value[_LAPSED].items()}
-        self._replace(dict(value[_ENTRIES]), revision, FROM_PEER, keep)
+        keep_until = {str(name): now + float(left) for name, left in value[_LAPSED].items()}
+        self._replace(dict(value[_ENTRIES]), revision, FROM_PEER, keep_until)
 
     def _on_list(self, listed: ObjectList) -> None:
         if listed.revision > self.revision:
             self._replace(
-                specs_by_name(listed), listed.revision, FROM_STORE, self._kept_after_outage()
+                specs_by_name(listed),
+                listed.revision,
+                FROM_STORE,
+                self._removal_times_after_outage(),
             )
 
     def _on_changes(self, changes: list[Change], revision: int) -> None:
         if revision > self.revision:
             specs = apply_changes(self._specs, changes)
-            self._replace(specs, revision, FROM_STORE, self._kept_after_outage())
+            self._replace(specs, revision, FROM_STORE, self._removal_times_after_outage())
 
-    def _kept_after_outage(self) -> dict[str, float]:
+    def _removal_times_after_outage(self) -> dict[str, float]:
         """Return until when each upstream is kept without an entry; empty without recent outage."""
-        away = self._away_at()
-        if away is None or self._clock() - away >= _RELISTED_SECONDS:
+        failed_at = self._last_failure_at()
+        if failed_at is None or self._clock() - failed_at >= _LAPSED_RETENTION_SECONDS:
             return {}
-        return {item.id: away + _RELISTED_SECONDS for item in self.view.all()}
+        return {item.id: failed_at + _LAPSED_RETENTION_SECONDS for item in self.view.all()}
 
-    def _replace(self, specs: Specs, revision: int, source: str, keep: dict[str, float]) -> None:
+    def _replace(
+        self, specs: Specs, revision: int, source: str, keep_until: dict[str, float]
+    ) -> None:
         self._specs = specs
-        former = {item.id: item.draining for item in self.view.all()}
-        found: list[Upstream] = []
+        was_draining = {item.id: item.draining for item in self.view.all()}
+        upstreams: list[Upstream] = []
         faults: dict[str, str] = {}
         for name, spec in specs.items():
             try:
-                found.append(parse_upstream(name, spec))
+                upstreams.append(parse_upstream(name, spec))
             except MalformedEntryError as error:
                 faults[name] = str(error)
-        self.view.replace(found, revision, keep, frozenset(faults))
+        self.view.replace(upstreams, revision, keep_until, frozenset(faults))
         self.faults.replace(faults, revision)
-        self._note_changes(former, source)
+        self._note_changes(was_draining, source)
 
-    def _note_changes(self, former: dict[str, bool], source: str) -> None:
+    def _note_changes(self, was_draining: dict[str, bool], source: str) -> None:
         current = {item.id: item for item in self.view.all()}
         for upstream in current.values():
-            if former.get(upstream.id) != upstream.draining:
+            if was_draining.get(upstream.id) != upstream.draining:
                 self._log.note(
                     "upstream.changed",
                     upstream=upstream.id,
@@ -137,7 +145,7 @@
                     source=source,
                     revision=self.revision,
                 )
-        for gone in former.keys() - current.keys():
+        for gone in was_draining.keys() - current.keys():
             self._note_gone(gone, source)
 
     def _note_gone(self, upstream: str, source: str) -> None:
--- a/src/lotushill/links/channel.py
+++ b/src/lotushill/links/channel.py
@@ -25,19 +25,21 @@
 
 CHALLENGE_BYTES = 16
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-_HEAD = struct.Struct("!I")
-_NUMBER = struct.Struct("!Q")
-_READ_BYTES = 65_536
+_HEADER = struct.Struct("!I")
+_FRAME_NUMBER = struct.Struct("!Q")
+_MAX_READ_BYTES = 65_536
 
 
 class Channel:
     """One connection; frames are received in the order in which they were sent."""
 
-    def __init__(self, stream: ByteStream, seal: Seal, own: bytes, other: bytes) -> None:
+    def __init__(
+        self, stream: ByteStream, seal: Seal, own_challenge: bytes, peer_challenge: bytes
+    ) -> None:
         self._stream = stream
         self._seal = seal
-        self._out_context = other + own
-        self._in_context = own + other
+        self._out_context = peer_challenge + own_challenge
+        self._in_context = own_challenge + peer_challenge
         self._sent = 0
         self._received = 0
         self._buffer = bytearray()
@@ -48,12 +50,12 @@
         """Exchange challenges over a new connection; raise LinkClosedError if it is closed."""
         try:
             await stream.send(challenge)
-            other = b""
-            while len(other) < CHALLENGE_BYTES:
-                other += await stream.receive(CHALLENGE_BYTES - len(other))
+            peer_challenge = b""
+            while len(peer_challenge) < CHALLENGE_BYTES:
+                peer_challenge += await stream.receive(CHALLENGE_BYTES - len(peer_challenge))
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
             raise LinkClosedError from error
-        return cls(stream, seal, challenge, other)
+        return cls(stream, seal, challenge, peer_challenge)
 
     async def send(self, *messages: Message) -> None:
         """Send messages in one write; raise LinkClosedError if the connection is closed."""
@@ -66,11 +68,11 @@
 
     async def receive(self) -> Message:
         """Return the next message; raise a LinkError if the connection is no longer usable."""
-        size = _HEAD.unpack(await self._take(_HEAD.size))[0]
+        size = _HEADER.unpack(await self._read_exactly(_HEADER.size))[0]
         if not CODE_BYTES <= size <= MAX_FRAME_BYTES:
             raise FrameTooLargeError(size, MAX_FRAME_BYTES)
-        sealed = await self._take(size)
-        context = self._in_context + _NUMBER.pack(self._received)
+        sealed = await self._read_exactly(size)
+        context = self._in_context + _FRAME_NUMBER.pack(self._received)
         self._received += 1
         return decode(self._seal.open(sealed, context))
 
@@ -79,21 +81,21 @@
         await self._stream.aclose()
 
     def _frame(self, message: Message) -> bytes:
-        context = self._out_context + _NUMBER.pack(self._sent)
+        context = self._out_context + _FRAME_NUMBER.pack(self._sent)
         self._sent += 1
         sealed = self._seal.sign(encode(message), context)
-        return _HEAD.pack(len(sealed)) + sealed
+        return _HEADER.pack(len(sealed)) + sealed
 
-    async def _take(self, size: int) -> bytes:
+    async def _read_exactly(self, size: int) -> bytes:
         while len(self._buffer) < size:
             try:
-                self._buffer += await self._stream.receive(_READ_BYTES)
+                self._buffer += await self._stream.receive(_MAX_READ_BYTES)
             except (
                 anyio.EndOfStream,
                 anyio.BrokenResourceError,
                 anyio.ClosedResourceError,
             ) as error:
                 raise LinkClosedError from error
-        taken = bytes(self._buffer[:size])
+        data = bytes(self._buffer[:size])
         del self._buffer[:size]
-        return taken
+        return data
--- a/src/lotushill/links/codec.py
+++ b/src/lotushill/links/codec.py
@@ -164,10 +164,10 @@
 
 def _shape(kind: type[Any]) -> _Shape:
     """Return the shape of a dataclass, which is built on first use to keep start-up short."""
-    found = _SHAPES.get(kind)
-    if found is None:
-        found = _SHAPES[kind] = _Shape(kind)
-    return found
+    shape = _SHAPES.get(kind)
+    if shape is None:
+        shape = _SHAPES[kind] = _Shape(kind)
+    return shape
 
 
 def _camel(name: str) -> str:
@@ -188,7 +188,7 @@
     return _Plain()
 
 
-_KINDS: tuple[type[Any], ...] = (
+_MESSAGE_TYPES: tuple[type[Any], ...] = (
     Ping,
     Pong,
     ViewPull,
@@ -212,8 +212,8 @@
     WaitingNews,
 )
 _SHAPES: dict[type[Any], _Shape] = {}
-_TAGS = {kind: kind.__name__.lower() for kind in _KINDS}
-_KINDS_BY_TAG = {tag: kind for kind, tag in _TAGS.items()}
+_TAGS = {kind: kind.__name__.lower() for kind in _MESSAGE_TYPES}
+_MESSAGE_TYPES_BY_TAG = {tag: kind for kind, tag in _TAGS.items()}
 
 
 def encode(message: Message) -> bytes:
@@ -231,7 +231,9 @@
             data, traversal_limit_in_words=_TRAVERSAL_LIMIT_WORDS
         )
         tag = frame.which()
-        message: Message = _shape(_KINDS_BY_TAG[str(tag)]).from_reader(getattr(frame, str(tag)))
+        message: Message = _shape(_MESSAGE_TYPES_BY_TAG[str(tag)]).from_reader(
+            getattr(frame, str(tag))
+        )
     except (capnp.KjException, ValueError, KeyError, UnicodeDecodeError, TypeError) as error:
         raise MalformedFrameError(str(error)) from error
     return message
--- a/src/lotushill/links/http_server.py
+++ b/src/lotushill/links/http_server.py
@@ -21,7 +21,7 @@
     from lotushill.links.asgi import Scope
     from lotushill.links.asgi import Send
 
-CUT = "lotushill.cut"
+ABORT_KEY = "lotushill.cut"
 """Key of an ASGI scope under which the function that aborts its connection is stored."""
 _BACKLOG = 2048
 _KEEP_ALIVE_SECONDS = 75
@@ -42,16 +42,16 @@
         self,
         app: App,
         address: str,
-        lets_cut: bool = False,
+        allow_abort: bool = False,
         protocol: Callable[..., asyncio.Protocol] | None = None,
     ) -> None:
-        """Bind the address; with `lets_cut` the application may abort its connections."""
+        """Bind the address; with `allow_abort` the application may abort its connections."""
         host, port = split_address(address)
         self._socket = socket.create_server((host, port), backlog=_BACKLOG)
         bound_host, bound_port = self._socket.getsockname()[:2]
         self.address = f"{bound_host}:{bound_port}"
         config = uvicorn.Config(
-            self._with_cut(app) if lets_cut else app,
+            self._with_abort(app) if allow_abort else app,
             interface="asgi3",
             http=protocol or "httptools",  # type: ignore[arg-type]
             ws="none",
@@ -93,14 +93,14 @@
         while not self._server.started:
             await anyio.sleep(0.005)
 
-    def _with_cut(self, app: App) -> App:
+    def _with_abort(self, app: App) -> App:
         async def serve(scope: Scope, receive: Receive, send: Send) -> None:
-            scope[CUT] = lambda: self._cut(scope)
+            scope[ABORT_KEY] = lambda: self._abort_connection(scope)
             await app(scope, receive, send)
 
         return serve
 
-    def _cut(self, scope: Scope) -> None:
+    def _abort_connection(self, scope: Scope) -> None:
         for connection in list(self._server.server_state.connections):
             if getattr(connection, "scope", None) is scope:
                 connection.transport.abort()
--- a/src/lotushill/links/json_client.py
+++ b/src/lotushill/links/json_client.py
@@ -16,7 +16,7 @@
 
     Header = tuple[str, str]
 
-_WRITE_SECONDS = 1.0
+_WRITE_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
@@ -61,24 +61,27 @@
         timeout_seconds: float = 2.0,
         headers: Iterable[Header] = (),
     ) -> JsonAnswer:
-        """Make one call and return its answer; raise NoAnswerError after `patience` without one."""
+        """Make one call and return its answer; raise NoAnswerError if none arrives in time."""
         self.calls += 1
-        sent = [("host", self._host), *headers]
+        sent_headers = [("host", self._host), *headers]
         body = b""
         if content is not None:
             body = json.dumps(content).encode()
-            sent += [("content-type", "application/json"), ("content-length", str(len(body)))]
+            sent_headers += [
+                ("content-type", "application/json"),
+                ("content-length", str(len(body))),
+            ]
         timeout = {
             "connect": self._connect_seconds,
             "read": timeout_seconds,
-            "write": _WRITE_SECONDS,
-            "pool": _WRITE_SECONDS,
+            "write": _WRITE_TIMEOUT_SECONDS,
+            "pool": _WRITE_TIMEOUT_SECONDS,
         }
         try:
             response = await self._pool.request(
                 method,
                 f"http://{self._host}{path}",
-                headers=[(name.encode(), value.encode()) for name, value in sent],
+                headers=[(name.encode(), value.encode()) for name, value in sent_headers],
                 content=body,
                 extensions={"timeout": timeout},
             )
--- a/src/lotushill/links/load_records.py
+++ b/src/lotushill/links/load_records.py
@@ -27,21 +27,21 @@
 
     UpstreamId = Callable[[int], str | None]
 
-_HEAD = struct.Struct("<BBHHHHH")
+_HEADER = struct.Struct("<BBHHHHH")
 """Length of the sender's name, whole, and the counts of placed, began, paced, ended, running."""
 _PLACED = struct.Struct("<QQIIIIIIffffBBB")
-"""Fields of a placed request: request, upstream, route, team, prompt, reading, ahead, memory, gap,
-seconds, age, first, tier, began, parts."""
+"""Fields of a placed request: request, upstream, route, team, prompt, prefill tokens, total prefill
+tokens, memory, target gap, seconds, age, first event seconds, tier, began, parts."""
 _TIMED = struct.Struct("<Qf")
 """Fields of a request that began or was paced: request, seconds."""
 _ENDED = struct.Struct("<QBf")
 """Fields of a request that ended: request, outcome, seconds."""
 _PART = struct.Struct("<QI")
 _NUMBER_BYTES = 8
-_MOST_PARTS = 255
-_LAST_TIER = 255
+_MAX_PARTS = 255
+_MAX_TIER = 255
 """Highest tier in a record; less urgent requests are sent as this tier."""
-_MOST_TOKENS = 2**32 - 1
+_MAX_TOKENS = 2**32 - 1
 
 
 def upstream_number(upstream_id: str) -> int:
@@ -52,7 +52,7 @@
 def pack_load(load: Load) -> bytes:
     """Return the records of a load."""
     sender = load.sender.encode()
-    head = _HEAD.pack(
+    head = _HEADER.pack(
         len(sender),
         load.whole,
         len(load.placed),
@@ -75,67 +75,69 @@
 
     `upstream_id` returns the id of an upstream by its number; requests at unknown ones are omitted.
     """
-    found = []
+    loads = []
     position = 0
     try:
         while position < len(data):
             load, position = _unpack_load(data, position, upstream_id)
-            found.append(load)
+            loads.append(load)
     except (struct.error, ValueError) as error:
         raise MalformedFrameError(str(error)) from error
-    return found
+    return loads
 
 
 def _pack_placed(placed: Placed) -> bytes:
-    parts = list(zip(placed.part_ids, placed.part_tokens))[:_MOST_PARTS]
+    parts = list(zip(placed.part_ids, placed.part_tokens))[:_MAX_PARTS]
     record = _PLACED.pack(
         placed.request,
         upstream_number(placed.upstream),
         placed.route,
         placed.team,
-        min(_MOST_TOKENS, placed.prompt),
-        min(_MOST_TOKENS, placed.prefill_tokens),
-        min(_MOST_TOKENS, placed.total_prefill_tokens),
-        min(_MOST_TOKENS, placed.memory),
+        min(_MAX_TOKENS, placed.prompt),
+        min(_MAX_TOKENS, placed.prefill_tokens),
+        min(_MAX_TOKENS, placed.total_prefill_tokens),
+        min(_MAX_TOKENS, placed.memory),
         placed.target_gap,
         placed.seconds,
         placed.age,
         placed.first_event_seconds,
-        min(_LAST_TIER, placed.tier),
+        min(_MAX_TIER, placed.tier),
         placed.began,
         len(parts),
     )
-    return record + b"".join(_PART.pack(part, min(_MOST_TOKENS, size)) for part, size in parts)
+    return record + b"".join(_PART.pack(part, min(_MAX_TOKENS, size)) for part, size in parts)
 
 
 def _unpack_load(data: bytes, position: int, upstream_id: UpstreamId) -> tuple[Load, int]:
     """Return one load and the position of the next one."""
-    name, whole, placed, began, paced, ended, running = _HEAD.unpack_from(data, position)
-    position += _HEAD.size
+    name, whole, placed, began, paced, ended, running = _HEADER.unpack_from(data, position)
+    position += _HEADER.size
     sender = data[position : position + name].decode()
     position += name
-    found: list[Placed] = []
+    placed_requests: list[Placed] = []
     for _ in range(placed):
         item, position = _unpack_placed(data, position, upstream_id)
         if item is not None:
-            found.append(item)
-    begun, position = _unpack_all(_TIMED, began, data, position)
-    pauses, position = _unpack_all(_TIMED, paced, data, position)
-    ends, position = _unpack_all(_ENDED, ended, data, position)
-    numbers = struct.unpack_from(f"<{running}Q", data, position)
+            placed_requests.append(item)
+    began_records, position = _unpack_records(_TIMED, began, data, position)
+    paced_records, position = _unpack_records(_TIMED, paced, data, position)
+    ended_records, position = _unpack_records(_ENDED, ended, data, position)
+    running_numbers = struct.unpack_from(f"<{running}Q", data, position)
     load = Load(
         sender,
         bool(whole),
-        tuple(found),
-        tuple(Began(*item) for item in begun),
-        tuple(Paced(*item) for item in pauses),
-        tuple(Ended(number, Outcome(outcome), seconds) for number, outcome, seconds in ends),
-        numbers,
+        tuple(placed_requests),
+        tuple(Began(*item) for item in began_records),
+        tuple(Paced(*item) for item in paced_records),
+        tuple(
+            Ended(number, Outcome(outcome), seconds) for number, outcome, seconds in ended_records
+        ),
+        running_numbers,
     )
     return load, position + _NUMBER_BYTES * running
 
 
-def _unpack_all(
+def _unpack_records(
     record: struct.Struct, count: int, data: bytes, position: int
 ) -> tuple[list[tuple[Any, ...]], int]:
     """Return `count` records and the position after them."""
@@ -155,29 +157,29 @@
         route,
         team,
         prompt,
-        reading,
-        ahead,
+        prefill_tokens,
+        total_prefill_tokens,
         memory,
-        gap,
+        target_gap,
         seconds,
         age,
-        first,
+        first_event_seconds,
         tier,
         began,
-        count,
+        part_count,
     ) = _PLACED.unpack_from(data, position)
     position += _PLACED.size
-    parts = struct.unpack_from("<" + "QI" * count, data, position)
-    position += _PART.size * count
+    parts = struct.unpack_from("<" + "QI" * part_count, data, position)
+    position += _PART.size * part_count
     name = upstream_id(upstream)
     if name is None:
         return None, position
     placed = Placed(
         request,
         name,
-        reading,
+        prefill_tokens,
         memory,
-        gap,
+        target_gap,
         seconds,
         age,
         parts[::2],
@@ -186,8 +188,8 @@
         route,
         tier,
         prompt,
-        first,
-        ahead,
+        first_event_seconds,
+        total_prefill_tokens,
         team,
     )
     return placed, position
--- a/src/lotushill/links/pace_records.py
+++ b/src/lotushill/links/pace_records.py
@@ -21,8 +21,8 @@
 """Fields of a pace: upstream; slowness in steps; slowness in prefill relative to that in steps."""
 MAX_PACES_PER_PAGE = 2_000
 """Maximum paces on one page, which is 32 kB."""
-_LEAST = 0.05
-_MOST = 20.0
+_MIN_SLOWNESS = 0.05
+_MAX_SLOWNESS = 20.0
 
 
 def pack_paces(paces: Sequence[LongTermPace]) -> bytes:
@@ -40,9 +40,13 @@
     """
     if len(data) % _RECORD.size or len(data) > MAX_PACES_PER_PAGE * _RECORD.size:
         raise MalformedFrameError("pace records are truncated or more than one page may contain")
-    found = []
-    for number, steps, reading in _RECORD.iter_unpack(data):
+    paces = []
+    for number, step_slowness, read_slowness in _RECORD.iter_unpack(data):
         name = upstream_id(number)
-        if name is not None and _LEAST <= steps <= _MOST and _LEAST <= reading <= _MOST:
-            found.append(LongTermPace(name, steps, reading))
-    return found
+        if (
+            name is not None
+            and _MIN_SLOWNESS <= step_slowness <= _MAX_SLOWNESS
+            and _MIN_SLOWNESS <= read_slowness <= _MAX_SLOWNESS
+        ):
+            paces.append(LongTermPace(name, step_slowness, read_slowness))
+    return paces
--- a/src/lotushill/links/packed_text.py
+++ b/src/lotushill/links/packed_text.py
@@ -10,23 +10,23 @@
 
 from lotushill.links.exceptions import MalformedFrameError
 
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 """Fastest compression level: it reduces JSON of many similar objects to a sixth."""
-_MOST_BYTES = 16 * 1024 * 1024
+_MAX_TEXT_BYTES = 16 * 1024 * 1024
 """Maximum decompressed size, so that a small message cannot exhaust the memory."""
 
 
 def compress_text(text: str) -> bytes:
     """Return the compressed text."""
-    return zlib.compress(text.encode(), _LEVEL)
+    return zlib.compress(text.encode(), _COMPRESSION_LEVEL)
 
 
 def decompress_text(data: bytes) -> str:
     """Return the text of compressed bytes; raise MalformedFrameError for anything else."""
-    reader = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        text = reader.decompress(data, _MOST_BYTES)
-        if not reader.eof:
+        text = decompressor.decompress(data, _MAX_TEXT_BYTES)
+        if not decompressor.eof:
             raise MalformedFrameError("compressed text is truncated or longer than allowed")
         return text.decode()
     except (zlib.error, UnicodeDecodeError) as error:
--- a/src/lotushill/links/peer_links.py
+++ b/src/lotushill/links/peer_links.py
@@ -29,10 +29,10 @@
 
 log = logging.getLogger("links")
 
-_QUEUE = 50_000
-_BATCH = 64
-_CONNECT_SECONDS = 0.5
-_HELLO_SECONDS = 2.0
+_MAX_QUEUED_MESSAGES = 50_000
+_MAX_MESSAGES_PER_WRITE = 64
+_CONNECT_TIMEOUT_SECONDS = 0.5
+_HELLO_TIMEOUT_SECONDS = 2.0
 
 
 @dataclass
@@ -79,7 +79,7 @@
         channel: Channel | None = None
         async with stream:
             try:
-                with anyio.fail_after(_HELLO_SECONDS):
+                with anyio.fail_after(_HELLO_TIMEOUT_SECONDS):
                     channel = await self._open(stream)
                     hello = await channel.receive()
                 if not isinstance(hello, Ping):
@@ -99,7 +99,7 @@
 
     def _dial_soon(self, peer: str) -> _Link:
         assert self._group is not None, "start() must be called before messages are posted"
-        outbox, inbox = anyio.create_memory_object_stream["Message"](_QUEUE)
+        outbox, inbox = anyio.create_memory_object_stream["Message"](_MAX_QUEUED_MESSAGES)
         link = _Link(outbox)
         self._links[peer] = link
         self._group.start_soon(self._dial, peer, link, inbox)
@@ -113,10 +113,10 @@
             if address is None:
                 return
             host, port = split_address(address)
-            with anyio.fail_after(_CONNECT_SECONDS):
+            with anyio.fail_after(_CONNECT_TIMEOUT_SECONDS):
                 stream = await anyio.connect_tcp(host, port)
             async with stream:
-                with anyio.fail_after(_HELLO_SECONDS):
+                with anyio.fail_after(_HELLO_TIMEOUT_SECONDS):
                     channel = await self._open(stream)
                     await channel.send(Ping(self._own_name, 0, "", ()))
                 await self._pump(peer, channel, inbox)
@@ -128,7 +128,7 @@
 
     async def _run(self, peer: str, channel: Channel) -> None:
         """Serve an accepted channel, and use it for messages that are posted to that peer."""
-        outbox, inbox = anyio.create_memory_object_stream["Message"](_QUEUE)
+        outbox, inbox = anyio.create_memory_object_stream["Message"](_MAX_QUEUED_MESSAGES)
         link = _Link(outbox)
         self._links.setdefault(peer, link)
         try:
@@ -156,7 +156,7 @@
     ) -> None:
         try:
             async for message in inbox:
-                await channel.send(message, *_waiting(inbox))
+                await channel.send(message, *_queued_messages(inbox))
         except LinkClosedError:
             scope.cancel()
 
@@ -167,12 +167,12 @@
             self._on_down(peer)
 
 
-def _waiting(inbox: MemoryObjectReceiveStream[Message]) -> list[Message]:
+def _queued_messages(inbox: MemoryObjectReceiveStream[Message]) -> list[Message]:
     """Return messages that are queued already, so that one write sends all of them."""
-    found: list[Message] = []
+    messages: list[Message] = []
     try:
-        while len(found) < _BATCH:
-            found.append(inbox.receive_nowait())
+        while len(messages) < _MAX_MESSAGES_PER_WRITE:
+            messages.append(inbox.receive_nowait())
     except (anyio.WouldBlock, anyio.EndOfStream):
         pass
-    return found
+    return messages
--- a/src/lotushill/views/entry_faults.py
+++ b/src/lotushill/views/entry_faults.py
@@ -9,7 +9,7 @@
 
     from lotushill.event_log import EventLog
 
-_MOST_LINES = 20
+_MAX_LINES_PER_REVISION = 20
 """Maximum log lines per revision; one more line states how many faults were left out."""
 
 
@@ -25,12 +25,14 @@
 
     def replace(self, faults: Mapping[str, str], revision: int) -> None:
         """Replace all faults by those of a revision, and log the new ones."""
-        news = {name: why for name, why in faults.items() if self.current.get(name) != why}
+        new_faults = {name: why for name, why in faults.items() if self.current.get(name) != why}
         self.current = dict(faults)
-        self.total_count += len(news)
-        for name, why in list(news.items())[:_MOST_LINES]:
+        self.total_count += len(new_faults)
+        for name, why in list(new_faults.items())[:_MAX_LINES_PER_REVISION]:
             self._log.note(
                 "entry.ignored", kind=self._kind, object=name, error=why, revision=revision
             )
-        if len(news) > _MOST_LINES:
-            self._log.note("entry.ignored", kind=self._kind, more=len(news) - _MOST_LINES)
+        if len(new_faults) > _MAX_LINES_PER_REVISION:
+            self._log.note(
+                "entry.ignored", kind=self._kind, more=len(new_faults) - _MAX_LINES_PER_REVISION
+            )
--- a/src/lotushill/views/exceptions.py
+++ b/src/lotushill/views/exceptions.py
@@ -26,5 +26,5 @@
 class MalformedEntryError(ValueError):
     """A field of an object in the store is invalid, as another writer created or corrupted it."""
 
-    def __init__(self, field: str, why: str) -> None:
-        super().__init__(f"{field} {why}")
+    def __init__(self, field: str, problem: str) -> None:
+        super().__init__(f"{field} {problem}")
--- a/src/lotushill/views/fields.py
+++ b/src/lotushill/views/fields.py
@@ -20,8 +20,8 @@
 
 Item = TypeVar("Item")
 
-_MOST_TEXT = 1000
-_HEADER_TEXT = re.compile(r"[!-~]{1,200}")
+_MAX_TEXT_CHARACTERS = 1000
+_HEADER_TEXT_PATTERN = re.compile(r"[!-~]{1,200}")
 
 
 class Fields:
@@ -54,32 +54,34 @@
     def text(self, name: str) -> str:
         """Return a text that is not empty and not longer than the limit."""
         value = self._value(name)
-        if not isinstance(value, str) or not value or len(value) > _MOST_TEXT:
+        if not isinstance(value, str) or not value or len(value) > _MAX_TEXT_CHARACTERS:
             raise MalformedEntryError(name, "is not a non-empty text of bounded length")
         return value
 
-    def integer(self, name: str, least: int, most: int) -> int:
+    def integer(self, name: str, minimum: int, maximum: int) -> int:
         """Return an integer within bounds."""
         value = self._value(name)
-        if type(value) is not int or not least <= value <= most:
-            raise MalformedEntryError(name, f"is not an integer from {least} to {most}")
+        if type(value) is not int or not minimum <= value <= maximum:
+            raise MalformedEntryError(name, f"is not an integer from {minimum} to {maximum}")
         return value
 
-    def number(self, name: str, least: float, most: float) -> float:
+    def number(self, name: str, minimum: float, maximum: float) -> float:
         """Return a finite number within bounds."""
         value = self._value(name)
         if (
             type(value) not in (int, float)
-            or not least <= value <= most
+            or not minimum <= value <= maximum
             or not math.isfinite(value)
         ):
-            raise MalformedEntryError(name, f"is not a number from {least} to {most}")
+            raise MalformedEntryError(name, f"is not a number from {minimum} to {maximum}")
         return float(value)
 
-    def optional_number(self, name: str, least: float, most: float, unit: float) -> float | None:
+    def optional_number(
+        self, name: str, minimum: float, maximum: float, unit: float
+    ) -> float | None:
         """Return a number divided by `unit`, None if it is missing or invalid."""
         try:
-            return self.number(name, least, most) / unit
+            return self.number(name, minimum, maximum) / unit
         except MalformedEntryError:
             return None
 
@@ -109,15 +111,15 @@
 
 def is_header_text(text: str) -> bool:
     """Return whether a text is valid as a header value without encoding."""
-    return _HEADER_TEXT.fullmatch(text) is not None
+    return _HEADER_TEXT_PATTERN.fullmatch(text) is not None
 
 
-def parse_readable(read: Callable[[Any], Item], items: list[Any]) -> list[Item]:
+def parse_readable(parse: Callable[[Any], Item], items: list[Any]) -> list[Item]:
     """Return the parsed items; malformed ones are skipped so that the others are not lost."""
-    found = []
+    parsed = []
     for item in items:
         try:
-            found.append(read(item))
+            parsed.append(parse(item))
         except MalformedEntryError:
             continue
-    return found
+    return parsed
--- a/src/lotushill/views/upstream_view.py
+++ b/src/lotushill/views/upstream_view.py
@@ -14,9 +14,9 @@
 
     from lotushill.routing.upstream import Upstream
 
-_MOST_LEAVING = 4096
+_MAX_LEAVING = 4096
 """Maximum incarnations remembered as leaving: several times the upstreams of the largest fleet."""
-NOTHING_KEPT: Mapping[str, float] = MappingProxyType({})
+NO_DEADLINES: Mapping[str, float] = MappingProxyType({})
 
 
 class UpstreamView:
@@ -31,18 +31,18 @@
         self.revision = -1
         """Store revision of the view; below 0 before the first list."""
         self._upstreams: dict[str, Upstream] = {}
-        self._lapsed: dict[str, float] = {}
+        self._removal_times: dict[str, float] = {}
         """Times at which upstreams that no entry names any longer are removed, by id."""
         self._leaving: dict[str, None] = {}
         """Incarnations that announced that they leave, whatever their entries say; latest last."""
-        self._leaving_by_word: set[str] = set()
+        self._announced_leaving: set[str] = set()
         self._by_service: dict[str, list[Upstream]] = {}
         self._by_number: dict[int, str] = {}
 
     @property
     def lapsed(self) -> dict[str, float]:
         """Return the times at which upstreams that are kept without an entry are removed."""
-        return dict(self._lapsed)
+        return dict(self._removal_times)
 
     @property
     def is_loaded(self) -> bool:
@@ -56,7 +56,7 @@
     @property
     def announced_leaving(self) -> tuple[str, ...]:
         """Return the incarnations that announced to leave but whose entries do not say so."""
-        return tuple(sorted(self._leaving_by_word)) if self._leaving_by_word else ()
+        return tuple(sorted(self._announced_leaving)) if self._announced_leaving else ()
 
     def find(self, upstream_id: str) -> Upstream | None:
         """Return the upstream with an id, None if it is unknown."""
@@ -74,33 +74,35 @@
         self,
         upstreams: Iterable[Upstream],
         revision: int,
-        keep_until: Mapping[str, float] = NOTHING_KEPT,
+        keep_until: Mapping[str, float] = NO_DEADLINES,
         unreadable: frozenset[str] = frozenset(),
     ) -> bool:
         """Replace the view by a complete list; return whether the list was newer.
 
-        An upstream in `keep` that is missing from the list and was not leaving stays until the
-        time given there, and so does one that was kept before. It is dropped if a later
+        An upstream in `keep_until` that is missing from the list and was not leaving stays until
+        the time given there, and so does one that was kept before. It is dropped if a later
         incarnation of it is listed or its entry is `unreadable`.
         """
         if revision <= self.revision:
             return False
         entries = tuple(upstreams)
-        listed = {item.id: self._bound(item) for item in entries}
-        self._leaving_by_word = {
+        listed = {item.id: self._keep_draining(item) for item in entries}
+        self._announced_leaving = {
             item.id for item in entries if item.id in self._leaving and not item.draining
         }
-        wanted = {**keep_until, **self._lapsed}
-        replaced = unreadable | {item.name for item in listed.values()}
+        removal_times = {**keep_until, **self._removal_times}
+        superseded = unreadable | {item.name for item in listed.values()}
         missing = {
             name: item
             for name, item in self._upstreams.items()
-            if name not in listed and item.name not in replaced
+            if name not in listed and item.name not in superseded
         }
         kept = {
-            name: item for name, item in missing.items() if name in wanted and not item.draining
+            name: item
+            for name, item in missing.items()
+            if name in removal_times and not item.draining
         }
-        self._lapsed = {name: wanted[name] for name in kept}
+        self._removal_times = {name: removal_times[name] for name in kept}
         self._upstreams = listed | kept
         self.revision = revision
         self._index()
@@ -115,29 +117,29 @@
         if upstream_id in self._leaving:
             return False
         self._leaving[upstream_id] = None
-        while len(self._leaving) > _MOST_LEAVING:
+        while len(self._leaving) > _MAX_LEAVING:
             del self._leaving[next(iter(self._leaving))]
         known = self._upstreams.get(upstream_id)
         if known is not None and known.draining:
             return False
         if known is not None:
             self._upstreams[upstream_id] = replace(known, draining=True)
-            self._leaving_by_word.add(upstream_id)
+            self._announced_leaving.add(upstream_id)
             self._index()
         return True
 
     def expire(self, now: float) -> tuple[str, ...]:
         """Remove upstreams whose entries have been missing for too long, and return their ids."""
-        gone = tuple(name for name, until in self._lapsed.items() if now >= until)
+        gone = tuple(name for name, until in self._removal_times.items() if now >= until)
         for name in gone:
-            del self._lapsed[name]
-            self._leaving_by_word.discard(name)
+            del self._removal_times[name]
+            self._announced_leaving.discard(name)
             del self._upstreams[name]
         if gone:
             self._index()
         return gone
 
-    def _bound(self, upstream: Upstream) -> Upstream:
+    def _keep_draining(self, upstream: Upstream) -> Upstream:
         """Return the newer of two entries; an incarnation that has drained stays draining."""
         if upstream.id in self._leaving:
             return replace(upstream, draining=True)
--- a/src/lotushill/views/watcher.py
+++ b/src/lotushill/views/watcher.py
@@ -20,20 +20,20 @@
     from lotushill.views.stored_object import Change
     from lotushill.views.stored_object import ObjectList
 
-_WATCH_SECONDS = 3.0
-_SHORTEST_WATCH_SHARE = 0.3
+_MAX_WATCH_SECONDS = 3.0
+_MIN_WATCH_FRACTION = 0.3
 """Shortest watch as a fraction of the longest.
 
 A store that drops its history may not report a change to the watches that are open, which are then
 out of date until they end. Watches are therefore short, and end at different times in the fleet:
 the first gateway whose watch ends notifies the others."""
 _FIRST_PAUSE_SECONDS = 0.05
-_LONGEST_PAUSE_SECONDS = 0.8
-_STAND_IN_PAUSE_SECONDS = 4.0
+_MAX_PAUSE_SECONDS = 0.8
+_MAX_SUBSTITUTE_PAUSE_SECONDS = 4.0
 """Longest pause of a substitute reader, which reads only while others cannot reach the store."""
-_START_SECONDS = 0.01
+_START_CHECK_INTERVAL_SECONDS = 0.01
 """Interval between checks whether the data required before the first read is loaded."""
-_PASSIVE_SECONDS = 0.15
+_READER_CHECK_INTERVAL_SECONDS = 0.15
 """Interval between checks whether this gateway has become a reader."""
 
 
@@ -84,7 +84,7 @@
     """Returns the view's revision, which may come from other gateways; below 0 for none."""
     interval: float
     """Minimum time from one watch to the next."""
-    max_watch_seconds: float = _WATCH_SECONDS
+    max_watch_seconds: float = _MAX_WATCH_SECONDS
     """Maximum time for which one watch waits for a change."""
     may_start: Callable[[], bool] = lambda: True
     """Returns whether the data required before the first read of this kind is loaded."""
@@ -99,21 +99,21 @@
         kind: WatchedKind,
         rng: random.Random,
         log: EventLog,
-        reading: ReadPolicy | None = None,
+        read_policy: ReadPolicy | None = None,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
-        """Follow `kind` while `reading` selects this gateway as a reader."""
+        """Follow `kind` while `read_policy` selects this gateway as a reader."""
         self._store = store
         self._kind = kind
         self._rng = rng
         self._log = log
-        self._reading = reading or AlwaysReader()
+        self._read_policy = read_policy or AlwaysReader()
         self._clock = clock
         self._revision = -1
         self._history_gone = False
         self._pause = _FIRST_PAUSE_SECONDS
-        self._asked_at = 0.0
-        self._away_at: float | None = None
+        self._call_sent_at = 0.0
+        self._last_failure_at: float | None = None
         self._step_scope: anyio.CancelScope | None = None
         self.last_list_sent_at = float("-inf")
         """Time at which the last successful list was requested."""
@@ -132,7 +132,7 @@
         both may be seconds after the store's return. Only the time from the start of the failed
         call is known to be an outage.
         """
-        return self._away_at
+        return self._last_failure_at
 
     def relist(self) -> None:
         """List again at once: received data may be out of date, and the open watch may be dead."""
@@ -143,13 +143,13 @@
     async def run(self) -> None:
         """Follow the kind until cancelled."""
         while True:
-            self.active = self._reading.is_reader()
+            self.active = self._read_policy.is_reader()
             if not self.active:
-                self._rest()
-                await anyio.sleep(self._jitter(_PASSIVE_SECONDS))
+                self._reset()
+                await anyio.sleep(self._jitter(_READER_CHECK_INTERVAL_SECONDS))
                 continue
             if self._revision < 0 and not self._kind.may_start():
-                await anyio.sleep(_START_SECONDS)
+                await anyio.sleep(_START_CHECK_INTERVAL_SECONDS)
                 continue
             try:
                 with anyio.CancelScope() as self._step_scope:
@@ -164,9 +164,9 @@
                 # A programming error in a callback must not stop this loop permanently.
                 self._log.note("watch.fault", kind=self._kind.name, error=repr(error))
                 self._history_gone = True
-                await anyio.sleep(self._jitter(_LONGEST_PAUSE_SECONDS))
+                await anyio.sleep(self._jitter(_MAX_PAUSE_SECONDS))
 
-    def _rest(self) -> None:
+    def _reset(self) -> None:
         """Reset, so that reading later resumes from the revision received from other gateways."""
         self.failing = False
         self._revision = -1
@@ -184,19 +184,19 @@
         await anyio.sleep(self._jitter(kind.interval))
 
     async def _list(self) -> None:
-        self._asked_at = self._clock()
+        self._call_sent_at = self._clock()
         listed = await self._store.list_kind(self._kind.name)
         self._note_answer()
         self._history_gone = False
         self._revision = listed.revision
-        self.last_list_sent_at = self._asked_at
+        self.last_list_sent_at = self._call_sent_at
         self._kind.on_list(listed)
 
     async def _watch(self) -> None:
         kind = self._kind
-        self._asked_at = self._clock()
-        wait = kind.max_watch_seconds * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)
-        changes, revision = await self._store.watch(kind.name, self._revision, wait)
+        self._call_sent_at = self._clock()
+        watch_seconds = kind.max_watch_seconds * self._rng.uniform(_MIN_WATCH_FRACTION, 1.0)
+        changes, revision = await self._store.watch(kind.name, self._revision, watch_seconds)
         self._note_answer()
         if changes:
             kind.on_changes(changes, revision)
@@ -213,18 +213,18 @@
             self._log.note("dependency.regained", name="store", kind=self._kind.name)
 
     async def _back_off(self, error: StoreError) -> None:
-        self._away_at = self._asked_at
+        self._last_failure_at = self._call_sent_at
         self.answering_since = None
         if not self.failing:
             self.failing = True
             self._log.note("dependency.lost", name="store", kind=self._kind.name, error=repr(error))
-        longest = (
-            _STAND_IN_PAUSE_SECONDS
-            if self._reading.is_substitute_reader()
-            else _LONGEST_PAUSE_SECONDS
+        max_pause = (
+            _MAX_SUBSTITUTE_PAUSE_SECONDS
+            if self._read_policy.is_substitute_reader()
+            else _MAX_PAUSE_SECONDS
         )
-        await anyio.sleep(self._jitter(min(longest, self._pause)))
-        self._pause = min(longest, self._pause * 2)
+        await anyio.sleep(self._jitter(min(max_pause, self._pause)))
+        self._pause = min(max_pause, self._pause * 2)
 
     def _jitter(self, seconds: float) -> float:
         return seconds * self._rng.uniform(0.7, 1.3)
--- a/tests/links/test_codec.py
+++ b/tests/links/test_codec.py
@@ -63,12 +63,12 @@
 class TestCodec(unittest.TestCase):
     @settings(max_examples=200)
     @given(st.sampled_from(KINDS).flatmap(st.from_type))
-    def test_each_message_comes_out_as_it_went_in(self, message: Any) -> None:
+    def test_each_message_is_decoded_as_it_was_encoded(self, message: Any) -> None:
         self.assertEqual(decode(encode(message)), message)
 
     @settings(max_examples=300)
     @given(st.binary(max_size=200))
-    def test_other_bytes_are_malformed(self, data: bytes) -> None:
+    def test_arbitrary_bytes_raise_only_malformed_frame_errors(self, data: bytes) -> None:
         try:
             decode(data)
         except MalformedFrameError:
@@ -89,7 +89,7 @@
 class TestSeal(unittest.TestCase):
     OLD, NEW = b"old-old-old-old-", b"new-new-new-new-"
 
-    def test_keys_rotate_without_a_stop(self) -> None:
+    def test_keys_rotate_without_downtime(self) -> None:
         before, during, after = Seal((self.OLD,)), Seal((self.NEW, self.OLD)), Seal((self.NEW,))
         self.assertEqual(during.open(before.sign(b"x")), b"x")
         self.assertEqual(after.open(during.sign(b"x")), b"x")
@@ -97,11 +97,11 @@
             after.open(before.sign(b"x"))
 
     @given(st.binary(max_size=60))
-    def test_foreign_bytes_are_forged(self, data: bytes) -> None:
+    def test_arbitrary_bytes_are_rejected_as_forged(self, data: bytes) -> None:
         with self.assertRaises(ForgedFrameError):
             Seal((self.OLD,)).open(data)
 
-    def test_a_frame_fits_only_its_place(self) -> None:
+    def test_a_frame_is_valid_only_in_its_context(self) -> None:
         seal = Seal((self.OLD,))
         with self.assertRaises(ForgedFrameError):
             seal.open(seal.sign(b"x", b"1"), b"2")
--- a/tests/links/test_datagram.py
+++ b/tests/links/test_datagram.py
@@ -25,11 +25,11 @@
 
 class TestDatagram(unittest.TestCase):
     @given(MESSAGES)
-    def test_what_goes_in_comes_out(self, message: Datagram) -> None:
+    def test_each_message_is_decoded_as_it_was_encoded(self, message: Datagram) -> None:
         self.assertEqual(message, from_datagram(to_datagram(message)))
 
     @given(st.binary(max_size=60))
-    def test_other_bytes_are_malformed_or_another_message(self, data: bytes) -> None:
+    def test_arbitrary_bytes_are_malformed_or_a_message(self, data: bytes) -> None:
         try:
             from_datagram(data)
         except MalformedFrameError:
--- a/tests/links/test_load_records.py
+++ b/tests/links/test_load_records.py
@@ -26,13 +26,13 @@
 PARTS = st.lists(st.tuples(NUMBERS, TOKENS), max_size=5)
 
 
-def placed(parts: list[tuple[int, int]], plain: Placed) -> Placed:
+def with_parts(parts: list[tuple[int, int]], without_parts: Placed) -> Placed:
     ids = tuple(part for part, _ in parts)
     sizes = tuple(size for _, size in parts)
-    return replace(plain, part_ids=ids, part_tokens=sizes)
+    return replace(without_parts, part_ids=ids, part_tokens=sizes)
 
 
-PLAIN = st.builds(
+PLACED_WITHOUT_PARTS = st.builds(
     Placed,
     NUMBERS,
     st.sampled_from(UPSTREAMS),
@@ -48,8 +48,8 @@
     first_event_seconds=SECONDS,
     total_prefill_tokens=TOKENS,
 )
-PLACED = st.builds(placed, PARTS, PLAIN)
-LISTS = st.lists(NUMBERS, max_size=8).map(tuple)
+PLACED = st.builds(with_parts, PARTS, PLACED_WITHOUT_PARTS)
+RUNNING = st.lists(NUMBERS, max_size=8).map(tuple)
 LOADS = st.builds(
     Load,
     st.just("gw"),
@@ -58,32 +58,32 @@
     st.lists(st.builds(Began, NUMBERS, SECONDS), max_size=8).map(tuple),
     st.lists(st.builds(Paced, NUMBERS, SECONDS), max_size=8).map(tuple),
     st.lists(st.builds(Ended, NUMBERS, st.sampled_from(Outcome), SECONDS), max_size=8).map(tuple),
-    LISTS,
+    RUNNING,
 )
-KNOWN = {upstream_number(name): name for name in UPSTREAMS}
+UPSTREAMS_BY_NUMBER = {upstream_number(name): name for name in UPSTREAMS}
 
 
 class TestLoadRecords(unittest.TestCase):
     @given(st.lists(LOADS, max_size=4))
-    def test_what_goes_in_comes_out(self, loads: list[Load]) -> None:
+    def test_loads_are_decoded_as_they_were_encoded(self, loads: list[Load]) -> None:
         data = b"".join(pack_load(load) for load in loads)
-        self.assertEqual(loads, unpack_loads(data, KNOWN.get))
+        self.assertEqual(loads, unpack_loads(data, UPSTREAMS_BY_NUMBER.get))
 
     @given(LOADS)
-    def test_requests_on_unknown_upstreams_are_left_out(self, load: Load) -> None:
+    def test_requests_at_unknown_upstreams_are_omitted(self, load: Load) -> None:
         (found,) = unpack_loads(pack_load(load), lambda number: None)
         self.assertEqual(replace(load, placed=()), found)
 
     @given(LOADS, st.data())
-    def test_cut_records_are_malformed(self, load: Load, data: st.DataObject) -> None:
+    def test_truncated_records_are_malformed(self, load: Load, data: st.DataObject) -> None:
         packed = pack_load(load)
         cut = data.draw(st.integers(1, len(packed) - 1))
         with self.assertRaises(MalformedFrameError):
-            unpack_loads(packed[:cut], KNOWN.get)
+            unpack_loads(packed[:cut], UPSTREAMS_BY_NUMBER.get)
 
     @given(st.binary(max_size=200))
-    def test_other_bytes_are_malformed_or_another_load(self, data: bytes) -> None:
+    def test_arbitrary_bytes_are_malformed_or_a_load(self, data: bytes) -> None:
         try:
-            unpack_loads(data, KNOWN.get)
+            unpack_loads(data, UPSTREAMS_BY_NUMBER.get)
         except MalformedFrameError:
             pass
--- a/tests/views/test_views.py
+++ b/tests/views/test_views.py
@@ -24,14 +24,14 @@
     @given(st.lists(st.integers(0, 50), max_size=30))
     def test_whatever_comes_in_any_order_it_never_goes_back(self, revisions: list[int]) -> None:
         view = ConfigurationView()
-        held = -1
+        highest = -1
         for revision in revisions:
-            taken = view.replace(table(revision), revision)
-            self.assertEqual(revision > held, taken)
-            held = max(held, revision)
-            self.assertEqual(held, view.revision)
+            replaced = view.replace(table(revision), revision)
+            self.assertEqual(revision > highest, replaced)
+            highest = max(highest, revision)
+            self.assertEqual(highest, view.revision)
 
-    def test_a_lower_version_at_a_higher_revision_is_not_taken(self) -> None:
+    def test_a_lower_version_at_a_higher_revision_is_rejected(self) -> None:
         view = ConfigurationView()
         view.replace(table(5), 10)
         self.assertFalse(view.replace(table(4), 11))
@@ -50,13 +50,13 @@
         view.replace([upstream("a")], 2)
         self.assertEqual([], view.of("s"))
 
-    def test_an_upstream_that_is_not_listed_any_more_is_gone(self) -> None:
+    def test_an_upstream_missing_from_a_newer_list_is_removed(self) -> None:
         view = UpstreamView()
         view.replace([upstream("a"), upstream("b")], 1)
         view.replace([upstream("b")], 2)
         self.assertIsNone(view.find("a"))
 
-    def test_an_upstream_that_is_kept_stays_until_its_time(self) -> None:
+    def test_a_lapsed_upstream_is_kept_until_its_removal_time(self) -> None:
         view = UpstreamView()
         view.replace([upstream("a"), upstream("b"), upstream("c", draining=True)], 1)
         view.replace([], 2, {"a": 5.0, "c": 5.0})
@@ -67,7 +67,7 @@
         self.assertEqual(("a",), view.expire(5.0))
         self.assertEqual([], view.of("s"))
 
-    def test_a_kept_upstream_that_is_listed_again_is_no_longer_lapsed(self) -> None:
+    def test_a_lapsed_upstream_that_is_listed_again_is_no_longer_lapsed(self) -> None:
         view = UpstreamView()
         view.replace([upstream("a")], 1)
         view.replace([], 2, {"a": 5.0})
@@ -76,5 +76,5 @@
         view.replace([], 4)
         self.assertEqual((), view.all())
 
-    def test_nothing_is_known_before_the_first_list(self) -> None:
+    def test_it_is_not_loaded_before_the_first_list(self) -> None:
         self.assertFalse(UpstreamView().is_loaded)
--- a/tests/views/test_watcher.py
+++ b/tests/views/test_watcher.py
@@ -25,7 +25,7 @@
         self.watched: list[int] = []
         self.waits: list[float] = []
         self.now = 0.0
-        self.seconds_a_watch = 0.0
+        self.seconds_per_watch = 0.0
         """Time that each watch takes until it is answered or fails."""
         self.lists = 0
         self.done = asyncio.Event()
@@ -43,7 +43,7 @@
             self.done.set()
             await asyncio.Event().wait()
         step = self.steps.pop(0)
-        self.now += self.seconds_a_watch
+        self.now += self.seconds_per_watch
         if isinstance(step, Exception):
             raise step
         assert isinstance(step, tuple)
@@ -54,7 +54,7 @@
     return Change(StoredObject(name, revision, {}), False)
 
 
-class Turns:
+class ScriptedReadPolicy:
     """Allows reading in the given turns, then always."""
 
     def __init__(self, test: TestWatcher, turns: list[bool]) -> None:
@@ -67,7 +67,7 @@
         turn = self._turns.pop(0)
         if not turn:
             # While this gateway does not read, the others advance its view.
-            self._test.held = 30
+            self._test.view_revision = 30
         return turn
 
     def is_substitute_reader(self) -> bool:
@@ -75,9 +75,9 @@
 
 
 class TestWatcher(unittest.IsolatedAsyncioTestCase):
-    held = -1
+    view_revision = -1
     """Revision of the view, as received from other gateways."""
-    reading: ReadPolicy = AlwaysReader()
+    read_policy: ReadPolicy = AlwaysReader()
 
     async def follow(self, store: ScriptedStore) -> list[str]:
         seen: list[str] = []
@@ -87,12 +87,12 @@
                 "k",
                 lambda listed: seen.append(f"list@{listed.revision}"),
                 lambda changes, at: seen.append(f"{[item.object.name for item in changes]}@{at}"),
-                lambda: self.held,
+                lambda: self.view_revision,
                 0.001,
             ),
             random.Random(1),
             EventLog("gw", lambda line: None),
-            self.reading,
+            self.read_policy,
             lambda: store.now,
         )
         self.watcher = watcher
@@ -103,17 +103,17 @@
         await asyncio.gather(task, return_exceptions=True)
         return seen
 
-    async def test_it_goes_on_from_the_last_change(self) -> None:
+    async def test_it_watches_from_the_last_change(self) -> None:
         store = ScriptedStore(([change("a", 12)], 14), ([change("b", 15)], 15))
         self.assertEqual(["list@10", "['a']@14", "['b']@15"], await self.follow(store))
         self.assertEqual([10, 14, 15], store.watched)
 
-    async def test_a_revision_that_moved_on_without_events_skips_nothing(self) -> None:
+    async def test_a_revision_that_increases_without_events_skips_no_change(self) -> None:
         store = ScriptedStore(([], 13), ([change("withheld", 12)], 13))
         self.assertEqual(["list@10", "['withheld']@13"], await self.follow(store))
         self.assertEqual([10, 10, 13], store.watched)
 
-    async def test_after_a_gap_it_lists_and_after_an_outage_it_goes_on(self) -> None:
+    async def test_it_lists_after_a_gap_and_resumes_the_watch_after_an_outage(self) -> None:
         store = ScriptedStore(
             HistoryGoneError(), StoreUnavailableError("x"), ([change("a", 12)], 12)
         )
@@ -161,23 +161,23 @@
         self,
     ) -> None:
         store = ScriptedStore(([change("a", 12)], 14), ([change("b", 31)], 31))
-        self.reading = Turns(self, [True, True, False, False])
+        self.read_policy = ScriptedReadPolicy(self, [True, True, False, False])
         self.assertEqual(["list@10", "['a']@14", "['b']@31"], await self.follow(store))
         self.assertEqual((1, [10, 30, 31]), (store.lists, store.watched))
 
-    async def test_one_that_was_told_everything_never_lists(self) -> None:
+    async def test_a_view_received_from_others_is_not_listed(self) -> None:
         store = ScriptedStore(([change("a", 31)], 31))
-        self.reading = Turns(self, [False])
+        self.read_policy = ScriptedReadPolicy(self, [False])
         await self.follow(store)
         self.assertEqual((0, [30, 31]), (store.lists, store.watched))
 
     async def test_what_others_brought_meanwhile_is_not_asked_for_again(self) -> None:
         store = ScriptedStore(([change("a", 12)], 12), ([change("b", 40)], 40))
-        bring = store.watch
+        scripted_watch = store.watch
 
         async def watch(kind: str, revision: int, seconds: float) -> tuple[list[Change], int]:
-            self.held = 30
-            return await bring(kind, revision, seconds)
+            self.view_revision = 30
+            return await scripted_watch(kind, revision, seconds)
 
         store.watch = watch  # type: ignore[method-assign]
         await self.follow(store)
@@ -190,14 +190,14 @@
         self.assertLess(min(store.waits), 1.2)
         self.assertGreater(len({round(wait, 1) for wait in store.waits}), 10)
 
-    async def test_an_outage_is_known_only_from_when_the_call_that_failed_began(self) -> None:
+    async def test_an_outage_counts_from_the_start_of_the_failed_call(self) -> None:
         store = ScriptedStore(StoreUnavailableError("cut"), ([change("a", 12)], 12))
-        store.seconds_a_watch = 5.0
+        store.seconds_per_watch = 5.0
         await self.follow(store)
         # The failure is detected at 5 s and the next answer arrives at 10 s, but the outage counts
         # from the start of the failed call.
         self.assertEqual((10.0, 0.0), (store.now, self.watcher.last_failure_at))
 
-    async def test_without_a_failed_call_no_outage_is_known(self) -> None:
+    async def test_without_a_failed_call_there_is_no_outage(self) -> None:
         await self.follow(ScriptedStore(([change("a", 12)], 12), HistoryGoneError()))
         self.assertIsNone(self.watcher.last_failure_at)
