--- a/src/lotushill/links/datagram.py
+++ b/src/lotushill/links/datagram.py
@@ -1,7 +1,8 @@
 """Datagrams between gateways: one byte for the kind, then the message.
 
-News of load come hundreds of times a second and are records already, so that they travel as they
-are: opening a packed frame around them would cost a scheduler as much as the news themselves.
+Load updates arrive hundreds of times a second and consist of records already, so they are sent
+without a frame: decoding a packed frame around them would cost a scheduler as much as processing
+the updates themselves.
 """
 
 from __future__ import annotations
@@ -15,31 +16,31 @@
 
 Datagram = Message | LoadNews | LoadBatch
 
-_FRAME = b"\x00"
-_NEWS = b"\x01"
-_BATCH = b"\x02"
-_MOST_NAME_BYTES = 255
+_FRAME_KIND = b"\x00"
+_LOAD_KIND = b"\x01"
+_LOAD_BATCH_KIND = b"\x02"
+_MAX_NAME_BYTES = 255
 
 
 def to_datagram(message: Datagram) -> bytes:
-    """Return the bytes of a message."""
+    """Return the datagram of a message."""
     if isinstance(message, LoadNews):
-        return _NEWS + message.records
+        return _LOAD_KIND + message.records
     if isinstance(message, LoadBatch):
-        sender = message.sender.encode()[:_MOST_NAME_BYTES]
-        return _BATCH + bytes((len(sender),)) + sender + message.records
-    return _FRAME + encode(message)
+        sender = message.sender.encode()[:_MAX_NAME_BYTES]
+        return _LOAD_BATCH_KIND + bytes((len(sender),)) + sender + message.records
+    return _FRAME_KIND + encode(message)
 
 
 def from_datagram(data: bytes) -> Datagram:
     """Return the message of a datagram; raise MalformedFrameError for anything else."""
     kind, rest = data[:1], data[1:]
-    if kind == _FRAME:
+    if kind == _FRAME_KIND:
         return decode(rest)
-    if kind == _NEWS:
+    if kind == _LOAD_KIND:
         return LoadNews(rest)
-    if kind != _BATCH or not rest or len(rest) <= rest[0]:
-        raise MalformedFrameError("no kind of datagram")
+    if kind != _LOAD_BATCH_KIND or not rest or len(rest) <= rest[0]:
+        raise MalformedFrameError("datagram is truncated or its kind is unknown")
     try:
         return LoadBatch(rest[1 : 1 + rest[0]].decode(), rest[1 + rest[0] :])
     except UnicodeDecodeError as error:
--- a/src/lotushill/views/watcher.py
+++ b/src/lotushill/views/watcher.py
@@ -1,4 +1,4 @@
-"""Follows one kind of the store's objects: a list, then watches, and a list after a gap."""
+"""Follows one kind of the store's objects: lists it, then watches it; lists again after a gap."""
 
 from __future__ import annotations
 
@@ -20,47 +20,49 @@
     from lotushill.views.stored_object import Change
     from lotushill.views.stored_object import ObjectList
 
-_WATCH_SECONDS = 3.0
-_SHORTEST_WATCH_SHARE = 0.3
-"""A store that forgets its history may tell those that wait nothing of a change. A watch is then
-out of date until it ends, so that watches are short, and end at different times in the fleet: the
-first to end tells the others."""
+_MAX_WATCH_SECONDS = 3.0
+_MIN_WATCH_FRACTION = 0.3
+"""Shortest watch as a fraction of the longest.
+
+A store that drops its history may not report a change to the watches that are open, which are then
+out of date until they end. Watches are therefore short, and end at different times in the fleet:
+the first gateway whose watch ends notifies the others."""
 _FIRST_PAUSE_SECONDS = 0.05
-_LONGEST_PAUSE_SECONDS = 0.8
-_STAND_IN_PAUSE_SECONDS = 4.0
-"""The longest pause of one that reads only since others are turned away."""
-_START_SECONDS = 0.01
-"""Between two looks at whether what has to be known before is known."""
-_PASSIVE_SECONDS = 0.15
-"""Between two looks at whether it is this gateway's turn to read."""
+_MAX_PAUSE_SECONDS = 0.8
+_MAX_SUBSTITUTE_PAUSE_SECONDS = 4.0
+"""Longest pause of a substitute reader, which reads only while others cannot reach the store."""
+_START_CHECK_INTERVAL_SECONDS = 0.01
+"""Interval between checks whether the data required before the first read is loaded."""
+_READER_CHECK_INTERVAL_SECONDS = 0.15
+"""Interval between checks whether this gateway has become a reader."""
 
 
 class Store(Protocol):
-    """The calls that a watcher makes."""
+    """Calls that a watcher makes to the store."""
 
     async def list_kind(self, kind: str, stale: bool = False) -> ObjectList:
         """Return all objects of a kind."""
         ...
 
     async def watch(self, kind: str, revision: int, seconds: float) -> tuple[list[Change], int]:
-        """Return changes after a revision."""
+        """Wait for changes after a revision; return them with the revision that they lead to."""
         ...
 
 
 class ReadPolicy(Protocol):
-    """Who reads the store; the others hear of changes from those who do."""
+    """Decides which gateways read the store; the others receive changes from these readers."""
 
     def is_reader(self) -> bool:
-        """Return whether this gateway reads the store now."""
+        """Return whether this gateway currently reads the store."""
         ...
 
     def is_substitute_reader(self) -> bool:
-        """Return whether it does so only since others are turned away."""
+        """Return whether it reads only because other readers cannot reach the store."""
         ...
 
 
 class AlwaysReader:
-    """Reads whatever others do."""
+    """Reads the store independently of other gateways."""
 
     def is_reader(self) -> bool:
         """Return True."""
@@ -73,23 +75,23 @@
 
 @dataclass(frozen=True)
 class WatchedKind:
-    """What is followed, and what becomes of it; times are seconds."""
+    """The kind to follow, the callbacks for its data and the timing; times are seconds."""
 
     name: str
     on_list: Callable[[ObjectList], None]
     on_changes: Callable[[list[Change], int], None]
     held_revision: Callable[[], int]
-    """Revision of the view, which may have come from others; below 0 for none."""
+    """Returns the view's revision, which may come from other gateways; below 0 for none."""
     interval: float
-    """At least, from one watch to the next."""
-    max_watch_seconds: float = _WATCH_SECONDS
-    """How long one watch waits for a change, at most."""
+    """Minimum time from one watch to the next."""
+    max_watch_seconds: float = _MAX_WATCH_SECONDS
+    """Maximum time for which one watch waits for a change."""
     may_start: Callable[[], bool] = lambda: True
-    """Whether what has to be known before this kind is known."""
+    """Returns whether the data required before the first read of this kind is loaded."""
 
 
 class Watcher:
-    """Calls back with lists and changes, for ever; an outage changes nothing."""
+    """Delivers lists and changes of a kind without end; during an outage the view is unchanged."""
 
     def __init__(
         self,
@@ -97,56 +99,57 @@
         kind: WatchedKind,
         rng: random.Random,
         log: EventLog,
-        reading: ReadPolicy | None = None,
+        read_policy: ReadPolicy | None = None,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
-        """Follow `kind` while `reading` says that this gateway reads."""
+        """Follow `kind` while `read_policy` selects this gateway as a reader."""
         self._store = store
         self._kind = kind
         self._rng = rng
         self._log = log
-        self._reading = reading or AlwaysReader()
+        self._read_policy = read_policy or AlwaysReader()
         self._clock = clock
         self._revision = -1
         self._history_gone = False
         self._pause = _FIRST_PAUSE_SECONDS
-        self._asked_at = 0.0
-        self._away_at: float | None = None
+        self._call_sent_at = 0.0
+        self._last_failure_at: float | None = None
         self._step_scope: anyio.CancelScope | None = None
         self.last_list_sent_at = float("-inf")
-        """When the last list was asked for that has come."""
+        """Time at which the last successful list was requested."""
         self.active = False
-        """Whether this gateway reads the kind itself."""
+        """Whether this gateway reads the kind from the store itself."""
         self.failing = False
-        """Whether the last call brought no answer."""
+        """Whether the last call failed."""
         self.answering_since: float | None = None
-        """Since when each call was answered, None while the last one was not."""
+        """Time since which every call was answered, None while the last one was not."""
 
     @property
     def last_failure_at(self) -> float | None:
-        """Return when the last call began that the store did not answer, None without any.
+        """Return the time at which the last failed call was sent, None if no call has failed.
 
-        Not when the failure was noticed, nor when the store answered again: both may be seconds
-        after its return, and only what lies behind the failed call is known to be outage.
+        Neither the time at which the failure was detected nor that of the next answer is used:
+        both may be seconds after the store's return. Only the time from the start of the failed
+        call is known to be an outage.
         """
-        return self._away_at
+        return self._last_failure_at
 
     def relist(self) -> None:
-        """List again at once: what was told may be old, and the watch under way may have died."""
+        """List again at once: received data may be out of date, and the open watch may be dead."""
         self._history_gone = True
         if self._step_scope is not None:
             self._step_scope.cancel()
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the kind until cancelled."""
         while True:
-            self.active = self._reading.is_reader()
+            self.active = self._read_policy.is_reader()
             if not self.active:
-                self._rest()
-                await anyio.sleep(self._jitter(_PASSIVE_SECONDS))
+                self._reset()
+                await anyio.sleep(self._jitter(_READER_CHECK_INTERVAL_SECONDS))
                 continue
             if self._revision < 0 and not self._kind.may_start():
-                await anyio.sleep(_START_SECONDS)
+                await anyio.sleep(_START_CHECK_INTERVAL_SECONDS)
                 continue
             try:
                 with anyio.CancelScope() as self._step_scope:
@@ -158,20 +161,21 @@
             except StoreError as error:
                 await self._back_off(error)
             except Exception as error:
-                # A fault of ours in reading must not end the following for good.
+                # A programming error in a callback must not stop this loop permanently.
                 self._log.note("watch.fault", kind=self._kind.name, error=repr(error))
                 self._history_gone = True
-                await anyio.sleep(self._jitter(_LONGEST_PAUSE_SECONDS))
+                await anyio.sleep(self._jitter(_MAX_PAUSE_SECONDS))
 
-    def _rest(self) -> None:
-        """Go on later from what the others brought meanwhile."""
+    def _reset(self) -> None:
+        """Reset, so that reading later resumes from the revision received from other gateways."""
         self.failing = False
         self._revision = -1
         self._pause = _FIRST_PAUSE_SECONDS
 
     async def _step(self) -> None:
         kind = self._kind
-        # What others brought need not be asked for again: its history may be gone by now.
+        # Changes received from other gateways are not requested again: the store may no longer
+        # have their history.
         self._revision = max(self._revision, kind.held_revision())
         if self._revision < 0 or self._history_gone:
             await self._list()
@@ -180,25 +184,25 @@
         await anyio.sleep(self._jitter(kind.interval))
 
     async def _list(self) -> None:
-        self._asked_at = self._clock()
+        self._call_sent_at = self._clock()
         listed = await self._store.list_kind(self._kind.name)
         self._note_answer()
         self._history_gone = False
         self._revision = listed.revision
-        self.last_list_sent_at = self._asked_at
+        self.last_list_sent_at = self._call_sent_at
         self._kind.on_list(listed)
 
     async def _watch(self) -> None:
         kind = self._kind
-        self._asked_at = self._clock()
-        wait = kind.max_watch_seconds * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)
-        changes, revision = await self._store.watch(kind.name, self._revision, wait)
+        self._call_sent_at = self._clock()
+        watch_seconds = kind.max_watch_seconds * self._rng.uniform(_MIN_WATCH_FRACTION, 1.0)
+        changes, revision = await self._store.watch(kind.name, self._revision, watch_seconds)
         self._note_answer()
         if changes:
             kind.on_changes(changes, revision)
             self._revision = max(self._revision, revision)
-        # Without changes it goes on from where it was: a store in trouble may hold events
-        # back while its revision moves on, and would never tell of them again.
+        # Without changes the revision stays as it is: an impaired store may withhold events while
+        # its revision increases, and would not deliver them after that revision.
 
     def _note_answer(self) -> None:
         self._pause = _FIRST_PAUSE_SECONDS
@@ -209,18 +213,18 @@
             self._log.note("dependency.regained", name="store", kind=self._kind.name)
 
     async def _back_off(self, error: StoreError) -> None:
-        self._away_at = self._asked_at
+        self._last_failure_at = self._call_sent_at
         self.answering_since = None
         if not self.failing:
             self.failing = True
             self._log.note("dependency.lost", name="store", kind=self._kind.name, error=repr(error))
-        longest = (
-            _STAND_IN_PAUSE_SECONDS
-            if self._reading.is_substitute_reader()
-            else _LONGEST_PAUSE_SECONDS
+        max_pause = (
+            _MAX_SUBSTITUTE_PAUSE_SECONDS
+            if self._read_policy.is_substitute_reader()
+            else _MAX_PAUSE_SECONDS
         )
-        await anyio.sleep(self._jitter(min(longest, self._pause)))
-        self._pause = min(longest, self._pause * 2)
+        await anyio.sleep(self._jitter(min(max_pause, self._pause)))
+        self._pause = min(max_pause, self._pause * 2)
 
     def _jitter(self, seconds: float) -> float:
         return seconds * self._rng.uniform(0.7, 1.3)
