--- a/src/lotushill/process/__init__.py
+++ b/src/lotushill/process/__init__.py
@@ -1,3 +1,3 @@
-"""What a gateway's process is made of beside its work: settings, figures, tasks, suspensions."""
+"""Process infrastructure of a gateway: settings, metrics, background tasks, suspensions."""
 
 from __future__ import annotations
--- a/src/lotushill/process/metrics.py
+++ b/src/lotushill/process/metrics.py
@@ -1,6 +1,6 @@
-"""Counters and latency histograms of one gateway, in the usual text form.
+"""Counters, gauges and latency histograms of one gateway, in the Prometheus text format.
 
-The library that writes the text is loaded at the first scrape, so that starts are short.
+The Prometheus library is imported at the first scrape, which keeps the start of a gateway short.
 """
 
 from __future__ import annotations
@@ -21,11 +21,14 @@
 _SECONDS = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
 _RATIOS = (0.25, 0.5, 0.7, 0.85, 1.0, 1.2, 1.5, 2.0, 4.0, 8.0)
 _LEAST_PREDICTED = 0.001
-"""Seconds; a step of an engine takes longer."""
+"""Lower bound of predicted times in the prediction ratio, in seconds.
+
+A step of an engine takes longer.
+"""
 
 
 class _Counts:
-    """Events counted by their labels."""
+    """A counter with one value for each combination of labels."""
 
     def __init__(self, name: str, text: str, labels: Labels) -> None:
         self.name = name
@@ -35,7 +38,7 @@
 
 
 class _Buckets:
-    """How many observations fell between bounds, and their sum."""
+    """Number of observations in each bucket of a histogram, and the sum of all observations."""
 
     def __init__(self, bounds: int) -> None:
         self.counts = [0] * (bounds + 1)
@@ -43,7 +46,7 @@
 
 
 class _Histogram:
-    """Observations by their labels."""
+    """A histogram with one set of buckets for each combination of labels."""
 
     def __init__(self, name: str, text: str, labels: Labels, bounds: tuple[float, ...]) -> None:
         self.name = name
@@ -53,7 +56,7 @@
         self.values: dict[Labels, _Buckets] = {}
 
     def observe(self, labels: Labels, value: float) -> None:
-        """Note one observation."""
+        """Record one observation."""
         buckets = self.values.get(labels)
         if buckets is None:
             buckets = self.values[labels] = _Buckets(len(self.bounds))
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True)
 class _Gauge:
-    """A figure that is read when asked for."""
+    """A gauge whose value is read at each scrape."""
 
     name: str
     text: str
@@ -71,15 +74,18 @@
 
 
 class Metrics:
-    """The figures; labels are services and outcomes, which are few."""
+    """All metrics of one gateway.
+
+    Labels are services, tiers and outcomes, so that there are few combinations of them.
+    """
 
     def __init__(self) -> None:
         self._requests = _Counts(
-            "lotushill_requests", "Requests by their end", ("service", "outcome")
+            "lotushill_requests", "Requests by outcome", ("service", "outcome")
         )
         self._attempts = _Counts(
             "lotushill_attempts",
-            "Attempts at upstreams by tier and by their end",
+            "Attempts at upstreams by tier and by how they ended",
             ("service", "tier", "end"),
         )
         self._refused = _Counts(
@@ -89,68 +95,73 @@
         )
         self._moves = _Counts(
             "lotushill_moves",
-            "Handovers of runs to other upstreams, by why and by how they ended",
+            "Handovers of runs to other upstreams, by cause and by how they ended",
             ("cause", "end"),
         )
         self._moved_runs = _Counts(
-            "lotushill_moved_runs", "Runs that had to go on from moved memory", ("end",)
+            "lotushill_moved_runs", "Runs that had to be resumed from moved KV memory", ("end",)
         )
         self._turned_away = _Counts(
-            "lotushill_turned_away", "Requests answered without a service", ("status",)
+            "lotushill_turned_away",
+            "Requests rejected before a service was determined",
+            ("status",),
         )
         self._seconds = _Histogram(
-            "lotushill_request_seconds", "From arrival to the end", ("service",), _SECONDS
+            "lotushill_request_seconds",
+            "Seconds from the arrival of a request to its end",
+            ("service",),
+            _SECONDS,
         )
         self._first_seconds = _Histogram(
             "lotushill_first_seconds",
-            "From sending to the first event or the whole answer",
+            "Seconds from sending a request to the first event or the complete answer",
             ("service",),
             _SECONDS,
         )
         self._prediction = _Histogram(
             "lotushill_prediction_ratio",
-            "Measured over predicted time to the first event",
+            "Measured time to the first event divided by the predicted time",
             ("service",),
             _RATIOS,
         )
         self._gauges: list[_Gauge] = []
 
     def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Serve a figure that is read when asked for."""
+        """Add a gauge whose value `read` returns at each scrape."""
         self._gauges.append(_Gauge(f"lotushill_{name}", text, read))
 
     def note_request(self, service: str, outcome: str, seconds: float) -> None:
-        """Note the end of a request."""
+        """Record the outcome and the duration of a request."""
         self._requests.values[service, outcome.partition(":")[0]] += 1
         self._seconds.observe((service,), seconds)
 
     def note_turned_away(self, status: int) -> None:
-        """Note a request that was answered without a service."""
+        """Record a request that was rejected before its service was determined."""
         self._turned_away.values[(str(status),)] += 1
 
     def note_attempt(self, service: str, tier: int, end: str) -> None:
-        """Note the end of an attempt."""
+        """Record how an attempt at an upstream ended."""
         self._attempts.values[service, str(tier), end] += 1
 
     def note_move(self, cause: str, end: str) -> None:
-        """Note the end of a handover."""
+        """Record how a handover of a run ended."""
         self._moves.values[cause, end] += 1
 
     def note_moved_run(self, end: str) -> None:
-        """Note that a run went on from moved memory, or was cut."""
+        """Record whether a run was resumed from moved KV memory or was interrupted."""
         self._moved_runs.values[(end,)] += 1
 
     def note_refused(self, service: str, tier: int, reason: str) -> None:
-        """Note a request for which no upstream was chosen."""
+        """Record a request for which no upstream was chosen."""
         self._refused.values[service, str(tier), reason] += 1
 
     def note_first(self, service: str, seconds: float, predicted: float) -> None:
-        """Note the time to the first event, beside what was predicted."""
+        """Record the measured time to the first event, and its ratio to the predicted time."""
         self._first_seconds.observe((service,), seconds)
         self._prediction.observe((service,), seconds / max(_LEAST_PREDICTED, predicted))
 
     def text(self) -> bytes:
-        """Return all figures."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry
         from prometheus_client import generate_latest
 
@@ -159,7 +170,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Yield all figures, as the library asks for them."""
+        """Yield all metrics; called by the Prometheus registry."""
         from prometheus_client.core import CounterMetricFamily
         from prometheus_client.core import GaugeMetricFamily
         from prometheus_client.core import HistogramMetricFamily
@@ -186,7 +197,7 @@
 
 
 def _cumulative(bounds: tuple[float, ...], buckets: _Buckets) -> list[tuple[str, float]]:
-    """Return how many observations were at most each bound."""
+    """Return, for each bound, the number of observations that are not above it."""
     total = 0
     found: list[tuple[str, float]] = []
     for bound, count in zip([*map(str, bounds), "+Inf"], buckets.counts):
--- a/src/lotushill/process/settings.py
+++ b/src/lotushill/process/settings.py
@@ -1,7 +1,7 @@
 """The settings of `lotushill-gateway`.
 
-Plain dataclasses and not models: a gateway has to serve soon after its host has power, and the
-models' library takes long to load.
+These are plain dataclasses instead of Pydantic models: a gateway has to serve soon after its host
+is powered on, and Pydantic takes long to import.
 """
 
 from __future__ import annotations
@@ -9,65 +9,65 @@
 from dataclasses import dataclass
 
 Text = str
-"""Some text, not empty."""
+"""A string that is not empty."""
 Address = str
-"""`IP:PORT`."""
+"""An address as `IP:PORT`."""
 Seconds = float
-"""Above 0."""
+"""A duration in seconds, above 0."""
 Amount = float
-"""0 or more."""
+"""A number that is 0 or more."""
 Flag = bool
 
 
 @dataclass(frozen=True)
 class RetrySettings:
-    """The budget that all gateways share for sending a request to a second upstream."""
+    """Retry budget that all gateways share for sending requests to a second upstream."""
 
     ratio: Amount = 0.2
-    """Repeats for each request."""
+    """Retries allowed for each request."""
     slack: Amount = 10.0
-    """Repeats beyond that in one window."""
+    """Retries allowed in addition to the ratio, in one window."""
     window_seconds: Seconds = 10.0
 
 
 @dataclass(frozen=True)
 class DutySettings:
-    """What one gateway does for the whole fleet, where the platform asks for it."""
+    """Settings of the duties that a gateway performs for the fleet if the platform asks for it."""
 
     address: Address
-    """Where the platform takes reports and orders."""
+    """Address at which the platform accepts usage reports and engine orders."""
     lease_seconds: Seconds = 3.0
-    """How long others wait for a holder that is not heard before they take over."""
+    """How long other gateways wait for a renewal by the holder before one of them takes over."""
     fenced: Flag = False
-    """Whether the platform refuses calls with an older token."""
+    """Whether the platform rejects calls with an outdated fencing token."""
     report_window_seconds: Seconds = 5.0
-    """One report of usage covers so much true time."""
+    """Length of the usage window that one report covers, in true time."""
     reports_usage: Flag = True
     orders_engines: Flag = True
 
 
 @dataclass(frozen=True)
 class GatewaySettings:
-    """Settings of one gateway."""
+    """Settings of one gateway process."""
 
     name: Text
-    """Name of the node, unique in the fleet."""
+    """Name of the gateway, unique in the fleet."""
     hall: Text
     region: Text
     clients: Address
-    """Where clients connect."""
+    """Address on which clients connect."""
     readiness: Address
-    """Where readiness, status and metrics are served."""
+    """Address on which readiness, status and metrics are served."""
     peers: Address
-    """Where other gateways send datagrams and open connections."""
+    """Address to which other gateways send datagrams and open connections."""
     store: Address
-    """The platform's store."""
+    """Address of the platform's store."""
     grace_seconds: Seconds = 8.0
-    """How long after the first signal to stop the process is ended."""
+    """Time between the first stop signal and the forced end of the process."""
     leave_seconds: Amount = 3.0
-    """How long after a signal to stop the balancer may still send new connections."""
+    """Time after a stop signal in which the load balancer may still send new connections."""
     recent_seconds: Seconds = 10.0
-    """A shared prompt part used within so long is worth being found again."""
+    """Time since its last use in which a shared prompt part still influences routing."""
     retry: RetrySettings = RetrySettings()
     duties: DutySettings | None = None
-    """None where the platform has no such calls."""
+    """None if the platform has no calls for duties."""
--- a/src/lotushill/process/settings_file.py
+++ b/src/lotushill/process/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads and checks the settings file of `lotushill-gateway`."""
+"""Reads and validates the settings file of `lotushill-gateway`."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
     from pathlib import Path
 
 _MOST_SHOWN = 80
-"""Characters of a value at fault."""
+"""Number of characters of an invalid value that an error message shows."""
 
 S = TypeVar("S", GatewaySettings, RetrySettings, DutySettings)
 
 
 class _ValueError(Exception):
-    """A value that cannot be taken; its text says why."""
+    """A value that is invalid; the message states why."""
 
 
 def read_settings(path: Path) -> GatewaySettings:
-    """Read a settings file; raise SettingsError that lists each fault by its path."""
+    """Read a settings file; raise SettingsError, which lists each fault with its path."""
     return check_settings(parse_file(path), str(path))
 
 
 def check_settings(value: Any, source: str) -> GatewaySettings:
-    """Return settings from plain data; raise SettingsError for any fault, pass over unknown keys.
+    """Return settings from plain data; raise SettingsError on any fault, ignore unknown keys.
 
-    A file that holds no mapping is one fault, named `(document)`.
+    A file that is not a mapping yields a single fault with the path `(document)`.
     """
     faults: list[Fault] = []
     settings = _section(GatewaySettings, value, "", faults)
@@ -49,7 +49,7 @@
 
 def _section(kind: type[S], value: Any, path: str, faults: list[Fault]) -> S | None:
     if not isinstance(value, dict):
-        faults.append(Fault(path or "(document)", _shown(value), "has to be a mapping"))
+        faults.append(Fault(path or "(document)", _shown(value), "must be a mapping"))
         return None
     before = len(faults)
     found: dict[str, Any] = {}
@@ -67,7 +67,7 @@
 
 
 def _checked(kind: str, value: Any, path: str, faults: list[Fault]) -> Any:
-    """Return a value of a kind, which is the name that the field's annotation gives it."""
+    """Return a validated value; `kind` is the name of the type in the field's annotation."""
     if kind == "RetrySettings":
         return _section(RetrySettings, value, path, faults)
     if kind == "DutySettings | None":
@@ -81,7 +81,7 @@
 
 def _text(value: Any, is_address: bool) -> str:
     if not isinstance(value, str) or not value:
-        raise _ValueError("has to be text, and not empty")
+        raise _ValueError("must be a string that is not empty")
     if is_address:
         try:
             split_address(value)
@@ -92,15 +92,15 @@
 
 def _flag(value: Any) -> bool:
     if not isinstance(value, bool):
-        raise _ValueError("has to be true or false")
+        raise _ValueError("must be true or false")
     return value
 
 
 def _number(value: Any, may_be_zero: bool) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise _ValueError("has to be a number")
+        raise _ValueError("must be a finite number")
     if value < 0 or (value == 0 and not may_be_zero):
-        raise _ValueError("has to be 0 or more" if may_be_zero else "has to be above 0")
+        raise _ValueError("must be 0 or more" if may_be_zero else "must be above 0")
     return float(value)
 
 
--- a/src/lotushill/process/side_tasks.py
+++ b/src/lotushill/process/side_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks beside the request path: a fault in one of them must not end the serving of requests."""
+"""Background tasks: an exception in one of them must not stop the gateway from serving requests."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 _FIRST_PAUSE_SECONDS = 0.2
 _LONGEST_PAUSE_SECONDS = 10.0
 _MOST_TRACE = 2000
-"""Characters of a trace that are logged, the last ones."""
+"""Number of characters logged from the end of a stack trace."""
 
 
 class SideTasks:
-    """Runs tasks that start again after a fault, with a pause that grows."""
+    """Runs background tasks and restarts them after an exception, with exponential back-off."""
 
     def __init__(self, log: EventLog, rng: random.Random) -> None:
         self._log = log
         self._rng = rng
         self.faults = 0
-        """Faults of all tasks so far."""
+        """Number of exceptions raised by all tasks so far."""
 
     async def run(self, name: str, task: Callable[[], Awaitable[None]]) -> None:
-        """Run a task until it returns, again after each fault."""
+        """Run a task until it returns; restart it after each exception."""
         pause = _FIRST_PAUSE_SECONDS
         while True:
             try:
--- a/src/lotushill/process/suspension.py
+++ b/src/lotushill/process/suspension.py
@@ -1,4 +1,4 @@
-"""Notices that the host was suspended, and has what was believed before confirmed first."""
+"""Detects that the host was suspended, so that views from before are confirmed before their use."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
     from collections.abc import Callable
 
 _LEAST_SECONDS = 0.25
-"""A suspension that is shorter changes nothing: connections and views outlast more."""
+"""Shortest suspension that is handled; connections and views survive shorter ones."""
 _SETTLE_SECONDS = 0.3
-"""Requests wait so long at most, until the store or peers have told what has changed meanwhile."""
+"""Longest wait of requests for the changes since a suspension from the store or from peers."""
 _POLL_SECONDS = 0.02
 
 
 class SuspensionWatch:
-    """Compares a clock that goes on in a suspension with one that does not."""
+    """Detects suspensions by comparing a clock that advances during them with one that does not."""
 
     def __init__(
         self,
@@ -26,9 +26,10 @@
         on_woke: Callable[[float], None],
         is_confirmed: Callable[[float], bool],
     ) -> None:
-        """Tell `on_woke` for how many seconds the host was suspended.
+        """Call `on_woke` with the seconds for which the host was suspended, after each suspension.
 
-        `is_confirmed` tells whether the views were confirmed since a time on `clock`.
+        `clock` advances during a suspension, `steady` does not. `is_confirmed` returns whether the
+        views were confirmed since a time on `clock`.
         """
         self._clock = clock
         self._steady = steady
@@ -37,10 +38,10 @@
         self._apart = clock() - steady()
         self._woke_at = float("-inf")
         self.wakes = 0
-        """How often the host was suspended so far."""
+        """Number of suspensions detected so far."""
 
     def look(self) -> None:
-        """Notice a suspension since the last look; cheap enough to be called at each step."""
+        """Detect a suspension since the last call; cheap enough to be called at each step."""
         apart = self._clock() - self._steady()
         gap = apart - self._apart
         self._apart = apart
@@ -51,12 +52,12 @@
 
     @property
     def settled(self) -> bool:
-        """Return whether what is believed is no older than the last suspension."""
+        """Whether the views were confirmed since the last suspension or the wait timed out."""
         waited = self._clock() - self._woke_at
         return waited >= _SETTLE_SECONDS or self._is_confirmed(self._woke_at)
 
     async def settle(self) -> None:
-        """Wait until what is believed has been confirmed, for a bounded time."""
+        """Wait, for a bounded time, until the views were confirmed since the last suspension."""
         self.look()
         while not self.settled:
             await anyio.sleep(_POLL_SECONDS)
--- a/tests/process/test_metrics.py
+++ b/tests/process/test_metrics.py
@@ -8,7 +8,7 @@
 class TestMetrics(unittest.TestCase):
     def test_ends_times_and_predictions_are_told(self) -> None:
         metrics = Metrics()
-        metrics.gauge("members", "Gateways that are heard", lambda: 3)
+        metrics.gauge("members", "Gateways that are alive", lambda: 3)
         metrics.note_request("llm", "given-up:reset", 0.3)
         metrics.note_attempt("llm", 1, "broken")
         metrics.note_refused("llm", 0, "overload")
--- a/tests/process/test_side_tasks.py
+++ b/tests/process/test_side_tasks.py
@@ -1,4 +1,4 @@
-"""A fault beside the request path is logged, and the task starts again."""
+"""An exception in a background task is logged, and the task is restarted with a growing delay."""
 
 from __future__ import annotations
 
