--- a/src/lotushill/gateway/__init__.py
+++ b/src/lotushill/gateway/__init__.py
@@ -1,3 +1,3 @@
-"""The request path: from a client to an upstream and back."""
+"""Assembly of one gateway process, and its status and metrics for operators."""
 
 from __future__ import annotations
--- a/src/lotushill/gateway/duties.py
+++ b/src/lotushill/gateway/duties.py
@@ -1,4 +1,4 @@
-"""A gateway's part in the duties of the fleet: its counts, and the keeper where there is one."""
+"""A gateway's part in the duties of the fleet: its request counts and its candidacy as holder."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class DutyParts:
-    """The parts of a running gateway that its duties use."""
+    """Components of a running gateway that its duties use."""
 
     ready: Callable[[], bool]
     views: StoreViews
@@ -51,10 +51,10 @@
 
 
 class FleetDuties:
-    """Counts for the holder of the duties, and may be the holder where the settings ask for it."""
+    """Counts requests for the holder of the duties, and is a candidate if the settings say so."""
 
     def __init__(self, settings: GatewaySettings) -> None:
-        """Count for the gateway of `settings`."""
+        """Create the request counter of the gateway that `settings` describe."""
         self._settings = settings
         self._time = TrueTime(time.time, clocks.now)
         window_seconds = (settings.duties or DutySettings("")).report_window_seconds
@@ -62,7 +62,7 @@
         self._keeper: DutyRunner | None = None
 
     async def run(self, parts: DutyParts) -> None:
-        """Do what falls to this gateway for the whole fleet, once it can serve."""
+        """Run as a candidate for the duties of the fleet, once this gateway is ready to serve."""
         while not parts.ready():
             await anyio.sleep(_TICK_SECONDS)
         self._keeper = self._new_keeper(parts)
@@ -72,26 +72,26 @@
             self._keeper = None
 
     def pages(self, pull: WorkPull) -> Iterable[WorkPage]:
-        """Return what this gateway counted, and take over the time that the asker worked out."""
+        """Return the counts of this gateway, and adopt the time that the requester computed."""
         self._time.set_time(pull.now)
         return self.work.pages(pull.since)
 
     def receive(self, page: WorkPage) -> None:
-        """Take in what another gateway counted."""
+        """Receive the counts of another gateway."""
         if self._keeper is not None:
             self._keeper.receive(page)
 
     async def hand_over(self) -> None:
-        """Let another gateway hold the duties, since this one stops."""
+        """Hand over the duties to another gateway, because this one shuts down."""
         if self._keeper is not None:
             await self._keeper.hand_over()
 
     def status(self) -> dict[str, object] | None:
-        """Return what operators ask of the duties, None without any."""
+        """Return the status of the duties for operators, None if this gateway does not run them."""
         return self._keeper.status() if self._keeper is not None else None
 
     def _new_keeper(self, parts: DutyParts) -> DutyRunner:
-        # Loaded late: nothing of it is needed to serve.
+        # Imported late because serving does not need these modules.
         from lotushill.duties.duty_runner import DutyRunner
         from lotushill.duties.ports import FleetAccess
         from lotushill.platform.duty_api import DutyApi
@@ -124,7 +124,7 @@
 
 
 def _rank(membership: Membership) -> int:
-    """Return the place of this gateway among those that the store serves now."""
+    """Return the rank of this gateway among those that currently read the store."""
     own = membership.own.name
     reading = {
         member.name for member in membership.live() if member.contact is StoreContact.READING
--- a/src/lotushill/gateway/fleet_quarantine.py
+++ b/src/lotushill/gateway/fleet_quarantine.py
@@ -1,4 +1,4 @@
-"""A gateway's part in keeping requests from upstreams that they would end."""
+"""A gateway's part in holding requests under which upstreams would fail."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FleetQuarantine:
-    """The suspects of one gateway, what it tells of them, and what of them is stored."""
+    """The suspects of one gateway, the updates it sends about them, and the holds it stores."""
 
     def __init__(
         self,
@@ -56,19 +56,19 @@
         self._hold_store = HoldStore(store, self.suspects, views.holds, log, rng)
 
     def held(self) -> list[bytes]:
-        """Return the identities of all requests that are held now."""
+        """Return the identities of all requests that are currently held."""
         return self.suspects.held_identities(clocks.now())
 
     def isolated(self) -> list[Group]:
-        """Return the groups of requests that run apart now."""
+        """Return the groups of requests that are currently isolated."""
         return self.isolation.isolated_groups(clocks.now())
 
     def take_stored(self) -> None:
-        """Take what the store has, since it has changed."""
+        """Replace the local copy of the stored holds after the store has changed."""
         self.keeper.take_stored(self._views.holds.holds)
 
     async def store_for_ever(self) -> None:
-        """Bring the store in line with what is held."""
+        """Reconcile the holds in the store with the requests held locally, periodically."""
         while True:
             await anyio.sleep(_LOOK_SECONDS)
             await self._hold_store.reconcile()
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: the parts of `lotushill-gateway` put together."""
+"""Assembles the components of one `lotushill-gateway` process, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -78,20 +78,20 @@
 
 _SWEEP_SECONDS = 0.5
 _LAST_SECONDS = 1.0
-"""Kept of the time to stop, so that the process ends by itself."""
+"""Part of the grace time reserved at its end, so that the process exits before it is killed."""
 _TICK_SECONDS = 0.05
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 _FIXED_SETTINGS = ("name", "hall", "region", "clients", "readiness", "peers", "store", "duties")
-"""Settings that take a restart."""
+"""Settings whose change requires a restart of the process."""
 
 
 class Gateway:
-    """Everything that runs in one gateway process."""
+    """All components of one gateway process."""
 
     def __init__(
         self, settings: GatewaySettings, read_again: Callable[[], GatewaySettings]
     ) -> None:
-        """Put the parts together; `read_again` reads the settings file once more."""
+        """Create and connect the components; `read_again` reads the settings file for a reload."""
         self.settings = settings
         self._read_again = read_again
         self.journal = Journal()
@@ -258,23 +258,24 @@
         self._following: list[asyncio.Task[None]] = []
 
     def ready(self) -> bool:
-        """Return whether clients may be sent here."""
+        """Return whether the load balancer may send clients to this gateway."""
         known = self.views.configuration.table is not None and self.views.upstreams.known
         return known and self.views.knows_holds() and not self._stopping
 
     async def run(self, reload_asked: Callable[[], bool] = lambda: False) -> None:
-        """Serve until a signal says to stop, and then finish what is in progress.
+        """Serve until a stop signal arrives, then finish the requests in progress.
 
-        `reload_asked` tells whether the settings were to be read again while the program started.
+        `reload_asked` returns whether a reload of the settings was requested during the start.
         """
-        # Open until the end: a signal that comes during the stop, to read settings or to stop once
-        # more, would otherwise end the process with all that is in progress.
+        # The receiver stays open until the end: a signal that arrives during the shutdown (a reload
+        # or a second stop) would otherwise kill the process with all requests in progress.
         with anyio.open_signal_receiver(*_SIGNALS) as signals:
             async with anyio.create_task_group() as group:
                 self._start(group)
                 self.log.note("process.started", pid=os.getpid(), hall=self.settings.hall)
                 await self._wait_for_stop(signals, reload_asked)
-                # Beside the stop: a silent store must not take the time of requests in progress.
+                # Runs concurrently with the drain: a store that does not answer must not use up the
+                # time that requests in progress have to finish.
                 group.start_soon(self.side_tasks.run, "hand over", self.duties.hand_over)
                 await self._drain()
                 group.cancel_scope.cancel()
@@ -324,10 +325,8 @@
             for load in self.shared_load.due_snapshots(self.peers.count()):
                 self.peers.tell_load(load)
 
-    # Settings
-
     def _reload(self) -> None:
-        """Read the settings file again; what cannot change in a running process stays."""
+        """Read the settings file again; keep the values that cannot change in a running process."""
         try:
             settings = self._read_again()
         except SettingsError as error:
@@ -340,8 +339,6 @@
         self.fleet.recent.seconds = self.settings.recent_seconds
         self.log.note("process.reload", outcome="in force", needs_restart=needs_restart)
 
-    # Stopping
-
     async def _wait_for_stop(
         self, signals: AsyncIterator[signal.Signals], reload_asked: Callable[[], bool]
     ) -> None:
@@ -353,7 +350,7 @@
             self._reload()
 
     async def _drain(self) -> None:
-        """Be taken out by the balancer first, then finish every request in progress."""
+        """Wait until the load balancer sends no new clients, then finish requests in progress."""
         ends = clocks.now() + self.settings.grace_seconds - _LAST_SECONDS
         self._stopping = True
         self.front.closes_connections = True
@@ -367,10 +364,8 @@
         if self.front.in_progress:
             self.log.note("process.cut", in_progress=self.front.in_progress)
 
-    # Wiring
-
     def _hooks(self) -> PeerHooks:
-        """Return what peers need of parts that are made after them."""
+        """Return the callbacks from peering into components that are created after it."""
         return PeerHooks(
             view_revision=self.views.revision,
             view_text=self.views.text,
@@ -417,7 +412,7 @@
         self.mover.start_due_handovers()
 
     def _knows_fleet(self) -> bool:
-        """Return whether the own model tells what the whole fleet runs."""
+        """Return whether the own model covers the requests that the whole fleet runs."""
         now = clocks.now()
         if not self._start_of_life.is_new(now):
             return True
@@ -426,9 +421,10 @@
         return self._start_of_life.knows_fleet(heard, self.registration.listed, has_model, now)
 
     def _sharing(self) -> int:
-        """Return how many gateways there may be, 0 while the store has not told.
+        """Return the possible number of gateways, 0 until it has been read from the store.
 
-        Members that are heard alone may be one hall of many, which is cut off.
+        The live members alone are not enough: they may be a single hall that is partitioned from
+        the others.
         """
         listed = self.registration.listed
         return max(listed, self.peers.count()) if listed else 0
@@ -442,7 +438,7 @@
         return self._service_named(upstream.service) if upstream is not None else None
 
     def _most_idle(self, upstream: Upstream) -> int:
-        """Return this gateway's part of the connections that an upstream accepts."""
+        """Return this gateway's part, kept idle at most, of the connections an upstream accepts."""
         service = self._service_of(upstream.id)
         if service is None:
             return 0
@@ -455,7 +451,7 @@
         return table.limits if table is not None else ClientLimits()
 
     def _on_woke(self, seconds: float) -> None:
-        """Take what was believed before a suspension for old."""
+        """Treat connections and views from before a suspension as stale."""
         self.log.note("process.woke", suspended=round(seconds, 2))
         self.front.note_suspension(seconds)
         self.pool.close_idle()
--- a/src/lotushill/gateway/status_app.py
+++ b/src/lotushill/gateway/status_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application behind the readiness address: readiness, status, metrics, requests."""
+"""ASGI application on the readiness address: readiness, status, metrics and request events."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         self._journal = journal
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one call."""
+        """Serve one HTTP request."""
         path = str(scope["path"])
         if path == _READY_PATH:
             await send_whole(send, _OK if self._ready() else _NOT_READY, (), b"")
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -1,4 +1,4 @@
-"""What a gateway tells operators of itself: its status, and figures read when asked for."""
+"""Status report of a gateway for operators, and its gauges."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Reported(Protocol):
-    """The parts of a gateway of which it tells."""
+    """The components of a gateway that its status and gauges are read from."""
 
     settings: GatewaySettings
     metrics: Metrics
@@ -54,144 +54,188 @@
     waiting: QueueRunner
 
     def ready(self) -> bool:
-        """Return whether clients may be sent here."""
+        """Return whether the load balancer may send clients to this gateway."""
 
 
 def add_gauges(gateway: Reported) -> None:
-    """Serve the figures that are read when asked for."""
+    """Add the gauges, which are read at each scrape."""
     gauge = gateway.metrics.gauge
     gauge("in_progress", "Requests in progress", lambda: gateway.front.in_progress)
-    gauge("store_calls", "Calls to the store so far", lambda: gateway.store.calls)
-    gauge("peer_bytes", "Bytes of datagrams sent so far", lambda: gateway.peers.bytes_sent)
-    gauge("members", "Gateways that are heard", lambda: len(gateway.peers.membership.live()))
+    gauge("store_calls", "Calls to the store since the start", lambda: gateway.store.calls)
+    gauge(
+        "peer_bytes",
+        "Bytes of datagrams sent to peers since the start",
+        lambda: gateway.peers.bytes_sent,
+    )
+    gauge("members", "Gateways that are alive", lambda: len(gateway.peers.membership.live()))
     gauge(
         "schedules",
-        "1 on one that places by its own model",
+        "1 if this gateway is a scheduler, which places by its own model",
         lambda: float(gateway.peers.schedulers.schedules()),
     )
-    gauge("unanswered_asks", "Asks without an answer", lambda: gateway.peers.client.unanswered)
+    gauge(
+        "unanswered_asks",
+        "Placement queries that were not answered",
+        lambda: gateway.peers.client.unanswered,
+    )
     line = gateway.waiting.queue
-    gauge("waiting", "Requests that wait here for room", lambda: len(line.requests))
-    gauge("waiting_bytes", "Bytes of these, as reckoned", lambda: line.requests.bytes)
-    gauge("waiting_held", "Requests that had to wait here so far", lambda: line.held)
-    gauge("waiting_placed", "Of these, placed so far", lambda: line.placed)
-    gauge("waiting_given_up", "Of these, refused so far", lambda: line.given_up)
+    gauge("waiting", "Entries in the admission queue of this gateway", lambda: len(line.requests))
+    gauge("waiting_bytes", "Estimated bytes of these entries", lambda: line.requests.bytes)
+    gauge("waiting_held", "Requests queued here since the start", lambda: line.held)
+    gauge(
+        "waiting_placed", "Queued requests that were placed, since the start", lambda: line.placed
+    )
     gauge(
-        "waiting_full", "Requests that found the waiting room full", lambda: line.requests.overflows
+        "waiting_given_up",
+        "Queued requests that were refused, since the start",
+        lambda: line.given_up,
+    )
+    gauge(
+        "waiting_full",
+        "Requests that arrived while the admission queue was full",
+        lambda: line.requests.overflows,
     )
     gauge(
         "waiting_elsewhere",
-        "Requests of this gateway that wait at schedulers",
+        "Requests of this gateway that are queued at schedulers",
         lambda: gateway.peers.client.waiting,
     )
-    gauge("upstreams", "Upstreams that are known", lambda: len(gateway.views.upstreams.all()))
+    gauge("upstreams", "Known upstreams", lambda: len(gateway.views.upstreams.all()))
     gauge(
         "entries_ignored",
-        "Entries of upstreams that cannot be read",
+        "Entries of upstreams that are ignored because they cannot be parsed",
         lambda: len(gateway.views.upstream_faults.held),
     )
     gauge(
         "entry_faults",
-        "Entries of upstreams that could not be read, so far",
+        "Entries of upstreams that could not be parsed, since the start",
         lambda: gateway.views.upstream_faults.counted,
     )
     gauge(
         "requests_held",
-        "Requests that are kept from upstreams, by caller, path and body",
+        "Requests that are held, counted by caller, path and body",
         lambda: len(gateway.quarantine.held()),
     )
     gauge(
         "requests_suspected",
-        "Requests under which upstreams ended",
+        "Requests during which upstreams failed",
         lambda: len(gateway.quarantine.suspects),
     )
     gauge(
         "groups_isolated",
-        "Groups of requests that run apart, since upstreams end under them",
+        "Groups of requests that are isolated because upstreams failed during them",
         lambda: len(gateway.quarantine.isolated()),
     )
     gauge(
-        "kept_back", "Arrivals kept from upstreams so far", lambda: gateway.quarantine.keeper.held
+        "kept_back",
+        "Arrivals of held requests that were sent to no upstream, since the start",
+        lambda: gateway.quarantine.keeper.held,
     )
     gauge(
         "upstream_ends",
-        "Ends of upstreams under requests of this gateway so far, once for each request",
+        "Upstream failures during requests of this gateway since the start, one for each request",
         lambda: gateway.quarantine.keeper.upstream_ends,
     )
     gauge(
         "rests_asked",
-        "Rests that upstreams asked for so far",
+        "Cooldowns that upstreams requested, since the start",
         lambda: gateway.rests.requested_count,
     )
     gauge(
         "upstreams_resting",
-        "Upstreams that want nothing from this gateway now",
+        "Upstreams that currently accept no requests from this gateway",
         lambda: len(gateway.rests.barred(clocks.now())),
     )
     gauge(
         "sends_barred",
-        "Requests kept from upstreams that were chosen and want none, so far",
+        "Requests not sent because the chosen upstream accepts none, since the start",
         lambda: gateway.gate.blocked_sends,
     )
     gauge(
         "rests_unreadable",
-        "Wishes for rest that could not be read so far",
+        "Cooldown requests that could not be parsed, since the start",
         lambda: gateway.gate.unreadable_cooldowns,
     )
     gauge(
         "upstreams_limited",
-        "Upstreams that name a limit for all gateways together",
+        "Upstreams that state a limit for all gateways together",
         lambda: len(gateway.limits.stated.limited_rates()),
     )
     gauge(
         "sends_unpermitted",
-        "Requests for which there was no permit at the upstream that was chosen, so far",
+        "Requests that got no permit for the chosen upstream, since the start",
         lambda: gateway.gate.requests_without_permit,
     )
     gauge(
         "permits_denied",
-        "Permits that this gateway denied for upstreams that it counts for, so far",
+        "Permits that this gateway denied as the limit owner of an upstream, since the start",
         lambda: gateway.limits.denied,
     )
     gauge(
         "permits_unanswered",
-        "Permits that were asked for and not answered, so far",
+        "Permit requests that were not answered, since the start",
         lambda: gateway.limits.client.unanswered,
     )
     gauge(
         "limits_unreadable",
-        "Limits that could not be read so far",
+        "Limits that could not be parsed, since the start",
         lambda: gateway.gate.unreadable_limits,
     )
     returns = gateway.fleet.shedding.returns
-    gauge("places_kept", "Callers that were promised a place and are awaited", lambda: len(returns))
-    gauge("places_promised", "Places promised here so far", lambda: returns.made)
-    gauge("returns_placed", "Returns placed here as promised so far", lambda: returns.kept)
-    gauge("returns_early", "Asks of returns before their time so far", lambda: returns.early)
-    gauge("moves_under_way", "Handovers of runs now", lambda: gateway.mover.handovers_in_progress)
+    gauge(
+        "places_kept", "Callers that hold a promise and have not returned yet", lambda: len(returns)
+    )
+    gauge("places_promised", "Promises made here since the start", lambda: returns.made)
+    gauge(
+        "returns_placed",
+        "Returned requests placed here as promised, since the start",
+        lambda: returns.kept,
+    )
+    gauge(
+        "returns_early",
+        "Requests of returning callers before their retry time, since the start",
+        lambda: returns.early,
+    )
+    gauge(
+        "moves_under_way",
+        "Handovers of runs in progress",
+        lambda: gateway.mover.handovers_in_progress,
+    )
     gauge(
         "teams_over_share",
-        "Services and tiers with a team that others go before where there is too little room",
+        "Services and tiers with a team over its share, which yields to others under overload",
         lambda: len(gateway.fleet.shares.teams_over_share(clocks.now())),
     )
     gauge(
         "team_limit_held_back",
-        "Times that a request was kept back by the limit of its team, so far",
+        "Times that a request was delayed by the limit of its team, since the start",
         lambda: gateway.team_limits.delayed_count,
     )
     gauge(
         "waiting_for_start",
-        "Requests that wait until this gateway is ready",
+        "Requests that wait until this gateway is ready to serve",
         lambda: gateway.front.waiting_until_ready,
     )
     gauge(
         "upstreams_uneven",
-        "Upstreams that are slower or faster than their like for good, as far as is known here",
+        "Upstreams whose long-term pace, as known here, differs from the median of their service",
         lambda: len(gateway.fleet.engine_paces.deviating_paces()),
     )
-    gauge("connections_opened", "Connections to upstreams", lambda: gateway.pool.opened)
-    gauge("task_faults", "Faults beside the request path", lambda: gateway.side_tasks.faults)
-    gauge("log_lines_left_out", "Lines over the rate", lambda: gateway.log.left_out_in_all)
+    gauge(
+        "connections_opened",
+        "Connections to upstreams opened since the start",
+        lambda: gateway.pool.opened,
+    )
+    gauge(
+        "task_faults",
+        "Exceptions in background tasks since the start",
+        lambda: gateway.side_tasks.faults,
+    )
+    gauge(
+        "log_lines_left_out",
+        "Log lines dropped by the rate limit",
+        lambda: gateway.log.left_out_in_all,
+    )
     gauge(
         "configuration_revision",
         "Revision of the configuration in force",
@@ -200,7 +244,7 @@
 
 
 def status(gateway: Reported) -> dict[str, object]:
-    """Return what one gateway knows and does, as plain data."""
+    """Return the status of one gateway as plain data."""
     table = gateway.views.configuration.table
     return {
         "name": gateway.settings.name,
@@ -246,7 +290,7 @@
 
 
 def _over_share(gateway: Reported) -> list[dict[str, object]]:
-    """Return the teams that others go before while a service has too little room."""
+    """Return the teams over their share, which yield to others while a service is overloaded."""
     table = gateway.views.configuration.table
     names = {team_number(item.name): item.name for item in table.teams} if table else {}
     return [
--- a/src/lotushill/gateway/store_views.py
+++ b/src/lotushill/gateway/store_views.py
@@ -1,4 +1,4 @@
-"""The views that every gateway follows, fed by the store and by peers."""
+"""The views that every gateway replicates from the store and from peers."""
 
 from __future__ import annotations
 
@@ -26,8 +26,10 @@
     from lotushill.views.watcher import Store
 
 _HOLDS_FIRST_SECONDS = 2.0
-"""Where the holds alone cannot be read, requests are served all the same after so long: one that is
-held may end upstreams, and none served ends all."""
+"""Time after which requests are served although the holds, and only they, cannot be read.
+
+Without the holds, a held request may make upstreams fail; not serving at all fails every request.
+"""
 _UNREADABLE = (
     ValueError,
     TypeError,
@@ -36,11 +38,11 @@
     OverflowError,
     RecursionError,
 )
-"""What reading plain data of any shape may raise."""
+"""Exceptions that parsing plain data of any shape may raise."""
 
 
 class StoreViews:
-    """Keeps the views at the highest revision that was heard of."""
+    """Keeps each view at the highest revision that the store or a peer has announced."""
 
     def __init__(
         self,
@@ -52,16 +54,16 @@
         clock: Callable[[], float] = clocks.now,
         on_holds: Callable[[], None] = lambda: None,
     ) -> None:
-        """Follow `store` while `role` says so; without a role, always.
+        """Watch `store` while `role` says that this gateway is a reader; without a role, always.
 
-        `on_configuration` is called when another configuration is in force, `on_holds` when other
-        requests are held.
+        `on_configuration` is called when a new configuration is in force, `on_holds` when the set
+        of held requests has changed.
         """
         self._clock = clock
         self._role = role
         self._on_configuration = on_configuration
         self._configured_at: float | None = None
-        """When a configuration was first in force, whoever told it."""
+        """Time at which the first configuration came into force, from the store or from a peer."""
         self._doubted_at = float("-inf")
         self._configuration = FollowedConfiguration(log, self._note_configuration, self._may_start)
         self._upstreams = FollowedUpstreams(log, clock, self._away_at)
@@ -84,27 +86,25 @@
         self.upstream_faults = self._upstreams.faults
 
     def tasks(self) -> list[asyncio.Task[None]]:
-        """Start to follow the store, for ever."""
+        """Start the tasks that watch the store; they run until cancelled."""
         return [asyncio.create_task(watcher.run()) for watcher in self._watchers.values()]
 
     def expire(self) -> None:
-        """Take for gone what stayed away for too long after an outage of the store."""
+        """Remove the upstreams that stayed absent for too long after an outage of the store."""
         self._upstreams.expire()
 
     def knows_holds(self) -> bool:
-        """Return whether it is known, or has been asked for long enough, which requests are held.
+        """Return whether the held requests are known, or were queried in vain for long enough.
 
-        A gateway that served before would send them to upstreams again.
+        A gateway that served earlier would send held requests to upstreams again.
         """
         if self._may_start():
             return True
         configured = self._configured_at
         return configured is not None and self._clock() - configured > _HOLDS_FIRST_SECONDS
 
-    # How this gateway stands with the store
-
     def contact(self) -> StoreContact:
-        """Return how this gateway stands with the store."""
+        """Return whether this gateway reads the store, is passive or cannot reach it."""
         watchers = self._deciding()
         if any(watcher.failing for watcher in watchers):
             return StoreContact.AWAY
@@ -113,24 +113,24 @@
         return StoreContact.PASSIVE
 
     def fresh(self) -> bool:
-        """Return whether nothing newer is known anywhere than the configuration in force."""
+        """Return whether no newer configuration is known anywhere than the one in force."""
         watcher = self._watchers[ViewKind.CONFIGURATION]
         if watcher.active and not watcher.failing:
             return watcher.confirmed_from >= self._doubted_at
         return self._role is not None and self._role.told_by_others(self.configuration.revision)
 
     def doubt(self) -> None:
-        """Ask the store again for all that this gateway reads, since it may be old."""
+        """Read all views of this gateway from the store again, because they may be stale."""
         self._doubted_at = self._clock()
         for watcher in self._watchers.values():
             watcher.doubt()
 
     def confirmed(self, since: float) -> bool:
-        """Return whether this gateway read configuration and upstreams from a time on."""
+        """Return whether this gateway has read configuration and upstreams since a given time."""
         return all(watcher.confirmed_from >= since for watcher in self._deciding())
 
     def _deciding(self) -> tuple[Watcher, Watcher]:
-        """Return who follows what no request is served without."""
+        """Return the watchers of configuration and upstreams, which every request needs."""
         return self._watchers[ViewKind.CONFIGURATION], self._watchers[ViewKind.UPSTREAMS]
 
     def _away_at(self) -> float | None:
@@ -139,10 +139,11 @@
     def _may_start(self) -> bool:
         """Return whether the configuration, without which nothing is served, may be read.
 
-        It is read after the holds: a gateway that had read it alone before the store went away
-        would send what is held to upstreams. Only a store that has answered other calls all the
-        while says that the holds alone cannot be read: with the time counted from the start, a
-        gateway that started in an outage read both at once when the store was back.
+        It is read after the holds: a gateway that had read only the configuration before the store
+        became unreachable would send held requests to upstreams. The wait for the holds counts only
+        while the store answers other calls, which shows that only the holds cannot be read. Counted
+        from the start instead, it had expired in a gateway that started during an outage, which
+        then read both at once when the store was back.
         """
         if self.holds.revision >= 0:
             return True
@@ -155,10 +156,8 @@
         self.settings.forget_routes()
         self._on_configuration()
 
-    # Peers
-
     def text(self, kind: ViewKind) -> tuple[int, str]:
-        """Return the revision and the JSON text of a view, for a peer."""
+        """Return the revision and the JSON text of a view, to be sent to a peer."""
         followed = self._followed[kind]
         return followed.revision, followed.text()
 
@@ -167,7 +166,7 @@
         return self._followed[kind].revision
 
     def take_from_peer(self, kind: ViewKind, revision: int, text: str) -> None:
-        """Take a peer's view if it is newer; raise MalformedViewError if it cannot be read."""
+        """Replace a view by a newer one of a peer; raise MalformedViewError if it is malformed."""
         try:
             self._followed[kind].take_from_peer(json.loads(text), revision)
         except _UNREADABLE as error:
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -1,8 +1,9 @@
-"""What a gateway loads until it serves: all hosts may come back at once, with little processor.
+"""Libraries that a gateway imports until it serves.
 
-With the models of the settings tree, the metrics' library and the YAML library loaded, a start took
-0.42 s of processor time where a bare interpreter with a loop and a socket took 0.08 s; without them
-0.27 s (best of twelve, in turns).
+All hosts may restart at once with little processor time. With Pydantic (models of the settings
+tree), the Prometheus library and the YAML library imported, a start took 0.42 s of processor time;
+without them 0.27 s; a bare interpreter with an event loop and a socket 0.08 s (best of twelve,
+alternating).
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 import unittest
 
 LATER = ("pydantic", "pydantic_core", "prometheus_client", "ruamel", "numpy", "matplotlib")
-"""Libraries that are loaded when something asks for them, if at all."""
+"""Libraries that are imported on first use only."""
 _PROGRAM = """
 import sys
 from lotushill.console.gateway import main
