--- a/src/lotushill/console/__init__.py
+++ b/src/lotushill/console/__init__.py
@@ -1,3 +1,3 @@
-"""The console layer: argument parsing for each program."""
+"""Command-line programs: argument parsing, commands and process setup."""
 
 from __future__ import annotations
--- a/src/lotushill/console/fleet_commands.py
+++ b/src/lotushill/console/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands of `lotushill` that ask the gateways of a fleet."""
+"""Commands of `lotushill` that query the gateways of a fleet."""
 
 from __future__ import annotations
 
@@ -33,22 +33,22 @@
 
 @dataclass(frozen=True)
 class Gateway:
-    """Where a gateway tells its status."""
+    """A registered gateway and the address of its status."""
 
     name: str
     hall: str
     status: str
-    """IP:PORT."""
+    """Address of the status listener, as `IP:PORT`."""
 
 
 class FleetCommands:
-    """The commands against the gateways that registered in one store."""
+    """Commands that query the gateways registered in one store."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     async def status(self, options: argparse.Namespace) -> Result:
-        """Show what is in force at each gateway; exit code 1 unless all agree."""
+        """Show the revisions in force at each gateway; exit code 1 unless all gateways agree."""
         seen = ""
         while True:
             result = await self._status()
@@ -60,13 +60,13 @@
             await anyio.sleep(_WATCH_SECONDS)
 
     async def explain(self, options: argparse.Namespace) -> Result:
-        """Tell what happened to a request, from the gateway that it came through."""
+        """Show the events of a request, from the gateway that received it."""
         answers = await self._ask_all(EXPLAIN_PATH + options.request)
         for name, events in answers.items():
             if events:
                 lines = [f"{name}:", *(_event_line(item) for item in events)]
                 return Result("\n".join(lines), {"gateway": name, "events": events})
-        return Result(f"no gateway remembers request {options.request}", None, EXIT_FAILED)
+        return Result(f"no gateway has events of request {options.request}", None, EXIT_FAILED)
 
     async def _status(self) -> Result:
         gateways = await self._gateways()
@@ -76,8 +76,8 @@
         held = {json.dumps(_in_force(row)) for row in rows.values() if row}
         agree = len(held) == 1 and not silent
         lines = [
-            f"{len(rows) - len(silent)} of {len(rows)} gateways answer"
-            + (", all with the same in force" if agree else "")
+            f"{len(rows) - len(silent)} of {len(rows)} gateways answered"
+            + (", all with the same configuration and settings in force" if agree else "")
         ]
         lines += duty_lines(rows) + limit_lines(rows) + share_lines(rows)
         lines += waiting_lines(rows) + pace_lines(rows)
@@ -93,7 +93,7 @@
         ]
 
     async def _ask_all(self, path: str) -> dict[str, Any]:
-        """Return what each gateway answers, None for those that give no good answer."""
+        """Return the JSON answer of each gateway, None for those without a valid answer."""
         answers: dict[str, Any] = {}
 
         async def ask(gateway: Gateway) -> None:
@@ -126,13 +126,13 @@
 
 
 def duty_lines(rows: Mapping[str, dict[str, Any] | None]) -> list[str]:
-    """Return who does the duties of the fleet, and what was last ordered, by gateways' status."""
+    """Return the holder of the duties and its last engine orders, from the gateways' status."""
     duties = {name: row["duties"] for name, row in rows.items() if row and row.get("duties")}
     if not duties:
         return []
     holders = [name for name, item in duties.items() if item["held_here"]]
     if not holders:
-        return ["duties: nobody says that it holds them"]
+        return ["duties: no gateway reports that it holds them"]
     lines = []
     for name in holders:
         item = duties[name]
@@ -149,38 +149,38 @@
 
 
 def limit_lines(rows: Mapping[str, dict[str, Any] | None]) -> list[str]:
-    """Return the limits that upstreams name, and at how many gateways each is known."""
+    """Return the limits that upstreams state, with the number of gateways that know each."""
     told = [row["upstreams"].get("limited", {}) for row in rows.values() if row]
     known = Counter((name, rate) for limits in told for name, rate in limits.items())
     return [
-        f"limit: {name} takes {rate:g} requests a second from all gateways, as {count} of "
-        f"{len(told)} know"
+        f"limit: {name} accepts {rate:g} requests/s from all gateways, known to {count} of "
+        f"{len(told)} gateways"
         for (name, rate), count in sorted(known.items())
     ]
 
 
 def share_lines(rows: Mapping[str, dict[str, Any] | None]) -> list[str]:
-    """Return the teams that have had more than their share, and what most gateways see of it."""
+    """Return the teams that exceed their share, with the largest excess that a gateway reports."""
     seen: dict[tuple[str, int, str], list[float]] = {}
     for row in rows.values():
         for item in row.get("over_share", ()) if row else ():
             key = (item["service"], item["tier"], item["team"])
             seen.setdefault(key, []).append(item["times"])
     return [
-        f"share: {team or 'no team'} has had up to {max(times):.1f} times the mean of the other "
-        f"teams of {service}, tier {tier}, as {len(times)} gateways see"
+        f"share: {team or 'no team'} has used up to {max(times):.1f} times the mean of the other "
+        f"teams of {service}, tier {tier}, reported by {len(times)} gateways"
         for (service, tier, team), times in sorted(seen.items())
     ]
 
 
 def waiting_lines(rows: Mapping[str, dict[str, Any] | None]) -> list[str]:
-    """Return how many requests wait for room at all gateways together, a line for each service."""
+    """Return the number of queued requests over all gateways, one line for each service."""
     waiting: dict[str, Counter[str]] = {}
     for row in rows.values():
         for service, tiers in (row or {}).get("waiting", {}).get("tiers", {}).items():
             waiting.setdefault(service, Counter()).update(tiers)
     return [
-        f"waiting for room: {service} {sum(tiers.values())} ("
+        f"queued requests: {service} {sum(tiers.values())} ("
         + ", ".join(f"tier {tier}: {count}" for tier, count in sorted(tiers.items()))
         + ")"
         for service, tiers in sorted(waiting.items())
@@ -188,17 +188,20 @@
 
 
 def pace_lines(rows: Mapping[str, dict[str, Any] | None]) -> list[str]:
-    """Return the upstreams that differ from their like for good, and how many gateways say so."""
+    """Return the upstreams whose pace differs, with the number of gateways that report each.
+
+    The pace is long-term and relative to the median upstream of the service.
+    """
     told = [row["upstreams"].get("paces", {}) for row in rows.values() if row]
     said: defaultdict[str, list[list[float]]] = defaultdict(list)
     for paces in told:
         for name, pace in paces.items():
             said[name].append(pace)
     return [
-        f"pace: {name} takes {statistics.median(steps for steps, _ in paces):.2f} times as long as "
-        f"its like for a step, and its readings "
-        f"{statistics.median(reading for _, reading in paces):.2f} times as long beside that, as "
-        f"{len(paces)} of {len(told)} know"
+        f"pace: {name} takes {statistics.median(steps for steps, _ in paces):.2f} times the median "
+        f"of its service for a step, and for prefill a further factor of "
+        f"{statistics.median(reading for _, reading in paces):.2f}, reported "
+        f"by {len(paces)} of {len(told)} gateways"
         for name, paces in sorted(said.items())
     ]
 
@@ -212,7 +215,7 @@
         f"settings {status['settings']['in_force']}, "
         f"{len(status['upstreams']['known'])} upstreams, {len(status['members'])} members, "
         f"{status['in_progress']} in progress, "
-        f"{status.get('places_kept', 0)} awaited back"
+        f"{status.get('places_kept', 0)} promises open"
     )
     faults = [f"  {name}: {fault}" for name, fault in status["settings"]["faults"].items()]
     ignored = [f"  {name}: ignored, {why}" for name, why in status["upstreams"]["ignored"].items()]
--- a/src/lotushill/console/gateway.py
+++ b/src/lotushill/console/gateway.py
@@ -1,4 +1,4 @@
-"""The program `lotushill-gateway`."""
+"""The program `lotushill-gateway`: runs one gateway process."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     from lotushill.process.settings import GatewaySettings
 
 CONFIG_VARIABLE = "LOTUSHILL_NODE_FILE"
-"""Names the settings file where no `--config` is given."""
+"""Environment variable that names the settings file if `--config` is not given."""
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run one gateway."""
+    """Run one gateway process."""
     signals = ProcessSignals()
     signals.install()
-    # Loading makes many objects and no garbage: without the collector it takes a tenth less
-    # time, which counts when all hosts come back at once. What was loaded stays for good.
+    # Imports create many objects and no garbage: with garbage collection disabled they take a
+    # tenth less time, which matters when all hosts restart at once. The imported objects are never
+    # freed, so they are frozen once the gateway has been created.
     gc.disable()
     from lotushill.console.program import new_parser
     from lotushill.console.program import read_or_exit
@@ -31,7 +32,7 @@
     from lotushill.console.program import start_logs
     from lotushill.process.settings_file import read_settings
 
-    parser = new_parser("lotushill-gateway", "Route requests on one node.")
+    parser = new_parser("lotushill-gateway", "Route requests on one host.")
     parser.add_argument(
         "--config",
         type=Path,
@@ -40,7 +41,7 @@
     )
     path = parser.parse_args(arguments).config
     if path is None:
-        parser.error(f"--config or ${CONFIG_VARIABLE} is needed")
+        parser.error(f"--config or ${CONFIG_VARIABLE} is required")
     start_logs("INFO")
     run(_serve, read_or_exit(read_settings, Path(path)), Path(path), signals)
 
--- a/src/lotushill/console/load.py
+++ b/src/lotushill/console/load.py
@@ -1,4 +1,4 @@
-"""The program `lotushill-load`: measurements of the mechanisms, with results as JSON."""
+"""The program `lotushill-load`: measures the mechanisms of a gateway, with results as JSON."""
 
 from __future__ import annotations
 
@@ -36,28 +36,28 @@
 
 def _add_slopes(commands: Any) -> None:
     parser = commands.add_parser("slopes", help="processor time and bytes of each mechanism")
-    parser.add_argument("--json", type=Path, help="write the figures to this file as well")
-    parser.add_argument("--repeats", type=int, default=400, help="calls in a round")
+    parser.add_argument("--json", type=Path, help="also write the figures to this file")
+    parser.add_argument("--repeats", type=int, default=400, help="calls per round")
     parser.set_defaults(run=_run_slopes)
 
 
 def _add_policy(commands: Any) -> None:
     parser = commands.add_parser(
-        "policy", help="replay a load before emulated engines, and compare variants of decisions"
+        "policy", help="replay a load against emulated engines and compare variants of the policy"
     )
     parser.add_argument("scenario", type=Path, help="YAML, as in bench/scenarios")
-    parser.add_argument("--seeds", type=int, default=3, help="plays of each variant")
-    parser.add_argument("--processes", type=int, default=2, help="plays at a time")
+    parser.add_argument("--seeds", type=int, default=3, help="replays of each variant")
+    parser.add_argument("--processes", type=int, default=2, help="replays run in parallel")
     parser.set_defaults(run=_run_policy)
 
 
 def _add_limits(commands: Any) -> None:
     parser = commands.add_parser(
-        "limits", help="compare ways in which gateways keep to an upstream's limit together"
+        "limits", help="compare schemes by which gateways jointly keep to an upstream's limit"
     )
     parser.add_argument("--gateways", type=int, nargs="+", default=[9, 81, 360])
     parser.add_argument("--rates", type=float, nargs="+", default=[0.2, 1.0, 4.0, 50.0])
-    parser.add_argument("--processes", type=int, default=2, help="plays at a time")
+    parser.add_argument("--processes", type=int, default=2, help="replays run in parallel")
     parser.set_defaults(run=_run_limits)
 
 
--- a/src/lotushill/console/operator.py
+++ b/src/lotushill/console/operator.py
@@ -1,4 +1,4 @@
-"""The program `lotushill`: edits the settings tree and reads back status."""
+"""The program `lotushill`: edits the settings tree and shows the status of the fleet."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 
 ENVIRONMENT = "LOTUSHILL_STORE"
 _DEFAULT_STORE = "127.0.0.1:7000"
-_EXIT_CODES = """exit codes: 0 done; 1 not found, not done, or not in force everywhere;
-2 settings or arguments at fault; 3 another edit got there first; 4 the platform's store gives no
-answer, or the effect is not known"""
+_EXIT_CODES = """exit codes: 0 success; 1 not found, not done, or not in force at all gateways;
+2 invalid settings or arguments; 3 conflict with a concurrent edit; 4 the platform's store does not
+answer, or the effect is unknown"""
 
 
 def main(arguments: list[str] | None = None) -> None:
@@ -50,7 +50,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run one command and return its exit code; failures are told on standard error."""
+    """Run one command and return its exit code; print failures on standard error."""
     try:
         result: Result = anyio.run(options.run, ObjectStore(options.store), options)
     except SettingsError as error:
@@ -75,13 +75,13 @@
 
 
 def _parser() -> argparse.ArgumentParser:
-    parser = new_parser("lotushill", "Edit the settings tree and read back status.")
+    parser = new_parser("lotushill", "Edit the settings tree and show the status of the fleet.")
     parser.epilog = _EXIT_CODES
     default = os.environ.get(ENVIRONMENT, _DEFAULT_STORE)
     parser.add_argument(
         "--store", default=default, help=f"the platform's store as IP:PORT, or ${ENVIRONMENT}"
     )
-    parser.add_argument("--json", action="store_true", help="answer in JSON")
+    parser.add_argument("--json", action="store_true", help="print the result as JSON")
     commands = parser.add_subparsers(dest="command", required=True)
     _add_settings(commands)
     _add_fleet(commands)
@@ -94,12 +94,16 @@
 
     apply = _add(commands, "apply", "write files as settings", _settings("apply"))
     apply.add_argument("files", type=Path, nargs="+")
-    apply.add_argument("--base", type=Path, help="the file that was edited, to merge by")
+    apply.add_argument(
+        "--base", type=Path, help="the file as it was before the edit, base of a three-way merge"
+    )
 
     get = _add(commands, "get", "show an object, or all names", _settings("get"))
     get.add_argument("name", nargs="?", help="root or team/NAME")
     get.add_argument(
-        "--effective", metavar="SERVICE/CLASS", help="the values in force and their levels"
+        "--effective",
+        metavar="SERVICE/CLASS",
+        help="show the values in force and the levels that set them",
     )
 
     diff = _add(commands, "diff", "show what applying a file would change", _settings("diff"))
@@ -107,8 +111,8 @@
 
     put = _add(commands, "set", "set one value by its path", _settings("put"))
     put.add_argument("name", help="root or team/NAME")
-    put.add_argument("path", help="such as services.rsvp.classes.answer.policy.tier")
-    put.add_argument("value", help="in YAML")
+    put.add_argument("path", help="for example services.rsvp.classes.answer.policy.tier")
+    put.add_argument("value", help="new value in YAML")
 
     unset = _add(commands, "unset", "remove one value by its path", _settings("unset"))
     unset.add_argument("name", help="root or team/NAME")
@@ -116,16 +120,18 @@
 
 
 def _add_fleet(commands: Any) -> None:
-    status = _add(commands, "status", "what is in force at each gateway", _fleet("status"))
-    status.add_argument("--watch", action="store_true", help="show again when it changes")
+    status = _add(commands, "status", "show what is in force at each gateway", _fleet("status"))
+    status.add_argument(
+        "--watch", action="store_true", help="print the status again whenever it changes"
+    )
 
-    explain = _add(commands, "explain", "tell what happened to a request", _fleet("explain"))
+    explain = _add(commands, "explain", "show what happened to a request", _fleet("explain"))
     explain.add_argument("request")
 
-    _add(commands, "held", "list requests kept from upstreams", _quarantine("held"))
+    _add(commands, "held", "list held requests, which are sent to no upstream", _quarantine("held"))
 
-    release = _add(commands, "release", "let a held request go", _quarantine("release"))
-    release.add_argument("identity", help="as listed by `held`, or how it begins")
+    release = _add(commands, "release", "release a held request", _quarantine("release"))
+    release.add_argument("identity", help="identity as listed by `held`, or a prefix of it")
 
 
 def _settings(name: str) -> Command:
--- a/src/lotushill/console/process_signals.py
+++ b/src/lotushill/console/process_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while no loop takes them: before it runs, and once it has ended."""
+"""Handles signals while no event loop does: before it runs, and after it has ended."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 
 
 class ProcessSignals:
-    """Without it each of these signals ends a process that is still loading.
+    """Signal handlers for the start and the end of a process.
 
-    A start takes some 0.3 s of processor time; where all hosts come back at once that is seconds.
+    Without them, SIGHUP and SIGTERM kill a process that is still importing modules. A start takes
+    about 0.3 s of processor time, which is several seconds when all hosts restart at once.
     """
 
     def __init__(self) -> None:
         self.reload_asked = False
-        """Whether the settings are to be read again once the program runs."""
+        """Whether a reload of the settings was requested, to be done once the program runs."""
 
     def install(self) -> None:
-        """Take signals from now on, until the loop does."""
+        """Install handlers for the time until the event loop receives signals."""
         signal.signal(signal.SIGHUP, self._note_reload)
         signal.signal(signal.SIGTERM, self._stop)
 
     def ignore(self) -> None:
-        """Let signals change nothing any more, since the process ends by itself."""
+        """Ignore signals, because the process is about to exit by itself."""
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
@@ -34,6 +35,6 @@
         self.reload_asked = True
 
     def _stop(self, number: int, frame: FrameType | None) -> None:
-        # At once, since nothing was taken on yet that would have to be finished: an error that is
-        # raised here would be lost where it comes in a callback of the import system.
+        # Exits at once, since there are no requests in progress yet. An exception raised here would
+        # be lost if the signal arrives during a callback of the import system.
         os._exit(0)
--- a/src/lotushill/console/program.py
+++ b/src/lotushill/console/program.py
@@ -1,4 +1,4 @@
-"""What every program of the console layer shares: arguments, settings files, logs, exit codes."""
+"""Common parts of the command-line programs: arguments, settings files, logging, exit codes."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 def new_parser(name: str, description: str) -> argparse.ArgumentParser:
-    """Return a parser with the options that every program has."""
+    """Return a parser with the options common to all programs."""
     parser = argparse.ArgumentParser(prog=name, description=description)
     parser.add_argument("--version", action="version", version=f"{name} {__version__}")
     return parser
 
 
 def read_or_exit(read: Callable[[Path], S], path: Path) -> S:
-    """Return the settings of a file; end the program with a clear error for a bad one."""
+    """Return the settings of a file; exit with an error message if it is invalid."""
     try:
         return read(path)
     except SettingsError as error:
@@ -49,7 +49,7 @@
 
 
 def parse_config_option(name: str, description: str) -> Path:
-    """Return the path given by `--config`."""
+    """Parse the arguments and return the path given by `--config`."""
     parser = new_parser(name, description)
     parser.add_argument("--config", type=Path, required=True, help="settings file (YAML)")
     path: Path = parser.parse_args().config
@@ -57,17 +57,17 @@
 
 
 def _is_news(record: logging.LogRecord) -> bool:
-    """Return False for the server's remark on an answer that is ended uncleanly on purpose."""
+    """Return False for Uvicorn's error on an answer that is deliberately left incomplete."""
     return record.getMessage() != _UNCLEAN_END
 
 
 def start_logs(level: str) -> None:
-    """Send logs to standard error, each line with the prefix of its part."""
+    """Send logs to standard error, each line with the name of its logger."""
     logging.basicConfig(level=level.upper(), format=_LOG_FORMAT, stream=sys.stderr)
     logging.getLogger("uvicorn.error").addFilter(_is_news)
     logging.getLogger("uvicorn").setLevel(logging.ERROR)
 
 
 def run(main: Callable[..., Awaitable[Any]], *arguments: object) -> None:
-    """Run a program's loop."""
+    """Run an asynchronous main function in an event loop."""
     anyio.run(main, *arguments, backend="asyncio", backend_options={"use_uvloop": True})
--- a/src/lotushill/console/quarantine_commands.py
+++ b/src/lotushill/console/quarantine_commands.py
@@ -1,4 +1,4 @@
-"""The commands of `lotushill` on requests that are held since upstreams end under them."""
+"""Commands of `lotushill` for requests that are held because upstreams failed during them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class QuarantineCommands:
-    """The commands against the holds of one store."""
+    """Commands that read and delete the holds in one store."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
 
     async def held(self, options: argparse.Namespace) -> Result:
-        """List what is held, since when and by what evidence."""
+        """List the held requests, with the start of each hold and the upstreams that failed."""
         del options
         holds = await self._holds()
         value = {identity.hex(): hold.to_spec() for identity, hold in holds.items()}
@@ -35,12 +35,16 @@
         return Result("\n".join(lines), value)
 
     async def release(self, options: argparse.Namespace) -> Result:
-        """Let a request go; it is held again after three more upstreams."""
+        """Release a held request; it is held again after three more upstreams have failed."""
         names = [item.hex() for item in await self._holds()]
         found = [name for name in names if name.startswith(options.identity)]
         if len(found) != 1:
             told = "no request" if not found else f"{len(found)} requests"
-            return Result(f"{told} held as {options.identity}", None, EXIT_FAILED)
+            return Result(
+                f"{told} held with an identity that starts with {options.identity}",
+                None,
+                EXIT_FAILED,
+            )
         await self._store.delete(KIND, found[0])
         return Result(f"released {found[0]}", {"released": found[0]})
 
@@ -55,5 +59,5 @@
     since = datetime.fromtimestamp(hold.since, UTC).isoformat(timespec="seconds")
     return (
         f"{identity.hex()}  {hold.team or '-'}  {hold.path}  since {since}  "
-        f"ended: {', '.join(hold.upstreams)}"
+        f"failed upstreams: {', '.join(hold.upstreams)}"
     )
--- a/src/lotushill/console/result.py
+++ b/src/lotushill/console/result.py
@@ -1,4 +1,4 @@
-"""What a command found."""
+"""Result of a command."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """For people, for programs, and the exit code."""
+    """Result of a command: text for people, a value for programs (JSON), and the exit code."""
 
     text: str
     value: Any
--- a/src/lotushill/console/settings_commands.py
+++ b/src/lotushill/console/settings_commands.py
@@ -1,4 +1,4 @@
-"""The commands of `lotushill` that read and edit the settings tree."""
+"""Commands of `lotushill` that read and edit the settings tree."""
 
 from __future__ import annotations
 
@@ -36,19 +36,19 @@
 
 
 class SettingsCommands:
-    """The commands against one store."""
+    """Commands that work on the settings tree in one store."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
         self._editor = Editor(store)
 
     async def validate(self, options: argparse.Namespace) -> Result:
-        """Check files."""
+        """Validate settings files without writing them."""
         for path in options.files:
             data = _load(path)
             check(Root if name_of(data) == ROOT_NAME else TeamSettings, data, str(path))
         count = len(options.files)
-        return Result(f"{count} files are good", {"files": count})
+        return Result(f"{count} files are valid", {"files": count})
 
     async def apply(self, options: argparse.Namespace) -> Result:
         """Write files as settings."""
@@ -62,7 +62,7 @@
         return Result("\n".join(lines), revisions)
 
     async def get(self, options: argparse.Namespace) -> Result:
-        """Show one object or all names."""
+        """Show one object, or the names of all objects."""
         if options.name is None:
             found = await self._editor.names()
             return Result("\n".join(found), found)
@@ -70,12 +70,12 @@
             return await self._effective(options.name, options.effective)
         held = await self._editor.read(options.name)
         if held is None:
-            return Result(f"no such object: {options.name}", None, EXIT_FAILED)
+            return Result(f"object not found: {options.name}", None, EXIT_FAILED)
         text = f"# {held.name}, revision {held.revision}\n{write(held.data)}".rstrip()
         return Result(text, {"revision": held.revision, "data": held.data})
 
     async def diff(self, options: argparse.Namespace) -> Result:
-        """Show what applying a file would change; exit code 1 if anything."""
+        """Show what applying a file would change; exit code 1 if there is any change."""
         wanted = _load(options.file)
         name = name_of(wanted)
         check_object(name, wanted)
@@ -91,7 +91,7 @@
         return Result("\n".join(lines) or f"{name} would not change", changes, code)
 
     async def put(self, options: argparse.Namespace) -> Result:
-        """Set one value; a racing edit of the same value is a conflict."""
+        """Set one value; a concurrent edit of the same value is a conflict."""
         value = parse(options.value, options.path)
 
         def change(data: dict[str, Any]) -> dict[str, Any]:
@@ -108,12 +108,12 @@
         return Result(f"{name} is at revision {revision}", {"revision": revision})
 
     async def _effective(self, name: str, wanted: str) -> Result:
-        """Show the values in force for a class: those of the root, or those of a team."""
+        """Show the values in force for a class of a service, for the root or for one team."""
         service, _, klass = wanted.partition("/")
         table = await self._table()
         route = table.route(klass)
         if route is None or service not in table.services:
-            return Result(f"no such class: {wanted}", None, EXIT_FAILED)
+            return Result(f"class not found: {wanted}", None, EXIT_FAILED)
         root = await self._editor.read(ROOT_NAME)
         held = None if name == ROOT_NAME else await self._editor.read(name)
         settings = check(TeamSettings, held.data, name) if held else None
@@ -133,7 +133,7 @@
 
 
 def _started(name: str, data: dict[str, Any]) -> dict[str, Any]:
-    """Return an object's data, or what a new object of a team begins with."""
+    """Return an object's data, or the initial data of a new object."""
     team = name.partition("/")[2]
     return data or ({"team": team} if team else {})
 
@@ -145,5 +145,5 @@
         raise SettingsError(str(path), (Fault("(file)", "file", str(error)),)) from error
     if not isinstance(data, dict):
         kind = type(data).__name__
-        raise SettingsError(str(path), (Fault("(document)", kind, "is no mapping"),))
+        raise SettingsError(str(path), (Fault("(document)", kind, "must be a mapping"),))
     return data
--- a/src/lotushill/console/standin.py
+++ b/src/lotushill/console/standin.py
@@ -1,4 +1,4 @@
-"""The program `lotushill-standin`."""
+"""The program `lotushill-standin`: replaces the platform's store, an engine or a service."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     from lotushill.links.asgi import App
 
 _LEAVE_SECONDS = 2.0
-"""An upstream that is told to stop serves on for so long after it said that it leaves."""
+"""Time for which an upstream keeps serving after it has announced that it leaves."""
 
 
 def main() -> None:
-    """Run one stand-in."""
+    """Run one stand-in process."""
     description = "Stand in for the platform's store, an engine or a plain service."
     path = parse_config_option("lotushill-standin", description)
     settings = read_or_exit(functools.partial(read, StandinSettings), path)
--- a/tests/console/test_fleet_commands.py
+++ b/tests/console/test_fleet_commands.py
@@ -34,7 +34,7 @@
 
     def test_nobody_is_said_too_and_a_fleet_without_duties_says_nothing(self) -> None:
         nobody = {"gw-1": {"duties": {**HELD, "held_here": False}}}
-        self.assertEqual(duty_lines(nobody), ["duties: nobody says that it holds them"])
+        self.assertEqual(duty_lines(nobody), ["duties: no gateway reports that it holds them"])
         self.assertEqual(duty_lines({"gw-1": {"duties": None}, "gw-2": None}), [])
 
 
@@ -46,9 +46,9 @@
         rows = {"a": row(e1=1.0), "b": row(e1=1.0, e2=0.5), "c": row(e1=4.0), "silent": None}
         self.assertEqual(
             [
-                "limit: e1 takes 1 requests a second from all gateways, as 2 of 3 know",
-                "limit: e1 takes 4 requests a second from all gateways, as 1 of 3 know",
-                "limit: e2 takes 0.5 requests a second from all gateways, as 1 of 3 know",
+                "limit: e1 accepts 1 requests/s from all gateways, known to 2 of 3 gateways",
+                "limit: e1 accepts 4 requests/s from all gateways, known to 1 of 3 gateways",
+                "limit: e2 accepts 0.5 requests/s from all gateways, known to 1 of 3 gateways",
             ],
             limit_lines(rows),
         )
@@ -62,10 +62,10 @@
         }
         self.assertEqual(
             [
-                "pace: app takes 1.00 times as long as its like for a step, and its readings 1.80 "
-                "times as long beside that, as 1 of 3 know",
-                "pace: e1 takes 2.20 times as long as its like for a step, and its readings 1.00 "
-                "times as long beside that, as 2 of 3 know",
+                "pace: app takes 1.00 times the median of its service for a step, and for "
+                "prefill a further factor of 1.80, reported by 1 of 3 gateways",
+                "pace: e1 takes 2.20 times the median of its service for a step, and for "
+                "prefill a further factor of 1.00, reported by 2 of 3 gateways",
             ],
             pace_lines(rows),
         )
@@ -87,8 +87,8 @@
         }
         self.assertEqual(
             [
-                "share: bakery has had up to 3.5 times the mean of the other teams of llm, tier 1, "
-                "as 2 gateways see"
+                "share: bakery has used up to 3.5 times the mean of the other teams of llm, tier "
+                "1, reported by 2 gateways"
             ],
             share_lines(rows),
         )
@@ -102,5 +102,5 @@
             "old": {},
             "silent": None,
         }
-        self.assertEqual(["waiting for room: llm 8 (tier 0: 2, tier 2: 6)"], waiting_lines(rows))
+        self.assertEqual(["queued requests: llm 8 (tier 0: 2, tier 2: 6)"], waiting_lines(rows))
         self.assertEqual([], waiting_lines({"a": {"waiting": {"tiers": {}}}}))
--- a/tests/console/test_gateway_program.py
+++ b/tests/console/test_gateway_program.py
@@ -1,4 +1,4 @@
-"""The program `lotushill-gateway` as a process of its own, before stand-ins on the loopback."""
+"""Runs `lotushill-gateway` as a separate process with stand-ins on the loopback interface."""
 
 from __future__ import annotations
 
@@ -47,11 +47,12 @@
 
 
 def free_address() -> str:
-    """Return an address below the ports that connections are given, of no other test process.
+    """Return an address outside the ephemeral port range that no other test process uses.
 
-    One of those may be taken by a connection before the process that it is for binds it: two of 50
-    runs of the soak ended so. A port whose process is down for a moment looks free to another run:
-    two of 15 ended so, beside others. So each port is held at a second address until the end.
+    An ephemeral port may be taken by a connection before the intended process binds it, which
+    failed two of 50 runs of the soak. A port whose process is down for a moment looks free to a
+    concurrent run, which failed two of 15 runs. So each port is also bound at a second address
+    until the end.
     """
     while True:
         port = _PORTS.randrange(10_240, 32_768)
@@ -132,7 +133,7 @@
         )
 
     async def ready(self, process: asyncio.subprocess.Process) -> None:
-        """Wait until the gateway serves; one that has ended instead fails with what it wrote."""
+        """Wait until the gateway is ready; fail with its output if the process has exited."""
         while await get_status(self.readiness, "/readyz") != 200:
             if process.returncode is not None:
                 output, errors = await process.communicate()
@@ -168,8 +169,7 @@
         self.assertEqual(["gw-1"], [item["metadata"]["name"] for item in registered])
 
     async def test_signals_that_come_during_a_planned_stop_cut_nothing(self) -> None:
-        """A gateway was stopped, and told to read its settings again a tenth of a second later: the
-        second signal ended it at once, with everything that was in progress."""
+        """A reload 0.1 s after a stop signal killed a gateway with all requests in progress."""
         async with asyncio.timeout(_PATIENCE):
             process = await self.start()
             await self.ready(process)
@@ -181,7 +181,7 @@
                 await asyncio.sleep(0.02)
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
                 process.send_signal(number)
-            # It answers still, so that the signals have been taken.
+            # An answer shows that the gateway has handled the signals and still serves.
             await get_status(self.readiness, "/readyz")
             self.proceed.set()
             status = await call
@@ -189,9 +189,9 @@
         self.assertEqual((200, 0, b""), (status, process.returncode, errors))
 
     async def start_and_hold(self) -> tuple[asyncio.subprocess.Process, int]:
-        """Return a process that waits for its settings, and where to write them.
+        """Return a process that blocks on reading its settings, and the descriptor to write them.
 
-        Once they are written, the file that it may read again has another grace time.
+        The file that a later reload reads has a different grace time.
         """
         path = Path(self.folder.name) / "settings.yaml"
         process = await self.start(grace_seconds=5.0)
@@ -205,14 +205,13 @@
                 writer = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
                 break
             except OSError:
-                # Nobody reads yet.
+                # The process has not opened the pipe for reading yet.
                 await asyncio.sleep(0.01)
         again.replace(path)
         return held, writer
 
     async def test_a_signal_to_read_settings_that_comes_while_it_starts_ends_nothing(self) -> None:
-        """Gateways were told so just as they started again: the signal ended them, and the next
-        start came later."""
+        """A reload signal during the start killed a gateway, which delayed its next start."""
         async with asyncio.timeout(_PATIENCE):
             process, writer = await self.start_and_hold()
             process.send_signal(signal.SIGHUP)
@@ -235,8 +234,8 @@
         self.assertEqual((0, b"", b""), (process.returncode, output, errors))
 
     async def test_entries_of_another_writer_cost_no_request(self) -> None:
-        """One entry without a usable address took 99 of 100 requests; one with Infinity in a number
-        ended the following of all upstreams."""
+        """One entry without a usable address received 99 of 100 requests; one with Infinity in a
+        number stopped the updates of all upstreams."""
         self.proceed.set()
         good = entry("app", self.upstream.address)
         odd: dict[str, object] = {
--- a/tests/console/test_process_signals.py
+++ b/tests/console/test_process_signals.py
@@ -1,4 +1,4 @@
-"""Signals while a program loads: a stop must not be lost where errors are."""
+"""Signals during the start: a stop must take effect also where exceptions are discarded."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     pass
 
 def stop(_):
-    # What is raised here is told on standard error and lost, as in the locks of the import system.
+    # Exceptions raised here are printed and discarded, as in the locks of the import system.
     signal.raise_signal(signal.{name})
 
 signals = ProcessSignals()
--- a/tests/console/test_quarantine_commands.py
+++ b/tests/console/test_quarantine_commands.py
@@ -1,4 +1,4 @@
-"""What operators see of held requests, and how they let one go."""
+"""Listing and releasing held requests by an operator."""
 
 from __future__ import annotations
 
