--- a/src/lotushill/console/process_signals.py
+++ b/src/lotushill/console/process_signals.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self) -> None:
-        self.reload_asked = False
+        self.is_reload_requested = False
         """Whether a reload of the settings was requested, to be done once the program runs."""
 
     def install(self) -> None:
@@ -32,7 +32,7 @@
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
     def _note_reload(self, number: int, frame: FrameType | None) -> None:
-        self.reload_asked = True
+        self.is_reload_requested = True
 
     def _stop(self, number: int, frame: FrameType | None) -> None:
         # Exits at once, since there are no requests in progress yet. An exception raised here would
--- a/src/lotushill/contracts/exceptions.py
+++ b/src/lotushill/contracts/exceptions.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from lotushill.contracts.merge import Clash
+    from lotushill.contracts.merge import MergeConflict
 
 
 @dataclass(frozen=True)
@@ -38,33 +38,33 @@
         super().__init__(f"no such path: {path}")
 
 
-class MergeClashError(Exception):
+class MergeConflictError(Exception):
     """A change that cannot be made on top of what another edit left."""
 
-    def __init__(self, clashes: tuple[Clash, ...]) -> None:
-        self.clashes = clashes
+    def __init__(self, clashes: tuple[MergeConflict, ...]) -> None:
+        self.conflicts = clashes
         super().__init__("; ".join(str(clash) for clash in clashes))
 
 
 class EditConflictError(Exception):
     """Another edit changed the same values; both sides are shown."""
 
-    def __init__(self, name: str, revision: int, clashes: tuple[Clash, ...]) -> None:
+    def __init__(self, name: str, revision: int, clashes: tuple[MergeConflict, ...]) -> None:
         self.name = name
         self.revision = revision
-        self.clashes = clashes
+        self.conflicts = clashes
         shown = "; ".join(str(clash) for clash in clashes)
         super().__init__(f"{name} is at revision {revision}: {shown}")
 
 
-class EndlessRaceError(Exception):
+class EditRetriesExhaustedError(Exception):
     """Other edits came first each time that this one was tried."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name}: edits race without an end")
 
 
-class UnknownEffectError(Exception):
+class UnknownOutcomeError(Exception):
     """A write without an answer, which is not to be seen but may still be done."""
 
     def __init__(self, name: str) -> None:
--- a/src/lotushill/contracts/settings_view.py
+++ b/src/lotushill/contracts/settings_view.py
@@ -14,7 +14,7 @@
 from lotushill.contracts.effective import resolve
 from lotushill.contracts.exceptions import SettingsError
 from lotushill.contracts.names import ROOT_NAME
-from lotushill.contracts.names import shown_name
+from lotushill.contracts.names import display_name
 
 if TYPE_CHECKING:
     from lotushill.contracts.tree import Root
@@ -73,7 +73,7 @@
             self._resolved[key] = found
         return found
 
-    def forget_routes(self) -> None:
+    def clear_resolved_routes(self) -> None:
         """Drop what was worked out for routes, as another configuration is in force."""
         self._resolved = {}
 
@@ -85,7 +85,7 @@
         if ROOT_NAME not in objects:
             self._root = None
         for stored, data in objects.items():
-            name = shown_name(stored)
+            name = display_name(stored)
             try:
                 self._take(name, data)
             except SettingsError as error:
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -31,7 +31,7 @@
     from lotushill.scheduling.queue_runner import QueueRunner
 
 
-class Reported(Protocol):
+class ReportedGateway(Protocol):
     """The components of a gateway that its status and gauges are read from."""
 
     settings: GatewaySettings
@@ -41,26 +41,26 @@
     store: ObjectStore
     views: StoreViews
     peers: Peers
-    rests: Cooldowns
+    cooldowns: Cooldowns
     limits: FleetLimits
     team_limits: TeamLimits
     fleet: Fleet
-    gate: UpstreamGate
+    upstream_gate: UpstreamGate
     pool: UpstreamPool
     mover: Mover
     quarantine: FleetQuarantine
     side_tasks: SideTasks
-    front: ClientApplication
-    waiting: QueueRunner
+    client_application: ClientApplication
+    queue_runner: QueueRunner
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the load balancer may send clients to this gateway."""
 
 
-def add_gauges(gateway: Reported) -> None:
+def add_gauges(gateway: ReportedGateway) -> None:
     """Add the gauges, which are read at each scrape."""
-    gauge = gateway.metrics.gauge
-    gauge("in_progress", "Requests in progress", lambda: gateway.front.in_progress)
+    gauge = gateway.metrics.add_gauge
+    gauge("in_progress", "Requests in progress", lambda: gateway.client_application.in_progress)
     gauge("store_calls", "Calls to the store since the start", lambda: gateway.store.calls)
     gauge(
         "peer_bytes",
@@ -71,14 +71,14 @@
     gauge(
         "schedules",
         "1 if this gateway is a scheduler, which places by its own model",
-        lambda: float(gateway.peers.schedulers.schedules()),
+        lambda: float(gateway.peers.schedulers.is_scheduler()),
     )
     gauge(
         "unanswered_asks",
         "Placement queries that were not answered",
         lambda: gateway.peers.client.unanswered,
     )
-    line = gateway.waiting.queue
+    line = gateway.queue_runner.queue
     gauge("waiting", "Entries in the admission queue of this gateway", lambda: len(line.requests))
     gauge("waiting_bytes", "Estimated bytes of these entries", lambda: line.requests.bytes)
     gauge("waiting_held", "Requests queued here since the start", lambda: line.held)
@@ -104,17 +104,17 @@
     gauge(
         "entries_ignored",
         "Entries of upstreams that are ignored because they cannot be parsed",
-        lambda: len(gateway.views.upstream_faults.held),
+        lambda: len(gateway.views.upstream_faults.current),
     )
     gauge(
         "entry_faults",
         "Entries of upstreams that could not be parsed, since the start",
-        lambda: gateway.views.upstream_faults.counted,
+        lambda: gateway.views.upstream_faults.total_count,
     )
     gauge(
         "requests_held",
         "Requests that are held, counted by caller, path and body",
-        lambda: len(gateway.quarantine.held()),
+        lambda: len(gateway.quarantine.held_identities()),
     )
     gauge(
         "requests_suspected",
@@ -124,37 +124,37 @@
     gauge(
         "groups_isolated",
         "Groups of requests that are isolated because upstreams failed during them",
-        lambda: len(gateway.quarantine.isolated()),
+        lambda: len(gateway.quarantine.isolated_groups()),
     )
     gauge(
         "kept_back",
         "Arrivals of held requests that were sent to no upstream, since the start",
-        lambda: gateway.quarantine.keeper.held,
+        lambda: gateway.quarantine.gossip.held_count,
     )
     gauge(
         "upstream_ends",
         "Upstream failures during requests of this gateway since the start, one for each request",
-        lambda: gateway.quarantine.keeper.upstream_ends,
+        lambda: gateway.quarantine.gossip.upstream_failures,
     )
     gauge(
         "rests_asked",
         "Cooldowns that upstreams requested, since the start",
-        lambda: gateway.rests.requested_count,
+        lambda: gateway.cooldowns.requested_count,
     )
     gauge(
         "upstreams_resting",
         "Upstreams that currently accept no requests from this gateway",
-        lambda: len(gateway.rests.barred(clocks.now())),
+        lambda: len(gateway.cooldowns.barred(clocks.now())),
     )
     gauge(
         "sends_barred",
         "Requests not sent because the chosen upstream accepts none, since the start",
-        lambda: gateway.gate.blocked_sends,
+        lambda: gateway.upstream_gate.blocked_sends,
     )
     gauge(
         "rests_unreadable",
         "Cooldown requests that could not be parsed, since the start",
-        lambda: gateway.gate.unreadable_cooldowns,
+        lambda: gateway.upstream_gate.unreadable_cooldowns,
     )
     gauge(
         "upstreams_limited",
@@ -164,7 +164,7 @@
     gauge(
         "sends_unpermitted",
         "Requests that got no permit for the chosen upstream, since the start",
-        lambda: gateway.gate.requests_without_permit,
+        lambda: gateway.upstream_gate.requests_without_permit,
     )
     gauge(
         "permits_denied",
@@ -179,7 +179,7 @@
     gauge(
         "limits_unreadable",
         "Limits that could not be parsed, since the start",
-        lambda: gateway.gate.unreadable_limits,
+        lambda: gateway.upstream_gate.unreadable_limits,
     )
     returns = gateway.fleet.shedding.returns
     gauge(
@@ -214,7 +214,7 @@
     gauge(
         "waiting_for_start",
         "Requests that wait until this gateway is ready to serve",
-        lambda: gateway.front.waiting_until_ready,
+        lambda: gateway.client_application.waiting_until_ready,
     )
     gauge(
         "upstreams_uneven",
@@ -229,12 +229,12 @@
     gauge(
         "task_faults",
         "Exceptions in background tasks since the start",
-        lambda: gateway.side_tasks.faults,
+        lambda: gateway.side_tasks.failure_count,
     )
     gauge(
         "log_lines_left_out",
         "Log lines dropped by the rate limit",
-        lambda: gateway.log.left_out_in_all,
+        lambda: gateway.log.total_left_out,
     )
     gauge(
         "configuration_revision",
@@ -243,12 +243,12 @@
     )
 
 
-def status(gateway: Reported) -> dict[str, object]:
+def status(gateway: ReportedGateway) -> dict[str, object]:
     """Return the status of one gateway as plain data."""
     table = gateway.views.configuration.table
     return {
         "name": gateway.settings.name,
-        "ready": gateway.ready(),
+        "ready": gateway.is_ready(),
         "configuration": {
             "revision": gateway.views.configuration.revision,
             "version": table.version if table else None,
@@ -256,8 +256,8 @@
         "upstreams": {
             "revision": gateway.views.upstreams.revision,
             "known": [asdict(item) for item in gateway.views.upstreams.all()],
-            "ignored": dict(gateway.views.upstream_faults.held),
-            "resting": sorted(gateway.rests.barred(clocks.now())),
+            "ignored": dict(gateway.views.upstream_faults.current),
+            "resting": sorted(gateway.cooldowns.barred(clocks.now())),
             "limited": gateway.limits.stated.limited_rates(),
             "paces": {
                 item.upstream: [round(item.step_slowness, 2), round(item.read_slowness, 2)]
@@ -273,23 +273,23 @@
         "members": [_member(item) for item in gateway.peers.membership.all()],
         "held_requests": {
             item.hex(): gateway.quarantine.suspects.failure_count(item)
-            for item in gateway.quarantine.held()
+            for item in gateway.quarantine.held_identities()
         },
         "isolated_groups": [
-            f"{group.label} ({group.service})" for group in gateway.quarantine.isolated()
+            f"{group.label} ({group.service})" for group in gateway.quarantine.isolated_groups()
         ],
         "places_kept": len(gateway.fleet.shedding.returns),
         "moves": gateway.mover.status(),
-        "in_progress": gateway.front.in_progress,
+        "in_progress": gateway.client_application.in_progress,
         "store_calls": gateway.store.calls,
         "connections_opened": gateway.pool.opened,
         "peer_bytes": gateway.peers.bytes_sent,
-        "waiting": _waiting(gateway.waiting),
+        "waiting": _waiting(gateway.queue_runner),
         "duties": gateway.duties.status(),
     }
 
 
-def _over_share(gateway: Reported) -> list[dict[str, object]]:
+def _over_share(gateway: ReportedGateway) -> list[dict[str, object]]:
     """Return the teams over their share, which yield to others while a service is overloaded."""
     table = gateway.views.configuration.table
     names = {team_number(item.name): item.name for item in table.teams} if table else {}
--- a/src/lotushill/platform/memory_calls.py
+++ b/src/lotushill/platform/memory_calls.py
@@ -20,12 +20,12 @@
 _REASONS = {404: NoCopyReason.UNKNOWN_RUN, 409: NoCopyReason.BUSY, 503: NoCopyReason.NO_ROOM}
 
 
-def move_content(run: str, target: str, last: bool) -> dict[str, Any]:
+def move_request_body(run: str, target: str, last: bool) -> dict[str, Any]:
     """Return what asks for a copy of a run at `target` (IP:PORT), after its end where `last`."""
     return {"id": run, "targetVersion": target, "last": last}
 
 
-def read_move(answer: JsonAnswer) -> Copied | NotCopied:
+def parse_move_answer(answer: JsonAnswer) -> Copied | NotCopied:
     """Return what an engine says; raise NoAnswerError for what it cannot say."""
     said = answer.read()
     handle = said.get("handle") if isinstance(said, dict) else None
--- a/src/lotushill/process/suspension.py
+++ b/src/lotushill/process/suspension.py
@@ -23,7 +23,7 @@
         self,
         clock: Callable[[], float],
         steady: Callable[[], float],
-        on_woke: Callable[[float], None],
+        on_suspension: Callable[[float], None],
         is_confirmed: Callable[[float], bool],
     ) -> None:
         """Call `on_woke` with the seconds for which the host was suspended, after each suspension.
@@ -33,32 +33,32 @@
         """
         self._clock = clock
         self._steady = steady
-        self._on_woke = on_woke
+        self._on_woke = on_suspension
         self._is_confirmed = is_confirmed
         self._apart = clock() - steady()
         self._woke_at = float("-inf")
-        self.wakes = 0
+        self.suspension_count = 0
         """Number of suspensions detected so far."""
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Detect a suspension since the last call; cheap enough to be called at each step."""
         apart = self._clock() - self._steady()
         gap = apart - self._apart
         self._apart = apart
         if gap >= _LEAST_SECONDS:
-            self.wakes += 1
+            self.suspension_count += 1
             self._woke_at = self._clock()
             self._on_woke(gap)
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether the views were confirmed since the last suspension or the wait timed out."""
         waited = self._clock() - self._woke_at
         return waited >= _SETTLE_SECONDS or self._is_confirmed(self._woke_at)
 
-    async def settle(self) -> None:
+    async def wait_until_settled(self) -> None:
         """Wait, for a bounded time, until the views were confirmed since the last suspension."""
-        self.look()
-        while not self.settled:
+        self.check()
+        while not self.is_settled:
             await anyio.sleep(_POLL_SECONDS)
-            self.look()
+            self.check()
