--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -676,7 +676,7 @@
     Break(
         "a suspension is noticed",
         "process/suspension.py",
-        "if gap >= _LEAST_SECONDS:",
+        "if gap >= _MIN_SUSPENSION_SECONDS:",
         "if False:",
         "tests.requests.test_suspension",
     ),
@@ -704,7 +704,7 @@
     Break(
         "settings that were to be read again while it started are",
         "gateway/gateway.py",
-        "if reload_asked():",
+        "if is_reload_requested():",
         "if False:",
         "tests.console.test_gateway_program",
     ),
--- a/src/lotushill/console/fleet_commands.py
+++ b/src/lotushill/console/fleet_commands.py
@@ -26,8 +26,8 @@
 
     from lotushill.platform.object_store import ObjectStore
 
-_ANSWER_SECONDS = 2.0
-_WATCH_SECONDS = 1.0
+_ANSWER_TIMEOUT_SECONDS = 2.0
+_WATCH_INTERVAL_SECONDS = 1.0
 _OK = 200
 
 
@@ -49,19 +49,19 @@
 
     async def status(self, options: argparse.Namespace) -> Result:
         """Show the revisions in force at each gateway; exit code 1 unless all gateways agree."""
-        seen = ""
+        last_text = ""
         while True:
             result = await self._status()
             if not options.watch:
                 return result
-            if result.text != seen:
-                seen = result.text
-                print(seen, flush=True)
-            await anyio.sleep(_WATCH_SECONDS)
+            if result.text != last_text:
+                last_text = result.text
+                print(last_text, flush=True)
+            await anyio.sleep(_WATCH_INTERVAL_SECONDS)
 
     async def explain(self, options: argparse.Namespace) -> Result:
         """Show the events of a request, from the gateway that received it."""
-        answers = await self._ask_all(EXPLAIN_PATH + options.request)
+        answers = await self._query_all(EXPLAIN_PATH + options.request)
         for name, events in answers.items():
             if events:
                 lines = [f"{name}:", *(_event_line(item) for item in events)]
@@ -70,13 +70,13 @@
 
     async def _status(self) -> Result:
         gateways = await self._gateways()
-        answers = await self._ask_all(STATUS_PATH)
+        answers = await self._query_all(STATUS_PATH)
         rows = {item.name: answers.get(item.name) for item in gateways}
-        silent = [name for name, row in rows.items() if row is None]
-        held = {json.dumps(_in_force(row)) for row in rows.values() if row}
-        agree = len(held) == 1 and not silent
+        unanswered = [name for name, row in rows.items() if row is None]
+        states_in_force = {json.dumps(_in_force(row)) for row in rows.values() if row}
+        agree = len(states_in_force) == 1 and not unanswered
         lines = [
-            f"{len(rows) - len(silent)} of {len(rows)} gateways answered"
+            f"{len(rows) - len(unanswered)} of {len(rows)} gateways answered"
             + (", all with the same configuration and settings in force" if agree else "")
         ]
         lines += duty_lines(rows) + limit_lines(rows) + share_lines(rows)
@@ -92,21 +92,21 @@
             if isinstance(item.spec, dict) and item.spec.get("status")
         ]
 
-    async def _ask_all(self, path: str) -> dict[str, Any]:
+    async def _query_all(self, path: str) -> dict[str, Any]:
         """Return the JSON answer of each gateway, None for those without a valid answer."""
         answers: dict[str, Any] = {}
 
-        async def ask(gateway: RegisteredGateway) -> None:
-            answers[gateway.name] = await _ask(pool, gateway.status, path)
+        async def query(gateway: RegisteredGateway) -> None:
+            answers[gateway.name] = await _query(pool, gateway.status, path)
 
         async with httpcore.AsyncConnectionPool() as pool, anyio.create_task_group() as group:
             for gateway in await self._gateways():
-                group.start_soon(ask, gateway)
+                group.start_soon(query, gateway)
         return answers
 
 
-async def _ask(pool: httpcore.AsyncConnectionPool, address: str, path: str) -> Any:
-    timeout = dict.fromkeys(("connect", "read", "write", "pool"), _ANSWER_SECONDS)
+async def _query(pool: httpcore.AsyncConnectionPool, address: str, path: str) -> Any:
+    timeout = dict.fromkeys(("connect", "read", "write", "pool"), _ANSWER_TIMEOUT_SECONDS)
     try:
         response = await pool.request(
             "GET", f"http://{address}{path}", extensions={"timeout": timeout}
@@ -150,26 +150,26 @@
 
 def limit_lines(rows: Mapping[str, dict[str, Any] | None]) -> list[str]:
     """Return the limits that upstreams state, with the number of gateways that know each."""
-    told = [row["upstreams"].get("limited", {}) for row in rows.values() if row]
-    known = Counter((name, rate) for limits in told for name, rate in limits.items())
+    reports = [row["upstreams"].get("limited", {}) for row in rows.values() if row]
+    gateway_counts = Counter((name, rate) for limits in reports for name, rate in limits.items())
     return [
         f"limit: {name} accepts {rate:g} requests/s from all gateways, known to {count} of "
-        f"{len(told)} gateways"
-        for (name, rate), count in sorted(known.items())
+        f"{len(reports)} gateways"
+        for (name, rate), count in sorted(gateway_counts.items())
     ]
 
 
 def share_lines(rows: Mapping[str, dict[str, Any] | None]) -> list[str]:
     """Return the teams that exceed their share, with the largest excess that a gateway reports."""
-    seen: dict[tuple[str, int, str], list[float]] = {}
+    reported_times: dict[tuple[str, int, str], list[float]] = {}
     for row in rows.values():
         for item in row.get("over_share", ()) if row else ():
             key = (item["service"], item["tier"], item["team"])
-            seen.setdefault(key, []).append(item["times"])
+            reported_times.setdefault(key, []).append(item["times"])
     return [
         f"share: {team or 'no team'} has used up to {max(times):.1f} times the mean of the other "
         f"teams of {service}, tier {tier}, reported by {len(times)} gateways"
-        for (service, tier, team), times in sorted(seen.items())
+        for (service, tier, team), times in sorted(reported_times.items())
     ]
 
 
@@ -192,17 +192,17 @@
 
     The pace is long-term and relative to the median upstream of the service.
     """
-    told = [row["upstreams"].get("paces", {}) for row in rows.values() if row]
-    said: defaultdict[str, list[list[float]]] = defaultdict(list)
-    for paces in told:
+    reports = [row["upstreams"].get("paces", {}) for row in rows.values() if row]
+    paces_by_upstream: defaultdict[str, list[list[float]]] = defaultdict(list)
+    for paces in reports:
         for name, pace in paces.items():
-            said[name].append(pace)
+            paces_by_upstream[name].append(pace)
     return [
         f"pace: {name} takes {statistics.median(steps for steps, _ in paces):.2f} times the median "
         f"of its service for a step, and for prefill a further factor of "
         f"{statistics.median(reading for _, reading in paces):.2f}, reported "
-        f"by {len(paces)} of {len(told)} gateways"
-        for name, paces in sorted(said.items())
+        f"by {len(paces)} of {len(reports)} gateways"
+        for name, paces in sorted(paces_by_upstream.items())
     ]
 
 
@@ -223,7 +223,7 @@
 
 
 def _event_line(event: dict[str, Any]) -> str:
-    rest = {key: value for key, value in event.items() if key not in ("t", "node", "event")}
-    rest.pop("request", None)
-    fields = "  ".join(f"{key}={value}" for key, value in rest.items())
+    details = {key: value for key, value in event.items() if key not in ("t", "node", "event")}
+    details.pop("request", None)
+    fields = "  ".join(f"{key}={value}" for key, value in details.items())
     return f"  {event['t']:.3f}  {event['event']}  {fields}"
--- a/src/lotushill/console/operator.py
+++ b/src/lotushill/console/operator.py
@@ -36,7 +36,7 @@
 
     Command = Callable[[ObjectStore, argparse.Namespace], Awaitable[Result]]
 
-ENVIRONMENT = "LOTUSHILL_STORE"
+STORE_VARIABLE = "LOTUSHILL_STORE"
 _DEFAULT_STORE = "127.0.0.1:7000"
 _EXIT_CODES = """exit codes: 0 success; 1 not found, not done, or not in force at all gateways;
 2 invalid settings or arguments; 3 conflict with a concurrent edit; 4 the platform's store does not
@@ -77,9 +77,9 @@
 def _parser() -> argparse.ArgumentParser:
     parser = new_parser("lotushill", "Edit the settings tree and show the status of the fleet.")
     parser.epilog = _EXIT_CODES
-    default = os.environ.get(ENVIRONMENT, _DEFAULT_STORE)
+    default = os.environ.get(STORE_VARIABLE, _DEFAULT_STORE)
     parser.add_argument(
-        "--store", default=default, help=f"the platform's store as IP:PORT, or ${ENVIRONMENT}"
+        "--store", default=default, help=f"the platform's store as IP:PORT, or ${STORE_VARIABLE}"
     )
     parser.add_argument("--json", action="store_true", help="print the result as JSON")
     commands = parser.add_subparsers(dest="command", required=True)
@@ -89,16 +89,18 @@
 
 
 def _add_settings(commands: Any) -> None:
-    validate = _add(commands, "validate", "check files without writing", _settings("validate"))
+    validate = _add_command(
+        commands, "validate", "check files without writing", _settings("validate")
+    )
     validate.add_argument("files", type=Path, nargs="+")
 
-    apply = _add(commands, "apply", "write files as settings", _settings("apply"))
+    apply = _add_command(commands, "apply", "write files as settings", _settings("apply"))
     apply.add_argument("files", type=Path, nargs="+")
     apply.add_argument(
         "--base", type=Path, help="the file as it was before the edit, base of a three-way merge"
     )
 
-    get = _add(commands, "get", "show an object, or all names", _settings("get"))
+    get = _add_command(commands, "get", "show an object, or all names", _settings("get"))
     get.add_argument("name", nargs="?", help="root or team/NAME")
     get.add_argument(
         "--effective",
@@ -106,59 +108,67 @@
         help="show the values in force and the levels that set them",
     )
 
-    diff = _add(commands, "diff", "show what applying a file would change", _settings("diff"))
+    diff = _add_command(
+        commands, "diff", "show what applying a file would change", _settings("diff")
+    )
     diff.add_argument("file", type=Path)
 
-    put = _add(commands, "set", "set one value by its path", _settings("put"))
+    put = _add_command(commands, "set", "set one value by its path", _settings("put"))
     put.add_argument("name", help="root or team/NAME")
     put.add_argument("path", help="for example services.rsvp.classes.answer.policy.tier")
     put.add_argument("value", help="new value in YAML")
 
-    unset = _add(commands, "unset", "remove one value by its path", _settings("unset"))
+    unset = _add_command(commands, "unset", "remove one value by its path", _settings("unset"))
     unset.add_argument("name", help="root or team/NAME")
     unset.add_argument("path")
 
 
 def _add_fleet(commands: Any) -> None:
-    status = _add(commands, "status", "show what is in force at each gateway", _fleet("status"))
+    status = _add_command(
+        commands, "status", "show what is in force at each gateway", _fleet("status")
+    )
     status.add_argument(
         "--watch", action="store_true", help="print the status again whenever it changes"
     )
 
-    explain = _add(commands, "explain", "show what happened to a request", _fleet("explain"))
+    explain = _add_command(
+        commands, "explain", "show what happened to a request", _fleet("explain")
+    )
     explain.add_argument("request")
 
-    _add(commands, "held", "list held requests, which are sent to no upstream", _quarantine("held"))
+    _add_command(
+        commands, "held", "list held requests, which are sent to no upstream", _quarantine("held")
+    )
 
-    release = _add(commands, "release", "release a held request", _quarantine("release"))
+    release = _add_command(commands, "release", "release a held request", _quarantine("release"))
     release.add_argument("identity", help="identity as listed by `held`, or a prefix of it")
 
 
 def _settings(name: str) -> Command:
     def start(store: ObjectStore, options: argparse.Namespace) -> Awaitable[Result]:
-        found: Awaitable[Result] = getattr(SettingsCommands(store), name)(options)
-        return found
+        result: Awaitable[Result] = getattr(SettingsCommands(store), name)(options)
+        return result
 
     return start
 
 
 def _fleet(name: str) -> Command:
     def start(store: ObjectStore, options: argparse.Namespace) -> Awaitable[Result]:
-        found: Awaitable[Result] = getattr(FleetCommands(store), name)(options)
-        return found
+        result: Awaitable[Result] = getattr(FleetCommands(store), name)(options)
+        return result
 
     return start
 
 
 def _quarantine(name: str) -> Command:
     def start(store: ObjectStore, options: argparse.Namespace) -> Awaitable[Result]:
-        found: Awaitable[Result] = getattr(QuarantineCommands(store), name)(options)
-        return found
+        result: Awaitable[Result] = getattr(QuarantineCommands(store), name)(options)
+        return result
 
     return start
 
 
-def _add(commands: Any, name: str, text: str, run: Command) -> argparse.ArgumentParser:
+def _add_command(commands: Any, name: str, text: str, run: Command) -> argparse.ArgumentParser:
     parser: argparse.ArgumentParser = commands.add_parser(name, help=text, epilog=_EXIT_CODES)
     parser.set_defaults(run=run)
     return parser
--- a/src/lotushill/console/process_signals.py
+++ b/src/lotushill/console/process_signals.py
@@ -23,18 +23,18 @@
 
     def install(self) -> None:
         """Install handlers for the time until the event loop receives signals."""
-        signal.signal(signal.SIGHUP, self._note_reload)
-        signal.signal(signal.SIGTERM, self._stop)
+        signal.signal(signal.SIGHUP, self._request_reload)
+        signal.signal(signal.SIGTERM, self._exit_at_once)
 
     def ignore(self) -> None:
         """Ignore signals, because the process is about to exit by itself."""
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
-    def _note_reload(self, number: int, frame: FrameType | None) -> None:
+    def _request_reload(self, number: int, frame: FrameType | None) -> None:
         self.is_reload_requested = True
 
-    def _stop(self, number: int, frame: FrameType | None) -> None:
+    def _exit_at_once(self, number: int, frame: FrameType | None) -> None:
         # Exits at once, since there are no requests in progress yet. An exception raised here would
         # be lost if the signal arrives during a callback of the import system.
         os._exit(0)
--- a/src/lotushill/console/program.py
+++ b/src/lotushill/console/program.py
@@ -27,7 +27,7 @@
 
 S = TypeVar("S")
 
-_UNCLEAN_END = "ASGI callable returned without completing response."
+_INCOMPLETE_RESPONSE_ERROR = "ASGI callable returned without completing response."
 _LOG_FORMAT = "%(asctime)s %(name)s: %(message)s"
 
 
@@ -56,15 +56,15 @@
     return path
 
 
-def _is_news(record: logging.LogRecord) -> bool:
+def _is_unexpected(record: logging.LogRecord) -> bool:
     """Return False for Uvicorn's error on an answer that is deliberately left incomplete."""
-    return record.getMessage() != _UNCLEAN_END
+    return record.getMessage() != _INCOMPLETE_RESPONSE_ERROR
 
 
 def configure_logging(level: str) -> None:
     """Send logs to standard error, each line with the name of its logger."""
     logging.basicConfig(level=level.upper(), format=_LOG_FORMAT, stream=sys.stderr)
-    logging.getLogger("uvicorn.error").addFilter(_is_news)
+    logging.getLogger("uvicorn.error").addFilter(_is_unexpected)
     logging.getLogger("uvicorn").setLevel(logging.ERROR)
 
 
--- a/src/lotushill/console/quarantine_commands.py
+++ b/src/lotushill/console/quarantine_commands.py
@@ -31,31 +31,31 @@
         value = {identity.hex(): hold.to_spec() for identity, hold in holds.items()}
         if not holds:
             return Result("no request is held", value)
-        lines = [_line(identity, hold) for identity, hold in holds.items()]
+        lines = [_hold_line(identity, hold) for identity, hold in holds.items()]
         return Result("\n".join(lines), value)
 
     async def release(self, options: argparse.Namespace) -> Result:
         """Release a held request; it is held again after three more upstreams have failed."""
         names = [item.hex() for item in await self._holds()]
-        found = [name for name in names if name.startswith(options.identity)]
-        if len(found) != 1:
-            told = "no request" if not found else f"{len(found)} requests"
+        matches = [name for name in names if name.startswith(options.identity)]
+        if len(matches) != 1:
+            quantity = "no request" if not matches else f"{len(matches)} requests"
             return Result(
-                f"{told} held with an identity that starts with {options.identity}",
+                f"{quantity} held with an identity that starts with {options.identity}",
                 None,
                 EXIT_FAILED,
             )
-        await self._store.delete(KIND, found[0])
-        return Result(f"released {found[0]}", {"released": found[0]})
+        await self._store.delete(KIND, matches[0])
+        return Result(f"released {matches[0]}", {"released": matches[0]})
 
     async def _holds(self) -> dict[bytes, StoredHold]:
         listed = await self._store.list_kind(KIND)
-        read = [read_hold(item.name, item.spec) for item in listed.objects]
-        found = [item for item in read if item is not None]
-        return dict(sorted(found, key=lambda item: item[1].since))
+        parsed = [read_hold(item.name, item.spec) for item in listed.objects]
+        valid = [item for item in parsed if item is not None]
+        return dict(sorted(valid, key=lambda item: item[1].since))
 
 
-def _line(identity: bytes, hold: StoredHold) -> str:
+def _hold_line(identity: bytes, hold: StoredHold) -> str:
     since = datetime.fromtimestamp(hold.since, UTC).isoformat(timespec="seconds")
     return (
         f"{identity.hex()}  {hold.team or '-'}  {hold.path}  since {since}  "
--- a/src/lotushill/console/settings_commands.py
+++ b/src/lotushill/console/settings_commands.py
@@ -64,23 +64,23 @@
     async def get(self, options: argparse.Namespace) -> Result:
         """Show one object, or the names of all objects."""
         if options.name is None:
-            found = await self._editor.names()
-            return Result("\n".join(found), found)
+            object_names = await self._editor.names()
+            return Result("\n".join(object_names), object_names)
         if options.effective:
             return await self._effective(options.name, options.effective)
-        held = await self._editor.read(options.name)
-        if held is None:
+        stored = await self._editor.read(options.name)
+        if stored is None:
             return Result(f"object not found: {options.name}", None, EXIT_FAILED)
-        text = f"# {held.name}, revision {held.revision}\n{write(held.data)}".rstrip()
-        return Result(text, {"revision": held.revision, "data": held.data})
+        text = f"# {stored.name}, revision {stored.revision}\n{write(stored.data)}".rstrip()
+        return Result(text, {"revision": stored.revision, "data": stored.data})
 
     async def diff(self, options: argparse.Namespace) -> Result:
         """Show what applying a file would change; exit code 1 if there is any change."""
-        wanted = _load(options.file)
-        name = document_name(wanted)
-        check_object(name, wanted)
-        held = await self._editor.read(name)
-        before, after = flatten(held.data if held else {}), flatten(wanted)
+        edited = _load(options.file)
+        name = document_name(edited)
+        check_object(name, edited)
+        stored = await self._editor.read(name)
+        before, after = flatten(stored.data if stored else {}), flatten(edited)
         changes = {
             path: {"from": before.get(path), "to": after.get(path)}
             for path in sorted(before.keys() | after.keys())
@@ -95,7 +95,7 @@
         value = parse(options.value, options.path)
 
         def change(data: dict[str, Any]) -> dict[str, Any]:
-            return put(_started(options.name, data), options.path, value)
+            return put(_initial_data(options.name, data), options.path, value)
 
         return await self._edit(options.name, change)
 
@@ -107,16 +107,16 @@
         revision = await self._editor.edit(name, change)
         return Result(f"{name} is at revision {revision}", {"revision": revision})
 
-    async def _effective(self, name: str, wanted: str) -> Result:
+    async def _effective(self, name: str, class_path: str) -> Result:
         """Show the values in force for a class of a service, for the root or for one team."""
-        service, _, klass = wanted.partition("/")
+        service, _, klass = class_path.partition("/")
         table = await self._table()
         route = table.route(klass)
         if route is None or service not in table.services:
-            return Result(f"class not found: {wanted}", None, EXIT_FAILED)
+            return Result(f"class not found: {class_path}", None, EXIT_FAILED)
         root = await self._editor.read(ROOT_NAME)
-        held = None if name == ROOT_NAME else await self._editor.read(name)
-        settings = check(TeamSettings, held.data, name) if held else None
+        stored = None if name == ROOT_NAME else await self._editor.read(name)
+        settings = check(TeamSettings, stored.data, name) if stored else None
         origins = trace(
             check(Root, root.data if root else {}, ROOT_NAME),
             settings,
@@ -132,7 +132,7 @@
         return parse_table(stored.spec if stored else {"version": 0})
 
 
-def _started(name: str, data: dict[str, Any]) -> dict[str, Any]:
+def _initial_data(name: str, data: dict[str, Any]) -> dict[str, Any]:
     """Return an object's data, or the initial data of a new object."""
     team = name.partition("/")[2]
     return data or ({"team": team} if team else {})
--- a/src/lotushill/console/standin.py
+++ b/src/lotushill/console/standin.py
@@ -27,7 +27,7 @@
 
     from lotushill.links.asgi import App
 
-_LEAVE_SECONDS = 2.0
+_LEAVE_PERIOD_SECONDS = 2.0
 """Time for which an upstream keeps serving after it has announced that it leaves."""
 
 
@@ -62,7 +62,7 @@
         if entry is not None and heartbeats is not None:
             heartbeats.cancel()
             await entry.mark_draining()
-            await anyio.sleep(_LEAVE_SECONDS)
+            await anyio.sleep(_LEAVE_PERIOD_SECONDS)
             await entry.remove()
         server.abort()
         group.cancel_scope.cancel()
--- a/src/lotushill/gateway/duties.py
+++ b/src/lotushill/gateway/duties.py
@@ -32,9 +32,9 @@
     from lotushill.process.settings import GatewaySettings
     from lotushill.routing.service import Service
 
-_KEY = "duties"
-_MOST_RANKED = 10_000
-_TICK_SECONDS = 0.05
+_RANK_KEY = "duties"
+_MAX_RANKED_GATEWAYS = 10_000
+_POLL_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(frozen=True)
@@ -59,17 +59,17 @@
         self._time = TrueTime(time.time, clocks.now)
         window_seconds = (settings.duties or DutySettings("")).report_window_seconds
         self.request_counter = RequestCounter(settings.name, window_seconds, self._time, clocks.now)
-        self._keeper: DutyRunner | None = None
+        self._runner: DutyRunner | None = None
 
     async def run(self, parts: DutyDependencies) -> None:
         """Run as a candidate for the duties of the fleet, once this gateway is ready to serve."""
         while not parts.is_ready():
-            await anyio.sleep(_TICK_SECONDS)
-        self._keeper = self._new_keeper(parts)
+            await anyio.sleep(_POLL_INTERVAL_SECONDS)
+        self._runner = self._new_runner(parts)
         try:
-            await self._keeper.run()
+            await self._runner.run()
         finally:
-            self._keeper = None
+            self._runner = None
 
     def work_pages(self, pull: WorkPull) -> Iterable[WorkPage]:
         """Return the counts of this gateway, and adopt the time that the requester computed."""
@@ -78,19 +78,19 @@
 
     def receive(self, page: WorkPage) -> None:
         """Receive the counts of another gateway."""
-        if self._keeper is not None:
-            self._keeper.receive(page)
+        if self._runner is not None:
+            self._runner.receive(page)
 
     async def hand_over(self) -> None:
         """Hand over the duties to another gateway, because this one shuts down."""
-        if self._keeper is not None:
-            await self._keeper.hand_over()
+        if self._runner is not None:
+            await self._runner.hand_over()
 
     def status(self) -> dict[str, object] | None:
         """Return the status of the duties for operators, None if this gateway does not run them."""
-        return self._keeper.status() if self._keeper is not None else None
+        return self._runner.status() if self._runner is not None else None
 
-    def _new_keeper(self, parts: DutyDependencies) -> DutyRunner:
+    def _new_runner(self, parts: DutyDependencies) -> DutyRunner:
         # Imported late because serving does not need these modules.
         from lotushill.duties.duty_runner import DutyRunner
         from lotushill.duties.ports import FleetAccess
@@ -99,7 +99,7 @@
         settings = self._settings.duties
         assert settings is not None
         membership = parts.peers.membership
-        sight = FleetAccess(
+        fleet_access = FleetAccess(
             members=membership.live,
             reads_store=lambda: parts.views.contact() is StoreContact.READING,
             rank=lambda: _rank(membership),
@@ -116,7 +116,7 @@
             settings,
             parts.store,
             DutyApi(settings.address),
-            sight,
+            fleet_access,
             self._time,
             parts.log,
             clocks.now,
@@ -126,10 +126,10 @@
 def _rank(membership: Membership) -> int:
     """Return the rank of this gateway among those that currently read the store."""
     own = membership.own.name
-    reading = {
+    reader_names = {
         member.name for member in membership.live() if member.contact is StoreContact.READING
     }
-    return ranked(_KEY, {*reading, own}, _MOST_RANKED).index(own)
+    return ranked(_RANK_KEY, {*reader_names, own}, _MAX_RANKED_GATEWAYS).index(own)
 
 
 def _services(views: StoreViews) -> list[Service]:
--- a/src/lotushill/gateway/fleet_quarantine.py
+++ b/src/lotushill/gateway/fleet_quarantine.py
@@ -23,7 +23,7 @@
     from lotushill.quarantine.group import Group
     from lotushill.requests.upstream_pool import UpstreamPool
 
-_LOOK_SECONDS = 0.5
+_RECONCILE_INTERVAL_SECONDS = 0.5
 
 
 class FleetQuarantine:
@@ -70,5 +70,5 @@
     async def run_hold_store(self) -> None:
         """Reconcile the holds in the store with the requests held locally, periodically."""
         while True:
-            await anyio.sleep(_LOOK_SECONDS)
+            await anyio.sleep(_RECONCILE_INTERVAL_SECONDS)
             await self._hold_store.reconcile()
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -76,10 +76,10 @@
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
 
-_SWEEP_SECONDS = 0.5
-_LAST_SECONDS = 1.0
+_SWEEP_INTERVAL_SECONDS = 0.5
+_EXIT_RESERVE_SECONDS = 1.0
 """Part of the grace time reserved at its end, so that the process exits before it is killed."""
-_TICK_SECONDS = 0.05
+_DRAIN_POLL_INTERVAL_SECONDS = 0.05
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 _FIXED_SETTINGS = ("name", "hall", "region", "clients", "readiness", "peers", "store", "duties")
 """Settings whose change requires a restart of the process."""
@@ -91,9 +91,9 @@
     def __init__(
         self, settings: GatewaySettings, read_settings: Callable[[], GatewaySettings]
     ) -> None:
-        """Create and connect the components; `read_again` reads the settings file for a reload."""
+        """Create and connect the components; `read_settings` is called for a reload."""
         self.settings = settings
-        self._read_again = read_settings
+        self._read_settings = read_settings
         self.journal = Journal()
         self.metrics = Metrics()
         self.log = EventLog(settings.name, journal=self.journal)
@@ -129,24 +129,24 @@
             self.peers.send_message,
             clocks.now,
         )
-        self._start_of_life = StartupPhase(MAX_SMALL_FLEET_GATEWAYS, clocks.now())
+        self._startup_phase = StartupPhase(MAX_SMALL_FLEET_GATEWAYS, clocks.now())
         self.cooldowns = Cooldowns()
-        stated = StatedLimits()
-        counting = LimitOwners(
+        stated_limits = StatedLimits()
+        limit_owners = LimitOwners(
             self.peers.membership, self.peers.schedulers, lambda: self.registration.registered_count
         )
         self.limits = FleetLimits(
             self.views.upstreams,
-            counting,
-            stated,
-            PermitRanks(self.fleet, stated, self.views.upstreams.of),
+            limit_owners,
+            stated_limits,
+            PermitRanks(self.fleet, stated_limits, self.views.upstreams.of),
             self.peers.send_message,
             self.peers.broadcast,
             self.log,
             rng,
             clocks.now,
         )
-        self.team_limits = TeamLimits(counting, self.limits.client, rng, clocks.now)
+        self.team_limits = TeamLimits(limit_owners, self.limits.client, rng, clocks.now)
         self.queue_runner = QueueRunner(
             settings.name,
             AdmissionQueue(
@@ -168,7 +168,7 @@
             self._service_named,
             self.views.upstreams.of,
             self.peers.model_sync.is_ready,
-            stated,
+            stated_limits,
             self.queue_runner,
             self.peers.send_to,
         )
@@ -180,19 +180,19 @@
             rng,
             clocks.now,
             BarredUpstreams(self.cooldowns, self.limits.denials),
-            stated,
+            stated_limits,
             self.peers.schedulers,
             self.peers.client,
-            self._knows_fleet,
+            self._has_full_model,
             self.queue_runner,
         )
-        self.pool = UpstreamPool(request_head.answer_request_id, self._most_idle)
+        self.pool = UpstreamPool(request_head.answer_request_id, self._max_idle_connections)
         self.quarantine = FleetQuarantine(
             settings.name, self.views, self.pool, self.peers, self.store, self.log, rng
         )
         self.registration = Registration(settings, self.store, self.peers, self.log, rng)
         self.suspension = SuspensionWatch(
-            clocks.now, time.monotonic, self._on_woke, self.views.is_confirmed_since
+            clocks.now, time.monotonic, self._on_suspension, self.views.is_confirmed_since
         )
         self.leaving_gossip = LeavingGossip(
             settings.name, self.views.upstreams, self.peers.broadcast, self.log, rng, clocks.now
@@ -205,17 +205,21 @@
             self.log,
             clocks.now,
         )
-        self.retry_budgets = RetryBudgets(settings.retry, self._sharing, clocks.now())
-        ward = IsolationPolicy(self.quarantine.isolation, self.views.upstreams, clocks.now)
+        self.retry_budgets = RetryBudgets(
+            settings.retry, self._possible_gateway_count, clocks.now()
+        )
+        isolation_policy = IsolationPolicy(
+            self.quarantine.isolation, self.views.upstreams, clocks.now
+        )
         self.mover = Mover(
             EngineMemoryClient(),
             placer,
             self.shared_load,
             self.views.upstreams,
-            ward,
+            isolation_policy,
             self.quarantine.gossip,
             self.retry_budgets,
-            stated.rate,
+            stated_limits.rate,
             self.metrics,
             self.log,
             clocks.now,
@@ -233,7 +237,7 @@
                 gate=self.upstream_gate,
                 limits=self.limits,
                 team_limits=self.team_limits,
-                isolation_policy=ward,
+                isolation_policy=isolation_policy,
                 mover=self.mover,
                 budgets=self.retry_budgets,
                 quarantine=self.quarantine.gossip,
@@ -259,7 +263,7 @@
         )
         add_gauges(self)
         self._stopping = False
-        self._following: list[asyncio.Task[None]] = []
+        self._view_tasks: list[asyncio.Task[None]] = []
 
     def is_ready(self) -> bool:
         """Return whether the load balancer may send clients to this gateway."""
@@ -269,7 +273,7 @@
     async def run(self, is_reload_requested: Callable[[], bool] = lambda: False) -> None:
         """Serve until a stop signal arrives, then finish the requests in progress.
 
-        `reload_asked` returns whether a reload of the settings was requested during the start.
+        `is_reload_requested` returns whether a reload was requested during the start.
         """
         # The receiver stays open until the end: a signal that arrives during the shutdown (a reload
         # or a second stop) would otherwise kill the process with all requests in progress.
@@ -283,7 +287,7 @@
                 group.start_soon(self.side_tasks.run, "hand over", self.duties.hand_over)
                 await self._drain()
                 group.cancel_scope.cancel()
-                for task in self._following:
+                for task in self._view_tasks:
                     task.cancel()
                 self.mover.close()
         self.log.note("process.stopped")
@@ -292,7 +296,7 @@
         group.start_soon(self.status_listener.serve)
         group.start_soon(self.client_listener.serve)
         group.start_soon(self.peers.run, group)
-        self._following = self.views.start_tasks()
+        self._view_tasks = self.views.start_tasks()
         group.start_soon(self.side_tasks.run, "registration", self.registration.run)
         group.start_soon(self.side_tasks.run, "waiting line", self.queue_runner.run)
         group.start_soon(self.side_tasks.run, "sweep", self._sweep)
@@ -313,11 +317,11 @@
 
     async def _sweep(self) -> None:
         while True:
-            await anyio.sleep(_SWEEP_SECONDS)
+            await anyio.sleep(_SWEEP_INTERVAL_SECONDS)
             known = {upstream.id for upstream in self.views.upstreams.all()}
             self.pool.close_expired(known)
             self.fleet.evict_unused(known, clocks.now())
-            self._tell_paces()
+            self._log_pace_changes()
             self.cooldowns.forget(known, clocks.now())
             self.limits.forget(known)
             self.team_limits.forget()
@@ -332,38 +336,40 @@
     def _reload(self) -> None:
         """Read the settings file again; keep the values that cannot change in a running process."""
         try:
-            settings = self._read_again()
+            settings = self._read_settings()
         except SettingsError as error:
             self.log.note("process.reload", outcome="rejected", error=str(error))
             return
-        fixed = {name: getattr(self.settings, name) for name in _FIXED_SETTINGS}
-        needs_restart = [name for name, value in fixed.items() if getattr(settings, name) != value]
-        self.settings = replace(settings, **fixed)
+        fixed_values = {name: getattr(self.settings, name) for name in _FIXED_SETTINGS}
+        needs_restart = [
+            name for name, value in fixed_values.items() if getattr(settings, name) != value
+        ]
+        self.settings = replace(settings, **fixed_values)
         self.retry_budgets.change(self.settings.retry)
         self.fleet.recent.seconds = self.settings.recent_seconds
         self.log.note("process.reload", outcome="in force", needs_restart=needs_restart)
 
     async def _wait_for_stop(
-        self, signals: AsyncIterator[signal.Signals], reload_asked: Callable[[], bool]
+        self, signals: AsyncIterator[signal.Signals], is_reload_requested: Callable[[], bool]
     ) -> None:
-        if reload_asked():
+        if is_reload_requested():
             self._reload()
-        async for number in signals:
-            if number != signal.SIGHUP:
+        async for received in signals:
+            if received != signal.SIGHUP:
                 return
             self._reload()
 
     async def _drain(self) -> None:
         """Wait until the load balancer sends no new clients, then finish requests in progress."""
-        ends = clocks.now() + self.settings.grace_seconds - _LAST_SECONDS
+        deadline = clocks.now() + self.settings.grace_seconds - _EXIT_RESERVE_SECONDS
         self._stopping = True
         self.client_application.closes_connections = True
         self.log.note("process.stopping", in_progress=self.client_application.in_progress)
         await anyio.sleep(self.settings.leave_seconds)
         self.client_application.accepts_requests = False
         self.client_listener.stop()
-        while self.client_application.in_progress and clocks.now() < ends:
-            await anyio.sleep(_TICK_SECONDS)
+        while self.client_application.in_progress and clocks.now() < deadline:
+            await anyio.sleep(_DRAIN_POLL_INTERVAL_SECONDS)
         self.peers.leave()
         if self.client_application.in_progress:
             self.log.note("process.cut", in_progress=self.client_application.in_progress)
@@ -378,32 +384,32 @@
             upstream_id=self.views.upstreams.id_by_number,
             on_load=lambda load: self.shared_load.receive(load),
             all_running=lambda: self.shared_load.all_running(),
-            on_gateway_gone=self._on_gone,
+            on_gateway_gone=self._on_gateway_gone,
             paces=lambda: self.shared_load.paces(),
             on_paces=lambda paces: self.shared_load.merge_paces(paces),
             answer_placement=lambda ask, now: self.placement_responder.answer(ask, now),
             on_late_placement=lambda request: self.shared_load.give_up(request),
             on_work_pull=self.duties.work_pages,
             on_work_page=self.duties.receive,
-            on_suspects=lambda news: self.quarantine.gossip.receive(news),
-            on_leaving=lambda news: self.leaving_gossip.receive(news),
-            on_limits=lambda news: self.limits.gossip.receive(news),
+            on_suspects=lambda update: self.quarantine.gossip.receive(update),
+            on_leaving=lambda update: self.leaving_gossip.receive(update),
+            on_limits=lambda update: self.limits.gossip.receive(update),
             on_permit_ask=self._on_permit_ask,
             on_permit_answer=lambda answer: self.limits.client.receive(answer),
-            on_returns=lambda news: self.return_gossip.receive(news),
+            on_returns=lambda update: self.return_gossip.receive(update),
             on_tick=self._on_tick,
-            on_queue_counts=lambda news: self.queue_runner.receive(news),
+            on_queue_counts=lambda update: self.queue_runner.receive(update),
         )
 
     def _on_permit_ask(self, ask: PermitAsk) -> PermitAnswer:
         limits = self.team_limits if self.team_limits.is_team_limit(ask) else self.limits
         return limits.answer(ask)
 
-    def _on_gone(self, name: str) -> None:
+    def _on_gateway_gone(self, name: str) -> None:
         self.shared_load.drop_sender(name)
         self.queue_runner.drop_gateway(name)
 
-    def _tell_paces(self) -> None:
+    def _log_pace_changes(self) -> None:
         for item in self.fleet.engine_paces.take_changes():
             steps, reading = round(item.step_slowness, 2), round(item.read_slowness, 2)
             self.log.note("upstream.pace", upstream=item.upstream, steps=steps, reading=reading)
@@ -415,25 +421,25 @@
         self.return_gossip.send_due()
         self.mover.start_due_handovers()
 
-    def _knows_fleet(self) -> bool:
+    def _has_full_model(self) -> bool:
         """Return whether the own model covers the requests that the whole fleet runs."""
         now = clocks.now()
-        if not self._start_of_life.is_new(now):
+        if not self._startup_phase.is_new(now):
             return True
-        heard = len(self.peers.membership.live())
+        live_count = len(self.peers.membership.live())
         has_model = self.peers.model_sync.is_ready()
-        return self._start_of_life.knows_fleet(
-            heard, self.registration.registered_count, has_model, now
+        return self._startup_phase.knows_fleet(
+            live_count, self.registration.registered_count, has_model, now
         )
 
-    def _sharing(self) -> int:
+    def _possible_gateway_count(self) -> int:
         """Return the possible number of gateways, 0 until it has been read from the store.
 
         The live members alone are not enough: they may be a single hall that is partitioned from
         the others.
         """
-        listed = self.registration.registered_count
-        return max(listed, self.peers.count()) if listed else 0
+        registered_count = self.registration.registered_count
+        return max(registered_count, self.peers.count()) if registered_count else 0
 
     def _service_named(self, name: str) -> Service | None:
         table = self.views.configuration.table
@@ -443,7 +449,7 @@
         upstream = self.views.upstreams.find(upstream_id)
         return self._service_named(upstream.service) if upstream is not None else None
 
-    def _most_idle(self, upstream: Upstream) -> int:
+    def _max_idle_connections(self, upstream: Upstream) -> int:
         """Return this gateway's part, kept idle at most, of the connections an upstream accepts."""
         service = self._service_of(upstream.id)
         if service is None:
@@ -456,7 +462,7 @@
         table = self.views.configuration.table
         return table.limits if table is not None else ClientLimits()
 
-    def _on_woke(self, seconds: float) -> None:
+    def _on_suspension(self, seconds: float) -> None:
         """Treat connections and views from before a suspension as stale."""
         self.log.note("process.woke", suspended=round(seconds, 2))
         self.client_application.note_suspension(seconds)
--- a/src/lotushill/gateway/status_app.py
+++ b/src/lotushill/gateway/status_app.py
@@ -30,12 +30,12 @@
 
     def __init__(
         self,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         status: Callable[[], dict[str, object]],
         metrics: Callable[[], bytes],
         journal: Journal,
     ) -> None:
-        self._ready = ready
+        self._is_ready = is_ready
         self._status = status
         self._metrics = metrics
         self._journal = journal
@@ -44,7 +44,7 @@
         """Serve one HTTP request."""
         path = str(scope["path"])
         if path == _READY_PATH:
-            await send_response(send, _OK if self._ready() else _NOT_READY, (), b"")
+            await send_response(send, _OK if self._is_ready() else _NOT_READY, (), b"")
         elif path == STATUS_PATH:
             await send_json(send, _OK, self._status())
         elif path == _METRICS_PATH:
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -59,184 +59,192 @@
 
 def add_gauges(gateway: ReportedGateway) -> None:
     """Add the gauges, which are read at each scrape."""
-    gauge = gateway.metrics.add_gauge
-    gauge("in_progress", "Requests in progress", lambda: gateway.client_application.in_progress)
-    gauge("store_calls", "Calls to the store since the start", lambda: gateway.store.calls)
-    gauge(
+    add_gauge = gateway.metrics.add_gauge
+    add_gauge("in_progress", "Requests in progress", lambda: gateway.client_application.in_progress)
+    add_gauge("store_calls", "Calls to the store since the start", lambda: gateway.store.calls)
+    add_gauge(
         "peer_bytes",
         "Bytes of datagrams sent to peers since the start",
         lambda: gateway.peers.bytes_sent,
     )
-    gauge("members", "Gateways that are alive", lambda: len(gateway.peers.membership.live()))
-    gauge(
+    add_gauge("members", "Gateways that are alive", lambda: len(gateway.peers.membership.live()))
+    add_gauge(
         "schedules",
         "1 if this gateway is a scheduler, which places by its own model",
         lambda: float(gateway.peers.schedulers.is_scheduler()),
     )
-    gauge(
+    add_gauge(
         "unanswered_asks",
         "Placement queries that were not answered",
         lambda: gateway.peers.client.unanswered,
     )
-    line = gateway.queue_runner.queue
-    gauge("waiting", "Entries in the admission queue of this gateway", lambda: len(line.requests))
-    gauge("waiting_bytes", "Estimated bytes of these entries", lambda: line.requests.bytes)
-    gauge("waiting_held", "Requests queued here since the start", lambda: line.held)
-    gauge(
-        "waiting_placed", "Queued requests that were placed, since the start", lambda: line.placed
+    admission_queue = gateway.queue_runner.queue
+    add_gauge(
+        "waiting",
+        "Entries in the admission queue of this gateway",
+        lambda: len(admission_queue.requests),
     )
-    gauge(
+    add_gauge(
+        "waiting_bytes", "Estimated bytes of these entries", lambda: admission_queue.requests.bytes
+    )
+    add_gauge("waiting_held", "Requests queued here since the start", lambda: admission_queue.held)
+    add_gauge(
+        "waiting_placed",
+        "Queued requests that were placed, since the start",
+        lambda: admission_queue.placed,
+    )
+    add_gauge(
         "waiting_given_up",
         "Queued requests that were refused, since the start",
-        lambda: line.given_up,
+        lambda: admission_queue.given_up,
     )
-    gauge(
+    add_gauge(
         "waiting_full",
         "Requests that arrived while the admission queue was full",
-        lambda: line.requests.overflows,
+        lambda: admission_queue.requests.overflows,
     )
-    gauge(
+    add_gauge(
         "waiting_elsewhere",
         "Requests of this gateway that are queued at schedulers",
         lambda: gateway.peers.client.waiting,
     )
-    gauge("upstreams", "Known upstreams", lambda: len(gateway.views.upstreams.all()))
-    gauge(
+    add_gauge("upstreams", "Known upstreams", lambda: len(gateway.views.upstreams.all()))
+    add_gauge(
         "entries_ignored",
         "Entries of upstreams that are ignored because they cannot be parsed",
         lambda: len(gateway.views.upstream_faults.current),
     )
-    gauge(
+    add_gauge(
         "entry_faults",
         "Entries of upstreams that could not be parsed, since the start",
         lambda: gateway.views.upstream_faults.total_count,
     )
-    gauge(
+    add_gauge(
         "requests_held",
         "Requests that are held, counted by caller, path and body",
         lambda: len(gateway.quarantine.held_identities()),
     )
-    gauge(
+    add_gauge(
         "requests_suspected",
         "Requests during which upstreams failed",
         lambda: len(gateway.quarantine.suspects),
     )
-    gauge(
+    add_gauge(
         "groups_isolated",
         "Groups of requests that are isolated because upstreams failed during them",
         lambda: len(gateway.quarantine.isolated_groups()),
     )
-    gauge(
+    add_gauge(
         "kept_back",
         "Arrivals of held requests that were sent to no upstream, since the start",
         lambda: gateway.quarantine.gossip.held_count,
     )
-    gauge(
+    add_gauge(
         "upstream_ends",
         "Upstream failures during requests of this gateway since the start, one for each request",
         lambda: gateway.quarantine.gossip.upstream_failures,
     )
-    gauge(
+    add_gauge(
         "rests_asked",
         "Cooldowns that upstreams requested, since the start",
         lambda: gateway.cooldowns.requested_count,
     )
-    gauge(
+    add_gauge(
         "upstreams_resting",
         "Upstreams that currently accept no requests from this gateway",
         lambda: len(gateway.cooldowns.barred(clocks.now())),
     )
-    gauge(
+    add_gauge(
         "sends_barred",
         "Requests not sent because the chosen upstream accepts none, since the start",
         lambda: gateway.upstream_gate.blocked_sends,
     )
-    gauge(
+    add_gauge(
         "rests_unreadable",
         "Cooldown requests that could not be parsed, since the start",
         lambda: gateway.upstream_gate.unreadable_cooldowns,
     )
-    gauge(
+    add_gauge(
         "upstreams_limited",
         "Upstreams that state a limit for all gateways together",
         lambda: len(gateway.limits.stated.limited_rates()),
     )
-    gauge(
+    add_gauge(
         "sends_unpermitted",
         "Requests that got no permit for the chosen upstream, since the start",
         lambda: gateway.upstream_gate.requests_without_permit,
     )
-    gauge(
+    add_gauge(
         "permits_denied",
         "Permits that this gateway denied as the limit owner of an upstream, since the start",
         lambda: gateway.limits.denied,
     )
-    gauge(
+    add_gauge(
         "permits_unanswered",
         "Permit requests that were not answered, since the start",
         lambda: gateway.limits.client.unanswered,
     )
-    gauge(
+    add_gauge(
         "limits_unreadable",
         "Limits that could not be parsed, since the start",
         lambda: gateway.upstream_gate.unreadable_limits,
     )
     returns = gateway.fleet.shedding.returns
-    gauge(
+    add_gauge(
         "places_kept", "Callers that hold a promise and have not returned yet", lambda: len(returns)
     )
-    gauge("places_promised", "Promises made here since the start", lambda: returns.made)
-    gauge(
+    add_gauge("places_promised", "Promises made here since the start", lambda: returns.made)
+    add_gauge(
         "returns_placed",
         "Returned requests placed here as promised, since the start",
         lambda: returns.kept,
     )
-    gauge(
+    add_gauge(
         "returns_early",
         "Requests of returning callers before their retry time, since the start",
         lambda: returns.early,
     )
-    gauge(
+    add_gauge(
         "moves_under_way",
         "Handovers of runs in progress",
         lambda: gateway.mover.handovers_in_progress,
     )
-    gauge(
+    add_gauge(
         "teams_over_share",
         "Services and tiers with a team over its share, which yields to others under overload",
         lambda: len(gateway.fleet.shares.teams_over_share(clocks.now())),
     )
-    gauge(
+    add_gauge(
         "team_limit_held_back",
         "Times that a request was delayed by the limit of its team, since the start",
         lambda: gateway.team_limits.delayed_count,
     )
-    gauge(
+    add_gauge(
         "waiting_for_start",
         "Requests that wait until this gateway is ready to serve",
         lambda: gateway.client_application.waiting_until_ready,
     )
-    gauge(
+    add_gauge(
         "upstreams_uneven",
         "Upstreams whose long-term pace, as known here, differs from the median of their service",
         lambda: len(gateway.fleet.engine_paces.deviating_paces()),
     )
-    gauge(
+    add_gauge(
         "connections_opened",
         "Connections to upstreams opened since the start",
         lambda: gateway.pool.opened,
     )
-    gauge(
+    add_gauge(
         "task_faults",
         "Exceptions in background tasks since the start",
         lambda: gateway.side_tasks.failure_count,
     )
-    gauge(
+    add_gauge(
         "log_lines_left_out",
         "Log lines dropped by the rate limit",
         lambda: gateway.log.total_left_out,
     )
-    gauge(
+    add_gauge(
         "configuration_revision",
         "Revision of the configuration in force",
         lambda: gateway.views.configuration.revision,
@@ -299,14 +307,14 @@
     ]
 
 
-def _waiting(keeper: QueueRunner) -> dict[str, object]:
-    room = keeper.queue.requests
+def _waiting(runner: QueueRunner) -> dict[str, object]:
+    entries = runner.queue.requests
     return {
-        "tiers": {name: room.tiers(name) for name in room.services()},
-        "held": keeper.queue.held,
-        "placed": keeper.queue.placed,
-        "given_up": keeper.queue.given_up,
-        "found_full": room.overflows,
+        "tiers": {name: entries.tiers(name) for name in entries.services()},
+        "held": runner.queue.held,
+        "placed": runner.queue.placed,
+        "given_up": runner.queue.given_up,
+        "found_full": entries.overflows,
     }
 
 
--- a/src/lotushill/gateway/store_views.py
+++ b/src/lotushill/gateway/store_views.py
@@ -25,12 +25,12 @@
     from lotushill.peering.reader_role import ReaderRole
     from lotushill.views.watcher import Store
 
-_HOLDS_FIRST_SECONDS = 2.0
+_HOLDS_WAIT_SECONDS = 2.0
 """Time after which requests are served although the holds, and only they, cannot be read.
 
 Without the holds, a held request may make upstreams fail; not serving at all fails every request.
 """
-_UNREADABLE = (
+_PARSE_ERRORS = (
     ValueError,
     TypeError,
     KeyError,
@@ -50,23 +50,25 @@
         rng: random.Random,
         log: EventLog,
         on_configuration: Callable[[], None],
-        role: ReaderRole | None = None,
+        reader_role: ReaderRole | None = None,
         clock: Callable[[], float] = clocks.now,
         on_holds: Callable[[], None] = lambda: None,
     ) -> None:
-        """Watch `store` while `role` says that this gateway is a reader; without a role, always.
+        """Watch `store` while `reader_role` makes this gateway a reader; without a role, always.
 
         `on_configuration` is called when a new configuration is in force, `on_holds` when the set
         of held requests has changed.
         """
         self._clock = clock
-        self._role = role
+        self._reader_role = reader_role
         self._on_configuration = on_configuration
         self._configured_at: float | None = None
         """Time at which the first configuration came into force, from the store or from a peer."""
-        self._doubted_at = float("-inf")
-        self._configuration = FollowedConfiguration(log, self._note_configuration, self._may_start)
-        self._upstreams = FollowedUpstreams(log, clock, self._away_at)
+        self._relisted_at = float("-inf")
+        self._configuration = FollowedConfiguration(
+            log, self._handle_configuration, self._may_read_configuration
+        )
+        self._upstreams = FollowedUpstreams(log, clock, self._last_failure_at)
         self._settings = FollowedSettings(log)
         self._holds = FollowedHolds(log, on_holds)
         self._followed: dict[ViewKind, FollowedKind] = {
@@ -76,7 +78,7 @@
             ViewKind.HOLDS: self._holds,
         }
         self._watchers = {
-            kind: Watcher(store, item.watched_kind(), rng, log, role, clock)
+            kind: Watcher(store, item.watched_kind(), rng, log, reader_role, clock)
             for kind, item in self._followed.items()
         }
         self.configuration = self._configuration.view
@@ -98,14 +100,14 @@
 
         A gateway that served earlier would send held requests to upstreams again.
         """
-        if self._may_start():
+        if self._may_read_configuration():
             return True
         configured = self._configured_at
-        return configured is not None and self._clock() - configured > _HOLDS_FIRST_SECONDS
+        return configured is not None and self._clock() - configured > _HOLDS_WAIT_SECONDS
 
     def contact(self) -> StoreContact:
         """Return whether this gateway reads the store, is passive or cannot reach it."""
-        watchers = self._deciding()
+        watchers = self._essential_watchers()
         if any(watcher.failing for watcher in watchers):
             return StoreContact.AWAY
         if any(watcher.active for watcher in watchers):
@@ -116,27 +118,29 @@
         """Return whether no newer configuration is known anywhere than the one in force."""
         watcher = self._watchers[ViewKind.CONFIGURATION]
         if watcher.active and not watcher.failing:
-            return watcher.last_list_sent_at >= self._doubted_at
-        return self._role is not None and self._role.has_current_reader(self.configuration.revision)
+            return watcher.last_list_sent_at >= self._relisted_at
+        return self._reader_role is not None and self._reader_role.has_current_reader(
+            self.configuration.revision
+        )
 
     def relist(self) -> None:
         """Read all views of this gateway from the store again, because they may be stale."""
-        self._doubted_at = self._clock()
+        self._relisted_at = self._clock()
         for watcher in self._watchers.values():
             watcher.relist()
 
     def is_confirmed_since(self, since: float) -> bool:
         """Return whether this gateway has read configuration and upstreams since a given time."""
-        return all(watcher.last_list_sent_at >= since for watcher in self._deciding())
+        return all(watcher.last_list_sent_at >= since for watcher in self._essential_watchers())
 
-    def _deciding(self) -> tuple[Watcher, Watcher]:
+    def _essential_watchers(self) -> tuple[Watcher, Watcher]:
         """Return the watchers of configuration and upstreams, which every request needs."""
         return self._watchers[ViewKind.CONFIGURATION], self._watchers[ViewKind.UPSTREAMS]
 
-    def _away_at(self) -> float | None:
+    def _last_failure_at(self) -> float | None:
         return self._watchers[ViewKind.UPSTREAMS].last_failure_at
 
-    def _may_start(self) -> bool:
+    def _may_read_configuration(self) -> bool:
         """Return whether the configuration, without which nothing is served, may be read.
 
         It is read after the holds: a gateway that had read only the configuration before the store
@@ -148,9 +152,9 @@
         if self.holds.revision >= 0:
             return True
         since = self._watchers[ViewKind.UPSTREAMS].answering_since
-        return since is not None and self._clock() - since > _HOLDS_FIRST_SECONDS
+        return since is not None and self._clock() - since > _HOLDS_WAIT_SECONDS
 
-    def _note_configuration(self) -> None:
+    def _handle_configuration(self) -> None:
         if self._configured_at is None:
             self._configured_at = self._clock()
         self.settings.clear_resolved_routes()
@@ -169,5 +173,5 @@
         """Replace a view by a newer one of a peer; raise MalformedViewError if it is malformed."""
         try:
             self._followed[kind].receive_from_peer(json.loads(text), revision)
-        except _UNREADABLE as error:
+        except _PARSE_ERRORS as error:
             raise MalformedViewError(kind.value) from error
--- a/src/lotushill/process/metrics.py
+++ b/src/lotushill/process/metrics.py
@@ -18,16 +18,16 @@
 
     Labels = tuple[str, ...]
 
-_SECONDS = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
-_RATIOS = (0.25, 0.5, 0.7, 0.85, 1.0, 1.2, 1.5, 2.0, 4.0, 8.0)
-_LEAST_PREDICTED = 0.001
+_DURATION_BUCKETS_SECONDS = (0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
+_RATIO_BUCKETS = (0.25, 0.5, 0.7, 0.85, 1.0, 1.2, 1.5, 2.0, 4.0, 8.0)
+_MIN_PREDICTED_SECONDS = 0.001
 """Lower bound of predicted times in the prediction ratio, in seconds.
 
 A step of an engine takes longer.
 """
 
 
-class _Counts:
+class _Counter:
     """A counter with one value for each combination of labels."""
 
     def __init__(self, name: str, text: str, labels: Labels) -> None:
@@ -80,49 +80,49 @@
     """
 
     def __init__(self) -> None:
-        self._requests = _Counts(
+        self._requests = _Counter(
             "lotushill_requests", "Requests by outcome", ("service", "outcome")
         )
-        self._attempts = _Counts(
+        self._attempts = _Counter(
             "lotushill_attempts",
             "Attempts at upstreams by tier and by how they ended",
             ("service", "tier", "end"),
         )
-        self._refused = _Counts(
+        self._refusals = _Counter(
             "lotushill_refused",
             "Requests for which no upstream was chosen, by tier and reason",
             ("service", "tier", "reason"),
         )
-        self._moves = _Counts(
+        self._handovers = _Counter(
             "lotushill_moves",
             "Handovers of runs to other upstreams, by cause and by how they ended",
             ("cause", "end"),
         )
-        self._moved_runs = _Counts(
+        self._moved_runs = _Counter(
             "lotushill_moved_runs", "Runs that had to be resumed from moved KV memory", ("end",)
         )
-        self._turned_away = _Counts(
+        self._rejections = _Counter(
             "lotushill_turned_away",
             "Requests rejected before a service was determined",
             ("status",),
         )
-        self._seconds = _Histogram(
+        self._request_seconds = _Histogram(
             "lotushill_request_seconds",
             "Seconds from the arrival of a request to its end",
             ("service",),
-            _SECONDS,
+            _DURATION_BUCKETS_SECONDS,
         )
         self._first_seconds = _Histogram(
             "lotushill_first_seconds",
             "Seconds from sending a request to the first event or the complete answer",
             ("service",),
-            _SECONDS,
+            _DURATION_BUCKETS_SECONDS,
         )
-        self._prediction = _Histogram(
+        self._prediction_ratios = _Histogram(
             "lotushill_prediction_ratio",
             "Measured time to the first event divided by the predicted time",
             ("service",),
-            _RATIOS,
+            _RATIO_BUCKETS,
         )
         self._gauges: list[_Gauge] = []
 
@@ -133,11 +133,11 @@
     def record_request(self, service: str, outcome: str, seconds: float) -> None:
         """Record the outcome and the duration of a request."""
         self._requests.values[service, outcome.partition(":")[0]] += 1
-        self._seconds.observe((service,), seconds)
+        self._request_seconds.observe((service,), seconds)
 
     def record_rejection(self, status: int) -> None:
         """Record a request that was rejected before its service was determined."""
-        self._turned_away.values[(str(status),)] += 1
+        self._rejections.values[(str(status),)] += 1
 
     def record_attempt(self, service: str, tier: int, end: str) -> None:
         """Record how an attempt at an upstream ended."""
@@ -145,7 +145,7 @@
 
     def record_handover(self, cause: str, end: str) -> None:
         """Record how a handover of a run ended."""
-        self._moves.values[cause, end] += 1
+        self._handovers.values[cause, end] += 1
 
     def record_moved_run(self, end: str) -> None:
         """Record whether a run was resumed from moved KV memory or was interrupted."""
@@ -153,12 +153,14 @@
 
     def record_refusal(self, service: str, tier: int, reason: str) -> None:
         """Record a request for which no upstream was chosen."""
-        self._refused.values[service, str(tier), reason] += 1
+        self._refusals.values[service, str(tier), reason] += 1
 
     def record_first_event(self, service: str, seconds: float, predicted: float) -> None:
         """Record the measured time to the first event, and its ratio to the predicted time."""
         self._first_seconds.observe((service,), seconds)
-        self._prediction.observe((service,), seconds / max(_LEAST_PREDICTED, predicted))
+        self._prediction_ratios.observe(
+            (service,), seconds / max(_MIN_PREDICTED_SECONDS, predicted)
+        )
 
     def text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -178,16 +180,16 @@
         for counts in (
             self._requests,
             self._attempts,
-            self._refused,
-            self._moves,
+            self._refusals,
+            self._handovers,
             self._moved_runs,
-            self._turned_away,
+            self._rejections,
         ):
             counter = CounterMetricFamily(counts.name, counts.text, labels=counts.labels)
             for labels, count in counts.values.items():
                 counter.add_metric(labels, count)
             yield counter
-        for histogram in (self._seconds, self._first_seconds, self._prediction):
+        for histogram in (self._request_seconds, self._first_seconds, self._prediction_ratios):
             family = HistogramMetricFamily(histogram.name, histogram.text, labels=histogram.labels)
             for labels, buckets in histogram.values.items():
                 family.add_metric(labels, _cumulative(histogram.bounds, buckets), buckets.sum)
@@ -199,8 +201,8 @@
 def _cumulative(bounds: tuple[float, ...], buckets: _Buckets) -> list[tuple[str, float]]:
     """Return, for each bound, the number of observations that are not above it."""
     total = 0
-    found: list[tuple[str, float]] = []
+    cumulative: list[tuple[str, float]] = []
     for bound, count in zip([*map(str, bounds), "+Inf"], buckets.counts):
         total += count
-        found.append((bound, total))
-    return found
+        cumulative.append((bound, total))
+    return cumulative
--- a/src/lotushill/process/settings_file.py
+++ b/src/lotushill/process/settings_file.py
@@ -20,13 +20,13 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-_MOST_SHOWN = 80
+_MAX_SHOWN_CHARACTERS = 80
 """Number of characters of an invalid value that an error message shows."""
 
 S = TypeVar("S", GatewaySettings, RetrySettings, DutySettings)
 
 
-class _ValueError(Exception):
+class _InvalidValueError(Exception):
     """A value that is invalid; the message states why."""
 
 
@@ -41,69 +41,69 @@
     A file that is not a mapping yields a single fault with the path `(document)`.
     """
     faults: list[Fault] = []
-    settings = _section(GatewaySettings, value, "", faults)
+    settings = _check_section(GatewaySettings, value, "", faults)
     if settings is None or faults:
         raise SettingsError(source, tuple(faults))
     return settings
 
 
-def _section(kind: type[S], value: Any, path: str, faults: list[Fault]) -> S | None:
+def _check_section(kind: type[S], value: Any, path: str, faults: list[Fault]) -> S | None:
     if not isinstance(value, dict):
-        faults.append(Fault(path or "(document)", _shown(value), "must be a mapping"))
+        faults.append(Fault(path or "(document)", _abbreviate(value), "must be a mapping"))
         return None
-    before = len(faults)
-    found: dict[str, Any] = {}
+    fault_count_before = len(faults)
+    values: dict[str, Any] = {}
     for item in fields(kind):
-        place = f"{path}.{item.name}" if path else item.name
+        item_path = f"{path}.{item.name}" if path else item.name
         if item.name not in value:
             if item.default is MISSING:
-                faults.append(Fault(place, "nothing", "is required"))
+                faults.append(Fault(item_path, "nothing", "is required"))
             continue
         try:
-            found[item.name] = _checked(str(item.type), value[item.name], place, faults)
-        except _ValueError as error:
-            faults.append(Fault(place, _shown(value[item.name]), str(error)))
-    return kind(**found) if len(faults) == before else None
+            values[item.name] = _check_value(str(item.type), value[item.name], item_path, faults)
+        except _InvalidValueError as error:
+            faults.append(Fault(item_path, _abbreviate(value[item.name]), str(error)))
+    return kind(**values) if len(faults) == fault_count_before else None
 
 
-def _checked(kind: str, value: Any, path: str, faults: list[Fault]) -> Any:
+def _check_value(kind: str, value: Any, path: str, faults: list[Fault]) -> Any:
     """Return a validated value; `kind` is the name of the type in the field's annotation."""
     if kind == "RetrySettings":
-        return _section(RetrySettings, value, path, faults)
+        return _check_section(RetrySettings, value, path, faults)
     if kind == "DutySettings | None":
-        return None if value is None else _section(DutySettings, value, path, faults)
+        return None if value is None else _check_section(DutySettings, value, path, faults)
     if kind == "Flag":
-        return _flag(value)
+        return _check_flag(value)
     if kind in ("Text", "Address"):
-        return _text(value, is_address=kind == "Address")
-    return _number(value, may_be_zero=kind == "Amount")
+        return _check_text(value, is_address=kind == "Address")
+    return _check_number(value, may_be_zero=kind == "Amount")
 
 
-def _text(value: Any, is_address: bool) -> str:
+def _check_text(value: Any, is_address: bool) -> str:
     if not isinstance(value, str) or not value:
-        raise _ValueError("must be a string that is not empty")
+        raise _InvalidValueError("must be a string that is not empty")
     if is_address:
         try:
             split_address(value)
         except ValueError as error:
-            raise _ValueError(str(error)) from error
+            raise _InvalidValueError(str(error)) from error
     return value
 
 
-def _flag(value: Any) -> bool:
+def _check_flag(value: Any) -> bool:
     if not isinstance(value, bool):
-        raise _ValueError("must be true or false")
+        raise _InvalidValueError("must be true or false")
     return value
 
 
-def _number(value: Any, may_be_zero: bool) -> float:
+def _check_number(value: Any, may_be_zero: bool) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise _ValueError("must be a finite number")
+        raise _InvalidValueError("must be a finite number")
     if value < 0 or (value == 0 and not may_be_zero):
-        raise _ValueError("must be 0 or more" if may_be_zero else "must be above 0")
+        raise _InvalidValueError("must be 0 or more" if may_be_zero else "must be above 0")
     return float(value)
 
 
-def _shown(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= _MOST_SHOWN else text[:_MOST_SHOWN] + "..."
+    return text if len(text) <= _MAX_SHOWN_CHARACTERS else text[:_MAX_SHOWN_CHARACTERS] + "..."
--- a/src/lotushill/process/side_tasks.py
+++ b/src/lotushill/process/side_tasks.py
@@ -14,9 +14,9 @@
 
     from lotushill.event_log import EventLog
 
-_FIRST_PAUSE_SECONDS = 0.2
-_LONGEST_PAUSE_SECONDS = 10.0
-_MOST_TRACE = 2000
+_INITIAL_BACKOFF_SECONDS = 0.2
+_MAX_BACKOFF_SECONDS = 10.0
+_MAX_TRACE_CHARACTERS = 2000
 """Number of characters logged from the end of a stack trace."""
 
 
@@ -31,14 +31,14 @@
 
     async def run(self, name: str, task: Callable[[], Awaitable[None]]) -> None:
         """Run a task until it returns; restart it after each exception."""
-        pause = _FIRST_PAUSE_SECONDS
+        backoff = _INITIAL_BACKOFF_SECONDS
         while True:
             try:
                 await task()
                 return
             except Exception as error:
                 self.failure_count += 1
-                trace = "".join(traceback.format_exception(error))[-_MOST_TRACE:]
-                self._log.note("task.failed", task=name, again_in=round(pause, 2), trace=trace)
-            await anyio.sleep(pause * self._rng.uniform(0.7, 1.3))
-            pause = min(_LONGEST_PAUSE_SECONDS, 2 * pause)
+                trace = "".join(traceback.format_exception(error))[-_MAX_TRACE_CHARACTERS:]
+                self._log.note("task.failed", task=name, again_in=round(backoff, 2), trace=trace)
+            await anyio.sleep(backoff * self._rng.uniform(0.7, 1.3))
+            backoff = min(_MAX_BACKOFF_SECONDS, 2 * backoff)
--- a/src/lotushill/process/suspension.py
+++ b/src/lotushill/process/suspension.py
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_LEAST_SECONDS = 0.25
+_MIN_SUSPENSION_SECONDS = 0.25
 """Shortest suspension that is handled; connections and views survive shorter ones."""
-_SETTLE_SECONDS = 0.3
+_SETTLE_TIMEOUT_SECONDS = 0.3
 """Longest wait of requests for the changes since a suspension from the store or from peers."""
-_POLL_SECONDS = 0.02
+_POLL_INTERVAL_SECONDS = 0.02
 
 
 class SuspensionWatch:
@@ -26,39 +26,39 @@
         on_suspension: Callable[[float], None],
         is_confirmed: Callable[[float], bool],
     ) -> None:
-        """Call `on_woke` with the seconds for which the host was suspended, after each suspension.
+        """Call `on_suspension` after each suspension, with its length in seconds.
 
         `clock` advances during a suspension, `steady` does not. `is_confirmed` returns whether the
         views were confirmed since a time on `clock`.
         """
         self._clock = clock
         self._steady = steady
-        self._on_woke = on_suspension
+        self._on_suspension = on_suspension
         self._is_confirmed = is_confirmed
-        self._apart = clock() - steady()
-        self._woke_at = float("-inf")
+        self._clock_offset = clock() - steady()
+        self._suspension_end = float("-inf")
         self.suspension_count = 0
         """Number of suspensions detected so far."""
 
     def check(self) -> None:
         """Detect a suspension since the last call; cheap enough to be called at each step."""
-        apart = self._clock() - self._steady()
-        gap = apart - self._apart
-        self._apart = apart
-        if gap >= _LEAST_SECONDS:
+        clock_offset = self._clock() - self._steady()
+        gap = clock_offset - self._clock_offset
+        self._clock_offset = clock_offset
+        if gap >= _MIN_SUSPENSION_SECONDS:
             self.suspension_count += 1
-            self._woke_at = self._clock()
-            self._on_woke(gap)
+            self._suspension_end = self._clock()
+            self._on_suspension(gap)
 
     @property
     def is_settled(self) -> bool:
         """Whether the views were confirmed since the last suspension or the wait timed out."""
-        waited = self._clock() - self._woke_at
-        return waited >= _SETTLE_SECONDS or self._is_confirmed(self._woke_at)
+        waited = self._clock() - self._suspension_end
+        return waited >= _SETTLE_TIMEOUT_SECONDS or self._is_confirmed(self._suspension_end)
 
     async def wait_until_settled(self) -> None:
         """Wait, for a bounded time, until the views were confirmed since the last suspension."""
         self.check()
         while not self.is_settled:
-            await anyio.sleep(_POLL_SECONDS)
+            await anyio.sleep(_POLL_INTERVAL_SECONDS)
             self.check()
--- a/tests/console/test_fleet_commands.py
+++ b/tests/console/test_fleet_commands.py
@@ -9,7 +9,7 @@
 from lotushill.console.fleet_commands import share_lines
 from lotushill.console.fleet_commands import waiting_lines
 
-HELD: dict[str, Any] = {
+DUTY_STATUS: dict[str, Any] = {
     "holder": "gw-1",
     "held_here": True,
     "token": 84,
@@ -21,25 +21,28 @@
 
 
 class TestDutyLines(unittest.TestCase):
-    def test_one_line_says_who_holds_them(self) -> None:
-        rows = {"gw-1": {"duties": HELD}, "gw-2": {"duties": {**HELD, "held_here": False}}}
+    def test_one_line_names_the_holder(self) -> None:
+        rows = {
+            "gw-1": {"duties": DUTY_STATUS},
+            "gw-2": {"duties": {**DUTY_STATUS, "held_here": False}},
+        }
         lines = duty_lines(rows)
         self.assertIn("held by gw-1 for 61 s with token 84", lines[0])
         self.assertIn("llm/east: 2 engines, 21 reclaimable", lines[1])
         self.assertEqual(len(lines), 2)
 
-    def test_two_that_say_so_are_both_shown(self) -> None:
-        rows = {name: {"duties": {**HELD, "orders": {}}} for name in ("gw-1", "gw-2")}
+    def test_two_holders_are_both_listed(self) -> None:
+        rows = {name: {"duties": {**DUTY_STATUS, "orders": {}}} for name in ("gw-1", "gw-2")}
         self.assertEqual(len(duty_lines(rows)), 2)
 
-    def test_nobody_is_said_too_and_a_fleet_without_duties_says_nothing(self) -> None:
-        nobody = {"gw-1": {"duties": {**HELD, "held_here": False}}}
-        self.assertEqual(duty_lines(nobody), ["duties: no gateway reports that it holds them"])
+    def test_missing_holder_is_stated_and_fleet_without_duties_has_no_line(self) -> None:
+        rows = {"gw-1": {"duties": {**DUTY_STATUS, "held_here": False}}}
+        self.assertEqual(duty_lines(rows), ["duties: no gateway reports that it holds them"])
         self.assertEqual(duty_lines({"gw-1": {"duties": None}, "gw-2": None}), [])
 
 
 class TestLimitLines(unittest.TestCase):
-    def test_each_limit_is_told_with_how_many_gateways_know_it(self) -> None:
+    def test_each_limit_is_listed_with_the_number_of_gateways_that_know_it(self) -> None:
         def row(**limited: float) -> dict[str, Any]:
             return {"upstreams": {"limited": limited}}
 
@@ -53,7 +56,7 @@
             limit_lines(rows),
         )
 
-    def test_each_pace_that_differs_is_told_with_how_many_gateways_know_it(self) -> None:
+    def test_each_deviating_pace_is_listed_with_the_number_of_gateways_that_report_it(self) -> None:
         rows: dict[str, dict[str, Any] | None] = {
             "a": {"upstreams": {"paces": {"e1": [2.1, 1.0]}}},
             "b": {"upstreams": {"paces": {"e1": [2.3, 1.0], "app": [1.0, 1.8]}}},
@@ -70,12 +73,12 @@
             pace_lines(rows),
         )
 
-    def test_without_limits_nothing_is_told(self) -> None:
+    def test_without_limits_there_are_no_lines(self) -> None:
         self.assertEqual([], limit_lines({"a": {"upstreams": {}}, "silent": None}))
 
 
 class TestShareLines(unittest.TestCase):
-    def test_a_team_over_its_share_is_told_once(self) -> None:
+    def test_a_team_over_its_share_is_listed_once(self) -> None:
         def row(times: float) -> dict[str, Any]:
             return {"over_share": [{"service": "llm", "tier": 1, "team": "bakery", "times": times}]}
 
@@ -94,8 +97,8 @@
         )
 
 
-class TestWaiting(unittest.TestCase):
-    def test_what_waits_is_added_up_over_all_gateways(self) -> None:
+class TestWaitingLines(unittest.TestCase):
+    def test_queued_requests_are_summed_over_all_gateways(self) -> None:
         rows = {
             "a": {"waiting": {"tiers": {"llm": {"0": 2, "2": 5}}}},
             "b": {"waiting": {"tiers": {"llm": {"2": 1}}}},
--- a/tests/console/test_gateway_program.py
+++ b/tests/console/test_gateway_program.py
@@ -23,9 +23,9 @@
 from tests.requests.rig import request_bytes
 
 _MODULE = "lotushill.console.gateway"
-_PATIENCE = 30.0
-_PORTS = random.SystemRandom()
-_HELD_PORTS: list[socket.socket] = []
+_TIMEOUT_SECONDS = 30.0
+_PORT_RNG = random.SystemRandom()
+_RESERVED_PORTS: list[socket.socket] = []
 
 SPEC = {
     "version": 3,
@@ -55,16 +55,16 @@
     until the end.
     """
     while True:
-        port = _PORTS.randrange(10_240, 32_768)
-        held = socket.socket()
+        port = _PORT_RNG.randrange(10_240, 32_768)
+        reservation = socket.socket()
         try:
-            held.bind(("127.0.0.2", port))
-            with socket.socket() as found:
-                found.bind(("127.0.0.1", port))
+            reservation.bind(("127.0.0.2", port))
+            with socket.socket() as probe:
+                probe.bind(("127.0.0.1", port))
         except OSError:
-            held.close()
+            reservation.close()
             continue
-        _HELD_PORTS.append(held)
+        _RESERVED_PORTS.append(reservation)
         return f"127.0.0.1:{port}"
 
 
@@ -86,7 +86,7 @@
         self.server = HttpServer(MetadataApp(self.store), "127.0.0.1:0")
         self.task = asyncio.create_task(self.server.serve())
         await self.server.wait_started()
-        self.proceed = asyncio.Event()
+        self.may_answer = asyncio.Event()
         self.upstream = ScriptedUpstream([self.answer])
         await self.upstream.start()
         self.store.create("config", "main", SPEC)
@@ -102,7 +102,7 @@
         self.folder.cleanup()
 
     async def answer(self, seen: ReceivedRequest) -> None:
-        await self.proceed.wait()
+        await self.may_answer.wait()
         seen.answer_whole()
 
     async def start(self, **changes: object) -> asyncio.subprocess.Process:
@@ -132,7 +132,7 @@
             stderr=asyncio.subprocess.PIPE,
         )
 
-    async def ready(self, process: asyncio.subprocess.Process) -> None:
+    async def wait_ready(self, process: asyncio.subprocess.Process) -> None:
         """Wait until the gateway is ready; fail with its output if the process has exited."""
         while await get_status(self.readiness, "/readyz") != 200:
             if process.returncode is not None:
@@ -141,9 +141,9 @@
             await asyncio.sleep(0.05)
 
     async def test_a_planned_stop_finishes_what_is_in_progress(self) -> None:
-        async with asyncio.timeout(_PATIENCE):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             process = await self.start()
-            await self.ready(process)
+            await self.wait_ready(process)
             host, _, port = self.clients.partition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(
@@ -155,7 +155,7 @@
             process.send_signal(signal.SIGTERM)
             while await get_status(self.readiness, "/readyz") == 200:
                 await asyncio.sleep(0.02)
-            self.proceed.set()
+            self.may_answer.set()
             got = await read_answer(reader)
             writer.close()
             output, errors = await process.communicate()
@@ -170,9 +170,9 @@
 
     async def test_signals_that_come_during_a_planned_stop_cut_nothing(self) -> None:
         """A reload 0.1 s after a stop signal killed a gateway with all requests in progress."""
-        async with asyncio.timeout(_PATIENCE):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             process = await self.start()
-            await self.ready(process)
+            await self.wait_ready(process)
             call = asyncio.create_task(self.call("r1"))
             while not self.upstream.requests:
                 await asyncio.sleep(0.01)
@@ -183,12 +183,12 @@
                 process.send_signal(number)
             # An answer shows that the gateway has handled the signals and still serves.
             await get_status(self.readiness, "/readyz")
-            self.proceed.set()
+            self.may_answer.set()
             status = await call
             _, errors = await process.communicate()
         self.assertEqual((200, 0, b""), (status, process.returncode, errors))
 
-    async def start_and_hold(self) -> tuple[asyncio.subprocess.Process, int]:
+    async def start_blocked_on_settings(self) -> tuple[asyncio.subprocess.Process, int]:
         """Return a process that blocks on reading its settings, and the descriptor to write them.
 
         The file that a later reload reads has a different grace time.
@@ -212,13 +212,13 @@
 
     async def test_a_signal_to_read_settings_that_comes_while_it_starts_ends_nothing(self) -> None:
         """A reload signal during the start killed a gateway, which delayed its next start."""
-        async with asyncio.timeout(_PATIENCE):
-            process, writer = await self.start_and_hold()
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
+            process, writer = await self.start_blocked_on_settings()
             process.send_signal(signal.SIGHUP)
             first = json.loads((Path(self.folder.name) / "settings.yaml").read_text())
             os.write(writer, json.dumps({**first, "grace_seconds": 9.0}).encode())
             os.close(writer)
-            await self.ready(process)
+            await self.wait_ready(process)
             process.send_signal(signal.SIGTERM)
             output, errors = await process.communicate()
         self.assertEqual((0, b""), (process.returncode, errors))
@@ -226,8 +226,8 @@
         self.assertEqual(["in force"], [line["outcome"] for line in reloads])
 
     async def test_a_planned_stop_while_it_starts_is_one(self) -> None:
-        async with asyncio.timeout(_PATIENCE):
-            process, writer = await self.start_and_hold()
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
+            process, writer = await self.start_blocked_on_settings()
             process.send_signal(signal.SIGTERM)
             output, errors = await process.communicate()
             os.close(writer)
@@ -236,7 +236,7 @@
     async def test_entries_of_another_writer_cost_no_request(self) -> None:
         """One entry without a usable address received 99 of 100 requests; one with Infinity in a
         number stopped the updates of all upstreams."""
-        self.proceed.set()
+        self.may_answer.set()
         good = entry("app", self.upstream.address)
         odd: dict[str, object] = {
             "no-address": {**good, "address": None},
@@ -248,11 +248,11 @@
             "no-object": "text",
             "nothing": None,
         }
-        async with asyncio.timeout(_PATIENCE):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             for name, spec in odd.items():
                 self.store.create("servers", name, spec)
             process = await self.start()
-            await self.ready(process)
+            await self.wait_ready(process)
             statuses = [await self.call(f"r{number}") for number in range(100)]
             self.store.put("servers", "i-1", {**good, "state": "draining"})
             while await self.call("later") == 200:
@@ -273,18 +273,18 @@
 
     async def test_without_a_configuration_it_is_not_ready(self) -> None:
         self.store.delete("config", "main")
-        async with asyncio.timeout(_PATIENCE):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             process = await self.start()
             while (status := await get_status(self.readiness, "/readyz")) == 0:
                 await asyncio.sleep(0.05)
             self.assertEqual(503, status)
             self.store.create("config", "main", SPEC)
-            await self.ready(process)
+            await self.wait_ready(process)
             process.send_signal(signal.SIGTERM)
             await process.communicate()
 
     async def test_a_wrong_value_is_named_by_its_path(self) -> None:
-        async with asyncio.timeout(_PATIENCE):
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
             process = await self.start(store="nowhere", retry={"ratio": -1})
             _, errors = await process.communicate()
         lines = errors.decode().splitlines()
--- a/tests/console/test_process_signals.py
+++ b/tests/console/test_process_signals.py
@@ -24,7 +24,7 @@
 thing = Thing()
 watch = weakref.ref(thing, stop)
 del thing
-print("goes on", signals.reload_asked)
+print("goes on", signals.is_reload_requested)
 """
 
 
@@ -41,6 +41,6 @@
         done = self.run_with(signal.SIGTERM)
         self.assertEqual((0, "", ""), (done.returncode, done.stdout, done.stderr))
 
-    def test_settings_are_read_again_later(self) -> None:
+    def test_a_reload_signal_is_recorded_for_later(self) -> None:
         done = self.run_with(signal.SIGHUP)
         self.assertEqual((0, "goes on True\n", ""), (done.returncode, done.stdout, done.stderr))
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -12,7 +12,7 @@
 import sys
 import unittest
 
-LATER = ("pydantic", "pydantic_core", "prometheus_client", "ruamel", "numpy", "matplotlib")
+LAZY_LIBRARIES = ("pydantic", "pydantic_core", "prometheus_client", "ruamel", "numpy", "matplotlib")
 """Libraries that are imported on first use only."""
 _PROGRAM = """
 import sys
@@ -35,10 +35,10 @@
 
 
 class TestStart(unittest.TestCase):
-    def test_what_serving_does_not_need_is_not_loaded(self) -> None:
+    def test_libraries_that_serving_does_not_need_are_not_imported(self) -> None:
         done = subprocess.run(
             [sys.executable, "-c", _PROGRAM], capture_output=True, text=True, check=True
         )
         loaded = set(done.stdout.split())
         self.assertIn("lotushill", loaded)
-        self.assertEqual(set(), loaded & set(LATER))
+        self.assertEqual(set(), loaded & set(LAZY_LIBRARIES))
--- a/tests/process/test_metrics.py
+++ b/tests/process/test_metrics.py
@@ -6,7 +6,7 @@
 
 
 class TestMetrics(unittest.TestCase):
-    def test_ends_times_and_predictions_are_told(self) -> None:
+    def test_all_recorded_metrics_are_exported(self) -> None:
         metrics = Metrics()
         metrics.add_gauge("members", "Gateways that are alive", lambda: 3)
         metrics.record_request("llm", "given-up:reset", 0.3)
--- a/tests/process/test_settings_file.py
+++ b/tests/process/test_settings_file.py
@@ -15,7 +15,7 @@
 from lotushill.process.settings_file import check_settings
 from lotushill.process.settings_file import read_settings
 
-PLAIN: dict[str, Any] = {
+REQUIRED_SETTINGS: dict[str, Any] = {
     "name": "gw",
     "hall": "h",
     "region": "r",
@@ -39,14 +39,14 @@
 
 
 class TestSettingsFile(unittest.TestCase):
-    def test_what_is_left_out_has_its_default_and_unknown_keys_are_passed_over(self) -> None:
-        found = check_settings({**PLAIN, "new_key": 1, "retry": {"slack": 5}}, "file")
+    def test_missing_values_have_defaults_and_unknown_keys_are_ignored(self) -> None:
+        found = check_settings({**REQUIRED_SETTINGS, "new_key": 1, "retry": {"slack": 5}}, "file")
         self.assertEqual(8.0, found.grace_seconds)
         self.assertEqual(RetrySettings(slack=5.0), found.retry)
 
-    def test_each_fault_is_told_by_its_path(self) -> None:
+    def test_each_fault_is_reported_with_its_path(self) -> None:
         wrong = {
-            **PLAIN,
+            **REQUIRED_SETTINGS,
             "hall": "",
             "peers": "nowhere",
             "grace_seconds": 0,
@@ -58,24 +58,28 @@
         )
 
     def test_an_amount_may_be_zero_and_a_time_may_not(self) -> None:
-        self.assertEqual({}, faults({**PLAIN, "leave_seconds": 0}))
+        self.assertEqual({}, faults({**REQUIRED_SETTINGS, "leave_seconds": 0}))
         for wrong in (0, -1, True, "8", float("nan"), float("inf"), None):
-            self.assertEqual({"recent_seconds"}, set(faults({**PLAIN, "recent_seconds": wrong})))
+            self.assertEqual(
+                {"recent_seconds"}, set(faults({**REQUIRED_SETTINGS, "recent_seconds": wrong}))
+            )
 
     @given(ANYTHING)
-    def test_anything_else_is_a_typed_fault(self, value: Any) -> None:
+    def test_any_other_data_raises_a_settings_error(self, value: Any) -> None:
         self.assertTrue(faults(value))
 
-    @given(st.sampled_from(sorted(PLAIN)), ANYTHING)
-    def test_any_value_is_taken_or_told(self, key: str, value: Any) -> None:
-        found = faults({**PLAIN, key: value})
+    @given(st.sampled_from(sorted(REQUIRED_SETTINGS)), ANYTHING)
+    def test_any_value_is_accepted_or_reported(self, key: str, value: Any) -> None:
+        found = faults({**REQUIRED_SETTINGS, key: value})
         self.assertLessEqual(set(found), {key})
 
-    def test_json_and_yaml_read_alike(self) -> None:
-        yaml = "\n".join(f'{key}: "{value}"' for key, value in PLAIN.items())
-        flow = "{" + ", ".join(f'{key}: "{value}"' for key, value in PLAIN.items()) + "}"
+    def test_json_and_yaml_give_equal_settings(self) -> None:
+        yaml = "\n".join(f'{key}: "{value}"' for key, value in REQUIRED_SETTINGS.items())
+        flow = (
+            "{" + ", ".join(f'{key}: "{value}"' for key, value in REQUIRED_SETTINGS.items()) + "}"
+        )
         found: list[GatewaySettings] = []
-        for text in (json.dumps(PLAIN), yaml, flow):
+        for text in (json.dumps(REQUIRED_SETTINGS), yaml, flow):
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "gateway.yaml"
                 path.write_text(text, encoding="utf-8")
