--- a/src/lotushill/console/settings_commands.py
+++ b/src/lotushill/console/settings_commands.py
@@ -1,4 +1,4 @@
-"""The commands of `lotushill` that read and edit the settings tree."""
+"""Commands of `lotushill` that read and edit the settings tree."""
 
 from __future__ import annotations
 
@@ -36,19 +36,19 @@
 
 
 class SettingsCommands:
-    """The commands against one store."""
+    """Commands that work on the settings tree in one store."""
 
     def __init__(self, store: ObjectStore) -> None:
         self._store = store
         self._editor = Editor(store)
 
     async def validate(self, options: argparse.Namespace) -> Result:
-        """Check files."""
+        """Validate settings files without writing them."""
         for path in options.files:
             data = _load(path)
             check(Root if document_name(data) == ROOT_NAME else TeamSettings, data, str(path))
         count = len(options.files)
-        return Result(f"{count} files are good", {"files": count})
+        return Result(f"{count} files are valid", {"files": count})
 
     async def apply(self, options: argparse.Namespace) -> Result:
         """Write files as settings."""
@@ -62,25 +62,25 @@
         return Result("\n".join(lines), revisions)
 
     async def get(self, options: argparse.Namespace) -> Result:
-        """Show one object or all names."""
+        """Show one object, or the names of all objects."""
         if options.name is None:
-            found = await self._editor.names()
-            return Result("\n".join(found), found)
+            object_names = await self._editor.names()
+            return Result("\n".join(object_names), object_names)
         if options.effective:
             return await self._effective(options.name, options.effective)
-        held = await self._editor.read(options.name)
-        if held is None:
-            return Result(f"no such object: {options.name}", None, EXIT_FAILED)
-        text = f"# {held.name}, revision {held.revision}\n{write(held.data)}".rstrip()
-        return Result(text, {"revision": held.revision, "data": held.data})
+        stored = await self._editor.read(options.name)
+        if stored is None:
+            return Result(f"object not found: {options.name}", None, EXIT_FAILED)
+        text = f"# {stored.name}, revision {stored.revision}\n{write(stored.data)}".rstrip()
+        return Result(text, {"revision": stored.revision, "data": stored.data})
 
     async def diff(self, options: argparse.Namespace) -> Result:
-        """Show what applying a file would change; exit code 1 if anything."""
-        wanted = _load(options.file)
-        name = document_name(wanted)
-        check_object(name, wanted)
-        held = await self._editor.read(name)
-        before, after = flatten(held.data if held else {}), flatten(wanted)
+        """Show what applying a file would change; exit code 1 if there is any change."""
+        edited = _load(options.file)
+        name = document_name(edited)
+        check_object(name, edited)
+        stored = await self._editor.read(name)
+        before, after = flatten(stored.data if stored else {}), flatten(edited)
         changes = {
             path: {"from": before.get(path), "to": after.get(path)}
             for path in sorted(before.keys() | after.keys())
@@ -91,11 +91,11 @@
         return Result("\n".join(lines) or f"{name} would not change", changes, code)
 
     async def put(self, options: argparse.Namespace) -> Result:
-        """Set one value; a racing edit of the same value is a conflict."""
+        """Set one value; a concurrent edit of the same value is a conflict."""
         value = parse(options.value, options.path)
 
         def change(data: dict[str, Any]) -> dict[str, Any]:
-            return put(_started(options.name, data), options.path, value)
+            return put(_initial_data(options.name, data), options.path, value)
 
         return await self._edit(options.name, change)
 
@@ -107,16 +107,16 @@
         revision = await self._editor.edit(name, change)
         return Result(f"{name} is at revision {revision}", {"revision": revision})
 
-    async def _effective(self, name: str, wanted: str) -> Result:
-        """Show the values in force for a class: those of the root, or those of a team."""
-        service, _, klass = wanted.partition("/")
+    async def _effective(self, name: str, class_path: str) -> Result:
+        """Show the values in force for a class of a service, for the root or for one team."""
+        service, _, klass = class_path.partition("/")
         table = await self._table()
         route = table.route(klass)
         if route is None or service not in table.services:
-            return Result(f"no such class: {wanted}", None, EXIT_FAILED)
+            return Result(f"class not found: {class_path}", None, EXIT_FAILED)
         root = await self._editor.read(ROOT_NAME)
-        held = None if name == ROOT_NAME else await self._editor.read(name)
-        settings = check(TeamSettings, held.data, name) if held else None
+        stored = None if name == ROOT_NAME else await self._editor.read(name)
+        settings = check(TeamSettings, stored.data, name) if stored else None
         origins = trace(
             check(Root, root.data if root else {}, ROOT_NAME),
             settings,
@@ -132,8 +132,8 @@
         return parse_table(stored.spec if stored else {"version": 0})
 
 
-def _started(name: str, data: dict[str, Any]) -> dict[str, Any]:
-    """Return an object's data, or what a new object of a team begins with."""
+def _initial_data(name: str, data: dict[str, Any]) -> dict[str, Any]:
+    """Return an object's data, or the initial data of a new object."""
     team = name.partition("/")[2]
     return data or ({"team": team} if team else {})
 
@@ -145,5 +145,5 @@
         raise SettingsError(str(path), (Fault("(file)", "file", str(error)),)) from error
     if not isinstance(data, dict):
         kind = type(data).__name__
-        raise SettingsError(str(path), (Fault("(document)", kind, "is no mapping"),))
+        raise SettingsError(str(path), (Fault("(document)", kind, "must be a mapping"),))
     return data
--- a/tests/gateway/test_start.py
+++ b/tests/gateway/test_start.py
@@ -1,8 +1,9 @@
-"""What a gateway loads until it serves: all hosts may come back at once, with little processor.
+"""Libraries that a gateway imports until it serves.
 
-With the models of the settings tree, the metrics' library and the YAML library loaded, a start took
-0.42 s of processor time where a bare interpreter with a loop and a socket took 0.08 s; without them
-0.27 s (best of twelve, in turns).
+All hosts may restart at once with little processor time. With Pydantic (models of the settings
+tree), the Prometheus library and the YAML library imported, a start took 0.42 s of processor time;
+without them 0.27 s; a bare interpreter with an event loop and a socket 0.08 s (best of twelve,
+alternating).
 """
 
 from __future__ import annotations
@@ -11,8 +12,8 @@
 import sys
 import unittest
 
-LATER = ("pydantic", "pydantic_core", "prometheus_client", "ruamel", "numpy", "matplotlib")
-"""Libraries that are loaded when something asks for them, if at all."""
+LAZY_LIBRARIES = ("pydantic", "pydantic_core", "prometheus_client", "ruamel", "numpy", "matplotlib")
+"""Libraries that are imported on first use only."""
 _PROGRAM = """
 import sys
 from lotushill.console.gateway import main
@@ -34,10 +35,10 @@
 
 
 class TestStart(unittest.TestCase):
-    def test_what_serving_does_not_need_is_not_loaded(self) -> None:
+    def test_libraries_that_serving_does_not_need_are_not_imported(self) -> None:
         done = subprocess.run(
             [sys.executable, "-c", _PROGRAM], capture_output=True, text=True, check=True
         )
         loaded = set(done.stdout.split())
         self.assertIn("lotushill", loaded)
-        self.assertEqual(set(), loaded & set(LATER))
+        self.assertEqual(set(), loaded & set(LAZY_LIBRARIES))
