--- a/src/lotushill/platform/__init__.py
+++ b/src/lotushill/platform/__init__.py
@@ -1,3 +1,3 @@
-"""The adapter to the users' platform: names, formats and calls, and no decisions."""
+"""Adapter to the platform: its names, formats and calls. It makes no decisions."""
 
 from __future__ import annotations
--- a/src/lotushill/platform/configuration.py
+++ b/src/lotushill/platform/configuration.py
@@ -1,4 +1,4 @@
-"""From the platform's configuration object to a routing table."""
+"""Parses the platform's configuration object into a routing table."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def parse_table(spec: Any) -> RoutingTable:
-    """Return the table of a configuration's `spec`; raise InvalidTableError for a bad one."""
+    """Parse the `spec` of a configuration; raise InvalidTableError if it is invalid."""
     try:
         return RoutingTable(
             int(spec["version"]),
@@ -94,7 +94,7 @@
 
 
 def _link_rate(item: dict[str, Any]) -> float:
-    """Return bytes a second between engines, 0 where they move no memory."""
+    """Return the bytes per second between engines, 0 if they do not transfer KV memory."""
     if not item.get("moves") or not item.get("kvTokenBytes"):
         return 0.0
     return float(item.get("linkMbps") or 0.0) * _BYTES_A_MEGABIT
--- a/src/lotushill/platform/duty_api.py
+++ b/src/lotushill/platform/duty_api.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that one gateway makes for the whole fleet."""
+"""Calls to the platform's API that one gateway makes for the whole fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from collections.abc import Mapping
 
 _ANSWER_SECONDS = 1.5
-"""A report that is due within ten seconds can be sent some times more after one without answer."""
+"""Short enough to retry an unanswered report several times within its limit of ten seconds."""
 _CONNECT_SECONDS = 0.7
 _MOST_CONNECTIONS = 16
 _KEPT_SECONDS = 3.0
@@ -24,20 +24,20 @@
 
 
 class CallEnd(Enum):
-    """How a call ended."""
+    """Outcome of a call."""
 
     DONE = "done"
     REFUSED = "refused"
-    """An act with a newer token was seen, or what was ordered is not to be had."""
+    """The platform saw a newer fencing token, or has no engines of the kind that was ordered."""
     UNANSWERED = "unanswered"
-    """It may have been done, or may be done seconds later."""
+    """No answer: the call may have been carried out, or may be carried out seconds later."""
     NOT_NOW = "not now"
-    """The platform said that it did nothing."""
+    """The platform answered that it did not carry out the call."""
 
 
 @dataclass(frozen=True)
 class Signature:
-    """In whose name a call is made."""
+    """Lease holder and fencing token on whose behalf a call is made."""
 
     holder: str
     token: int
@@ -45,13 +45,13 @@
 
 @dataclass(frozen=True)
 class EngineOrder:
-    """How many engines of one kind a service is to have in one hall."""
+    """Desired number of engines of one kind for a service in one hall."""
 
     service: str
     hall: str
     engines: int
     reclaimable: bool
-    """Whether they cost less and may be taken away."""
+    """Whether the engines cost less and may be reclaimed by the platform."""
 
 
 class DutyApi:
@@ -62,18 +62,18 @@
 
     @property
     def calls(self) -> int:
-        """Return how many calls were made so far."""
+        """Return the number of calls made so far."""
         return self._client.calls
 
     async def report_usage(
         self, window: int, counts: Mapping[str, int], signature: Signature
     ) -> CallEnd:
-        """Report the requests of each team that began in a window."""
+        """Report how many requests of each team began in a usage window."""
         content = {"windowId": window, "counts": dict(counts)}
         return await self._call(names.USAGE_PATH, content, signature)
 
     async def order(self, order: EngineOrder, signature: Signature) -> CallEnd:
-        """Order engines; what there are more of is taken away after it has drained."""
+        """Set the desired number of engines; surplus engines are removed once they have drained."""
         content: dict[str, Any] = {
             "service": order.service,
             "zone": order.hall,
--- a/src/lotushill/platform/memory_calls.py
+++ b/src/lotushill/platform/memory_calls.py
@@ -1,4 +1,4 @@
-"""Calls that move the memory of runs between engines, and what engines answer."""
+"""Calls that move the KV memory of runs between engines, and the engines' answers."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def move_content(run: str, target: str, last: bool) -> dict[str, Any]:
-    """Return what asks for a copy of a run at `target` (IP:PORT), after its end where `last`."""
+    """Return the request for a copy of a run at `target` (IP:PORT), after its end if `last`."""
     return {"id": run, "targetVersion": target, "last": last}
 
 
 def read_move(answer: JsonAnswer) -> Copied | NotCopied:
-    """Return what an engine says; raise NoAnswerError for what it cannot say."""
+    """Parse an engine's answer to a move; raise NoAnswerError if it is not a valid answer."""
     said = answer.read()
     handle = said.get("handle") if isinstance(said, dict) else None
     known = isinstance(handle, str) and is_handle(handle)
--- a/src/lotushill/platform/names.py
+++ b/src/lotushill/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the platform's headers, kinds and objects."""
+"""Names of the platform's headers, paths, object kinds and objects."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 SERVER_LIMIT = "server-limit"
 INSTANCE_ID = "instance-id"
 
-# Kinds and objects of the store.
+# Kinds, objects and fields of the store.
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 BACKEND_KIND = "servers"
@@ -42,7 +42,7 @@
 SEQUENCE = "seqNo"
 STATES = frozenset(("ready", DRAINING))
 
-# Calls that one gateway makes for the whole fleet.
+# Paths of calls that one gateway makes for the whole fleet.
 USAGE_PATH = "/usage"
 ORDER_PATH = "/scale"
 
--- a/src/lotushill/platform/object_store.py
+++ b/src/lotushill/platform/object_store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: objects by kind and name, each with a revision."""
+"""Client of the platform's store: objects by kind and name, each with a revision."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
 
     @property
     def calls(self) -> int:
-        """Return how many calls were made so far."""
+        """Return the number of calls made so far."""
         return self._client.calls
 
     async def list_kind(self, kind: str, stale: bool = False) -> ObjectList:
-        """Return all objects of a kind with the store's revision."""
+        """Return all objects of a kind and the store's revision."""
         objects: list[StoredObject] = []
         after = ""
         first_revision: int | None = None
@@ -63,7 +63,7 @@
             answer = await self._call("GET", f"/objects/{kind}?{'&'.join(query)}".removesuffix("?"))
             page = _parsed(_page, answer.body)
             objects += page.objects
-            # Later pages may be newer than the first: a watch goes on from the oldest.
+            # Later pages may be newer than the first: a watch continues from the oldest revision.
             if first_revision is None:
                 first_revision = page.revision
             if not answer.body.get("more") or not page.objects:
@@ -71,18 +71,18 @@
             after = page.objects[-1].name
 
     async def get(self, kind: str, name: str, stale: bool = False) -> StoredObject | None:
-        """Return one object, None if there is none; a stale answer may be seconds old."""
+        """Return one object, None if it does not exist; a stale answer may be seconds old."""
         answer = await self._call("GET", f"/objects/{kind}/{quote(name)}{'?stale=1' * stale}")
         return None if answer.status == _NOT_FOUND else _parsed(_stored, answer.body)
 
     async def watch(self, kind: str, revision: int, seconds: float) -> tuple[list[Change], int]:
-        """Return changes after a revision as soon as there are some, and where to go on."""
+        """Wait for changes after a revision; return them and the revision to continue from."""
         path = f"/objects/{kind}?watch={revision}&waitMs={int(seconds * _MS)}"
         answer = await self._call("GET", path, patience=seconds + _ANSWER_SECONDS)
         return _parsed(_events, answer.body)
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
-        """Make an object and return it; raise RevisionConflictError if it is there."""
+        """Create an object and return it; raise RevisionConflictError if it exists."""
         content = {"metadata": {"name": name}, "spec": spec}
         return await self._write("POST", f"/objects/{kind}", content)
 
@@ -97,7 +97,7 @@
         return await self._write("PUT", f"/objects/{kind}/{quote(name)}", content)
 
     async def delete(self, kind: str, name: str) -> None:
-        """Remove an object."""
+        """Delete an object."""
         await self._call("DELETE", f"/objects/{kind}/{quote(name)}")
 
     async def _write(self, method: str, path: str, content: Any) -> StoredObject:
@@ -122,7 +122,7 @@
     try:
         return read(body)
     except MalformedEntryError as error:
-        raise StoreUnavailableError(f"an answer that cannot be read: {error}") from error
+        raise StoreUnavailableError(f"malformed answer from the store: {error}") from error
 
 
 def _page(body: Any) -> ObjectList:
--- a/src/lotushill/platform/request_head.py
+++ b/src/lotushill/platform/request_head.py
@@ -1,4 +1,4 @@
-"""What the platform's headers say of a request, and the headers that an upstream gets."""
+"""Parses the platform's request headers and builds the headers sent to an upstream."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 _MS = 1000.0
 _BEARER = "bearer "
 _LAST_PRIORITY = 9
-"""Engines tell ten priorities apart."""
+"""Lowest of the ten priorities that engines distinguish, 0 being the highest."""
 _TEAM_LEVELS = 3
-"""Of them, so many for each tier: three tiers, which operators use, keep all their order."""
+"""Engine priorities for each tier: the three tiers that operators use keep their full order."""
 Headers = list[tuple[bytes, bytes]]
 
 _OWN = frozenset(
@@ -38,11 +38,11 @@
         names.KV_FROM,
     )
 )
-"""Headers that only this system may set."""
+"""Headers that only the gateway may set; those of a client are removed."""
 
 
 def read_demand(headers: Headers) -> Demand:
-    """Return what a request asks for; what cannot be read counts as not said."""
+    """Parse what a request demands; a malformed header counts as absent."""
     named = {name.decode("latin-1"): value.decode("latin-1") for name, value in headers}
     usage = named.get(names.TOKEN_USAGE, "").split(",")
     return Demand(
@@ -59,7 +59,7 @@
 
 
 def forwarded(headers: Headers, body: bytes | None) -> Headers:
-    """Return the client's headers that travel on, with the length of the body."""
+    """Return the client's headers that are forwarded, with the length of the body."""
     named = dict(headers)
     dropped = _OWN | one_connection(named.get(b"connection", b""))
     kept = [(name, value) for name, value in headers if name not in dropped]
@@ -76,7 +76,7 @@
     last_event_id: str,
     copies: MemoryCopies = NO_COPIES,
 ) -> Headers:
-    """Return the headers of one attempt that this system sets."""
+    """Return the headers that the gateway sets on one attempt."""
     left = max(1, int(seconds_left * _MS))
     out = [
         (names.TARGET_INSTANCE.encode(), instance.encode()),
@@ -97,28 +97,28 @@
 
 
 def _engine_priority(urgency: Urgency) -> int:
-    """Return the tier and the team as one of the few levels that engines tell apart."""
+    """Map the tier and the team rank to one of the few priorities that engines distinguish."""
     team = min(_TEAM_LEVELS - 1, max(0, urgency.team_rank))
     return min(_LAST_PRIORITY, max(0, _TEAM_LEVELS * urgency.tier + team))
 
 
 def without_last_event_id(headers: Headers) -> Headers:
-    """Return headers without the place where a stream goes on."""
+    """Return headers without Last-Event-ID, the position where a stream resumes."""
     return [item for item in headers if item[0] != names.LAST_EVENT_ID.encode()]
 
 
 def answered_id(headers: Headers) -> str:
-    """Return the id of the request that an answer belongs to."""
+    """Return the id of the request to which an answer belongs."""
     return _value(headers, names.REQUEST_ID)
 
 
 def retry_after(seconds: float) -> tuple[bytes, bytes]:
-    """Return the header that tells a client when to come back."""
+    """Return the Retry-After header, the seconds after which a client may retry."""
     return names.RETRY_AFTER.encode(), f"{seconds:.2f}".encode()
 
 
 def own_answer_headers(request_id: str) -> Headers:
-    """Return the headers of an answer that this system gives by itself."""
+    """Return the headers of an answer that the gateway itself generates."""
     return [(names.REQUEST_ID.encode(), request_id.encode("latin-1"))] if request_id else []
 
 
--- a/src/lotushill/platform/upstream_answer.py
+++ b/src/lotushill/platform/upstream_answer.py
@@ -1,4 +1,4 @@
-"""What the head of an answer says of the upstream that gave it."""
+"""Parses what the headers of an answer state about its upstream."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def read_statement(status: int, headers: Headers) -> Statement:
-    """Return what an answer says of its upstream."""
+    """Return what an answer states about its upstream."""
     refused = status == _UNAVAILABLE
     rest = parse_cooldown([value for name, value in headers if refused and name == _RETRY_AFTER])
     ran_not = any(name == _NOT_EXECUTED and value for name, value in headers)
--- a/src/lotushill/platform/upstreams.py
+++ b/src/lotushill/platform/upstreams.py
@@ -1,4 +1,4 @@
-"""From the platform's entry of an upstream to the product's own."""
+"""Parses the platform's entry of an upstream into the gateway's own type."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 _MS = 1000.0
 _MOST_SLOTS = 1_000_000
 _MOST_MS = 86_400_000
-"""A day; nothing is slow from its start for so long."""
+"""One day in milliseconds; no upstream is slow after its start for longer than that."""
 _MOST_WHOLE = 2**63 - 1
 _BORN = "@"
-"""Between the name and the birth of a life."""
+"""Separates the name of an instance from the start time of its incarnation."""
 
 
 def parse_upstream(name: str, spec: Any) -> Upstream:
-    """Return the upstream of an entry; raise MalformedEntryError for one of another writer.
+    """Parse the entry of an upstream; raise MalformedEntryError if another writer made it.
 
-    An entry that lacks a field, or has one of another type, names nothing that serves: taken for an
-    idle upstream, one without a usable address would draw most requests.
+    An entry that lacks a field, or has one of another type, is rejected: as an upstream without
+    load, one whose address cannot be used would receive most requests.
     """
     fields = Fields(spec)
     if not is_header_text(name) or _BORN in name:
-        raise MalformedEntryError("name", "cannot stand in a header")
+        raise MalformedEntryError("name", "is not valid in a header")
     fields.text("version")
     fields.whole(names.SEQUENCE, 0, _MOST_WHOLE)
     return Upstream(
@@ -44,7 +44,7 @@
 
 
 def _life(name: str, fields: Fields) -> str:
-    """Return the id of one life: an instance that starts again knows nothing of before."""
+    """Return the id of an incarnation: a restarted instance has lost its earlier state."""
     if not fields.has("born"):
         return name
     return f"{name}{_BORN}{fields.whole('born', 0, _MOST_WHOLE)}"
