--- a/src/lotushill/standin/__init__.py
+++ b/src/lotushill/standin/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the platform, engines and plain services, for tests and the demo."""
+"""Stand-ins that emulate the platform, engines and plain services, for tests and the demo."""
 
 from __future__ import annotations
--- a/src/lotushill/standin/batch.py
+++ b/src/lotushill/standin/batch.py
@@ -1,7 +1,7 @@
-"""Continuous batching, as a pure state machine: one call of `step` is one engine step.
+"""Continuous batching as a pure state machine: each call of `step` is one engine step.
 
-Each running sequence gains one token a step. Sequences of a higher priority go first; when
-the batch is full they pause lower ones, which keep what they have and go on later.
+Each running sequence gains one token per step. Sequences of a higher priority run first; when the
+batch is full they preempt lower ones, which keep their progress and resume later.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 @dataclass
 class Sequence:
-    """One request inside an engine."""
+    """One request in an engine's batch."""
 
     request: str
     priority: int
-    """0 is the highest."""
+    """Priority, 0 being the highest."""
     prefill_left: float
-    """Prompt tokens still to be read."""
+    """Prompt tokens still to be prefilled."""
     length: int
-    """Output tokens that the answer will have."""
+    """Number of output tokens of the complete answer."""
     arrived: int
     produced: int = 0
 
     @property
     def done(self) -> bool:
-        """Return whether the answer is whole."""
+        """Return whether the answer is complete."""
         return self.produced >= self.length
 
 
@@ -36,30 +36,30 @@
 
     slots: int
     prefill_per_step: float
-    """Prompt tokens that one step reads, over all sequences."""
+    """Prompt tokens that one step prefills, over all sequences."""
     sequences: dict[str, Sequence] = field(default_factory=dict)
     _order: int = 0
 
     def add(self, request: str, priority: int, prompt: float, length: int, done: int = 0) -> None:
-        """Take in a request, with `done` output tokens already produced elsewhere."""
+        """Add a request, of which another engine has already produced `done` output tokens."""
         self._order += 1
         self.sequences[request] = Sequence(
             request, priority, prompt + done, length, self._order, done
         )
 
     def remove(self, request: str) -> Sequence | None:
-        """Take a request out; None if it is not here."""
+        """Remove and return a request; None if it is not in the batch."""
         return self.sequences.pop(request, None)
 
     def running(self) -> list[Sequence]:
-        """Return the sequences that the next step works on."""
+        """Return the sequences that the next step runs."""
         if len(self.sequences) <= self.slots:
             return list(self.sequences.values())
         order = sorted(self.sequences.values(), key=lambda item: (item.priority, item.arrived))
         return order[: self.slots]
 
     def step(self) -> list[Sequence]:
-        """Run one step and return the sequences that gained a token; done ones leave."""
+        """Run one step and return the sequences that gained a token; completed ones are removed."""
         gained: list[Sequence] = []
         prefill = self.prefill_per_step
         for sequence in sorted(self.running(), key=lambda item: (item.priority, item.arrived)):
--- a/src/lotushill/standin/engine_app.py
+++ b/src/lotushill/standin/engine_app.py
@@ -1,4 +1,4 @@
-"""The stand-in of a model engine: a batch, a memory of prompt parts, and streams of events."""
+"""Stand-in of a model engine: a batch, a prefix cache and streams of events."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 _USUAL_LENGTH = 32
 _QUEUE_SHARE = 2
-"""Requests that wait at most, in batches."""
+"""Maximum number of queued requests, as a multiple of the batch's slots."""
 _USUAL_PRIORITY = 5
 
 
 @dataclass
 class _Job:
-    """A request inside the engine, and the tokens made so far."""
+    """A request in the engine, and the counts of output tokens that it has produced."""
 
     made: asyncio.Queue[int] = field(default_factory=asyncio.Queue)
 
 
 class EngineApp(UpstreamApp):
-    """Reads prompts in pieces and makes one token of each running request a step."""
+    """Prefills prompts in chunks and produces one token per step for each running request."""
 
     def __init__(self, settings: StandinSettings) -> None:
         super().__init__(settings.name)
@@ -42,10 +42,10 @@
         self._kept = PrefixCacheModel()
         self._jobs: dict[str, _Job] = {}
         self.read_tokens = 0
-        """Prompt tokens that were read, those found kept not counted."""
+        """Number of prompt tokens that were prefilled, without those found in the prefix cache."""
 
     async def step_for_ever(self) -> None:
-        """Step the batch."""
+        """Run steps of the batch until cancelled."""
         while True:
             await asyncio.sleep(self._settings.step)
             for sequence in self._batch.step():
@@ -54,12 +54,12 @@
                     job.made.put_nowait(sequence.produced)
 
     def is_full(self) -> bool:
-        """Return whether no request is let in."""
+        """Return whether new requests are rejected."""
         most = self._settings.slots * (1 + _QUEUE_SHARE)
         return super().is_full() or len(self._jobs) >= most
 
     def report(self) -> dict[str, object]:
-        """Return what the engine tells of its load."""
+        """Return the engine's load report."""
         running = len(self._batch.running())
         return {
             "queued": len(self._jobs) - running,
@@ -101,7 +101,7 @@
             number = -(-produced // self._settings.tokens_per_event)
             event = f"id: {number}\ndata: {demand.request_id} {number}\n\n".encode()
             if self.fault is Fault.CUT:
-                # Ends without the end of its framing, which the server makes a broken answer.
+                # Without a last body message, the HTTP server breaks the answer off.
                 await send({"type": "http.response.body", "body": event[:5], "more_body": True})
                 return
             await send({"type": "http.response.body", "body": event, "more_body": True})
--- a/src/lotushill/standin/metadata_app.py
+++ b/src/lotushill/standin/metadata_app.py
@@ -1,4 +1,4 @@
-"""The stand-in of the platform's store over HTTP, with the troubles that it may have."""
+"""Stand-in of the platform's store over HTTP, with faults that tests inject."""
 
 from __future__ import annotations
 
@@ -27,29 +27,29 @@
 
 
 class Trouble(Enum):
-    """What is wrong with the store."""
+    """Injected fault of the store."""
 
     NONE = "none"
     BUSY = "busy"
-    """Answers 503, and does nothing."""
+    """Answers 503 without carrying out the call."""
     MANY = "many"
-    """Answers 429, and does nothing."""
+    """Answers 429 without carrying out the call."""
     SILENT = "silent"
-    """Takes calls and never answers."""
+    """Accepts calls, does not carry them out and never answers."""
     LOST = "lost"
-    """Does what is asked and never answers."""
+    """Carries out calls and never answers."""
 
 
 class MetadataApp:
-    """ASGI application around a store; `trouble` may be changed at any time."""
+    """ASGI application that serves a store; `trouble` may be changed at any time."""
 
     def __init__(self, store: MetadataStore) -> None:
         self.store = store
         self.trouble = Trouble.NONE
         self.busy_kind = ""
-        """A kind of objects whose calls alone are turned away, empty for none."""
+        """The only object kind whose calls are answered with 503; empty for none."""
         self.calls: list[str] = []
-        """Every call so far, as method and path with its query."""
+        """Every call so far, as method, path and query."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one call."""
@@ -62,7 +62,7 @@
         try:
             status, body = await self._answer_in_trouble(scope, receive, query)
         except asyncio.CancelledError:
-            # The server stops with calls that wait, which is no fault to be logged with a trace.
+            # The server stops while calls wait; this is no error to be logged with a traceback.
             status, body = 503, {}
         await send_json(send, status, body)
 
--- a/src/lotushill/standin/metadata_store.py
+++ b/src/lotushill/standin/metadata_store.py
@@ -1,4 +1,4 @@
-"""Stands in for the platform's store: objects by kind and name under one revision."""
+"""Emulates the platform's store: objects by kind and name, with one revision counter for all."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StoreStatusError(Exception):
-    """A call that is answered with another status than 200."""
+    """A call is answered with a status other than 200."""
 
     def __init__(self, status: int, body: Plain | None = None) -> None:
         super().__init__(status)
@@ -27,7 +27,7 @@
 
 
 class MetadataStore:
-    """The objects and their history; a change of nothing raises no revision."""
+    """Objects and their history; a write without a change does not increase the revision."""
 
     def __init__(self, page: int = 500) -> None:
         self._page = page
@@ -37,7 +37,7 @@
         self.revision = 0
 
     def list_kind(self, kind: str, after: str = "") -> Plain:
-        """Return a page of a kind's objects, by name."""
+        """Return one page of a kind's objects in the order of their names."""
         objects = self._kind(kind).objects
         names = sorted(name for name in objects if name > after)
         items = [copy.deepcopy(objects[name]) for name in names[: self._page]]
@@ -51,7 +51,7 @@
         return copy.deepcopy(found)
 
     def create(self, kind: str, name: str, spec: Any) -> Plain:
-        """Make an object."""
+        """Create an object."""
         objects = self._kind(kind).objects
         if name in objects:
             raise StoreStatusError(409, copy.deepcopy(objects[name]))
@@ -59,7 +59,7 @@
         return self._store(kind, {"metadata": metadata, "spec": spec, "status": None})
 
     def replace(self, kind: str, name: str, spec: Any, revision: int | None) -> Plain:
-        """Replace an object's spec, at a revision if one is given."""
+        """Replace an object's spec; if a revision is given, only at that revision."""
         found = self.get(kind, name)
         if revision is not None and revision != found["metadata"]["revision"]:
             raise StoreStatusError(409, found)
@@ -69,13 +69,13 @@
         return self._store(kind, found)
 
     def put(self, kind: str, name: str, spec: Any) -> Plain:
-        """Make or replace an object."""
+        """Create or replace an object."""
         if name in self._kind(kind).objects:
             return self.replace(kind, name, spec, None)
         return self.create(kind, name, spec)
 
     def delete(self, kind: str, name: str, revision: int | None = None) -> Plain:
-        """Remove an object."""
+        """Delete an object."""
         found = self.get(kind, name)
         if revision is not None and revision != found["metadata"]["revision"]:
             raise StoreStatusError(409, found)
@@ -84,13 +84,13 @@
         return found
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Discard the history of changes."""
         self._compacted = self.revision
         for kind in self._kinds.values():
             kind.events.clear()
 
     async def watch(self, kind: str, revision: int, seconds: float) -> Plain:
-        """Return the events after a revision, waiting for one."""
+        """Return the events after a revision; wait up to `seconds` for the first one."""
         ends = asyncio.get_running_loop().time() + seconds
         while True:
             if revision < self._compacted:
--- a/src/lotushill/standin/registration.py
+++ b/src/lotushill/standin/registration.py
@@ -1,4 +1,4 @@
-"""How a stand-in of an upstream keeps its entry in the platform's store."""
+"""Maintains the entry of an upstream's stand-in in the platform's store."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UpstreamEntry:
-    """Writes the entry, keeps it alive, and says when its upstream leaves."""
+    """Writes an upstream's entry, renews it by heartbeats and marks it as draining."""
 
     def __init__(self, settings: StandinSettings) -> None:
         assert settings.store is not None
@@ -26,17 +26,17 @@
         self._born = time.time_ns() // 1_000_000
 
     async def keep(self) -> None:
-        """Write the entry for ever."""
+        """Write the entry at every heartbeat until cancelled."""
         while True:
             await self._write("ready")
             await asyncio.sleep(_HEARTBEAT_SECONDS)
 
     async def leave(self) -> None:
-        """Say that the upstream gets no new requests."""
+        """Mark the upstream as draining, so that it gets no new requests."""
         await self._write(names.DRAINING)
 
     async def remove(self) -> None:
-        """Take the entry away."""
+        """Delete the entry."""
         try:
             await self._store.delete(names.BACKEND_KIND, self._settings.name)
         except StoreError:
@@ -53,14 +53,14 @@
             else:
                 await self._store.replace(names.BACKEND_KIND, settings.name, spec)
         except StoreError:
-            # The store is away: the next heartbeat tries again.
+            # The store is unavailable: the next heartbeat retries.
             pass
 
 
 def upstream_spec(
     service: str, address: str, hall: str, slots: int, born: int, state: str = "ready"
 ) -> dict[str, object]:
-    """Return the entry of an upstream; `born` is in milliseconds since 1970."""
+    """Return the entry of an upstream; `born` is its start in milliseconds since 1970."""
     return {
         "service": service,
         "address": address,
--- a/src/lotushill/standin/service_app.py
+++ b/src/lotushill/standin/service_app.py
@@ -1,4 +1,4 @@
-"""The stand-in of an instance of a plain service."""
+"""Stand-in of an instance of a plain service."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class ServiceApp(UpstreamApp):
-    """Works for a while on each request, on so many at a time, and answers."""
+    """Answers each request after a fixed time, for a limited number of requests at a time."""
 
     def __init__(self, name: str, slots: int, seconds: float) -> None:
-        """Make an instance with `slots` places, each request taking so many seconds."""
+        """Create an instance that runs `slots` requests at a time, each for `seconds`."""
         super().__init__(name)
         self._places = asyncio.Semaphore(slots)
         self._seconds = seconds
--- a/src/lotushill/standin/settings.py
+++ b/src/lotushill/standin/settings.py
@@ -9,23 +9,23 @@
 
 
 class StandinSettings(Document):
-    """Settings of `lotushill-standin`: one stand-in to a process."""
+    """Settings of `lotushill-standin`, which runs one stand-in per process."""
 
     kind: Literal["store", "engine", "service"]
-    """The platform's store, a model engine, or an instance of a plain service."""
+    """What is emulated: the platform's store, a model engine or an instance of a plain service."""
     name: str
-    """Name, and for an upstream its id: another for every start."""
+    """Name of the stand-in; for an upstream its id, which must be new at every start."""
     address: Address
     store: Address | None = None
-    """Where an upstream registers itself."""
+    """Address of the store in which an upstream registers itself."""
     service: str = ""
-    """Service that an upstream belongs to."""
+    """Service of an upstream."""
     hall: str = "zone"
     slots: int = 16
     step: float = 0.01
-    """Seconds of one engine step."""
+    """Duration of one engine step in seconds."""
     prefill_per_step: float = 2048.0
     memory_tokens: int = 400_000
     tokens_per_event: int = 4
     work: float = 0.005
-    """Seconds that a plain service works on one request."""
+    """Seconds that a plain service takes for one request."""
--- a/src/lotushill/standin/upstream_app.py
+++ b/src/lotushill/standin/upstream_app.py
@@ -1,4 +1,4 @@
-"""What stand-ins of engines and of plain services have in common over HTTP."""
+"""HTTP behaviour shared by the stand-ins of engines and plain services."""
 
 from __future__ import annotations
 
@@ -25,26 +25,26 @@
 
 
 class Fault(Enum):
-    """What is wrong with a stand-in; set by `PUT /faults/NAME`."""
+    """Injected fault of a stand-in, set by `PUT /faults/NAME`."""
 
     NONE = "none"
     ERRORS = "errors"
     """Answers each request with 500 after running it."""
     FULL = "full"
-    """Turns each request away as not run."""
+    """Rejects each request and states that it was not run."""
     HANG = "hang"
     """Runs requests and never answers."""
     CUT = "cut"
-    """Ends each answer in the middle."""
+    """Breaks off each answer in the middle."""
     SURPLUS = "surplus"
-    """Sends bytes behind a whole answer."""
+    """Sends surplus bytes after a complete answer."""
     OTHER = "other"
     """Answers with the id of another request."""
 
 
 @dataclass(frozen=True)
 class Run:
-    """One request that a stand-in ran."""
+    """A request that a stand-in ran."""
 
     request: str
     team: str
@@ -52,13 +52,13 @@
 
 
 class UpstreamApp:
-    """Checks a request as the platform's upstreams do; subclasses serve it."""
+    """Validates requests as the platform's upstreams do; subclasses serve them."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.fault = Fault.NONE
         self.runs: list[Run] = []
-        """Every request that was run, in order."""
+        """Every request that was run, in order of arrival."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one call."""
@@ -81,15 +81,15 @@
             await self._serve(scope, headers, body, send)
 
     def report(self) -> dict[str, object]:
-        """Return what the upstream tells of its load."""
+        """Return the upstream's load report."""
         return {}
 
     async def run(self, headers: dict[str, str], body: bytes, send: Send) -> None:
-        """Serve one request that was let in."""
+        """Serve one accepted request."""
         raise NotImplementedError
 
     def is_full(self) -> bool:
-        """Return whether no request is let in."""
+        """Return whether new requests are rejected."""
         return self.fault is Fault.FULL
 
     async def _serve(self, scope: Scope, headers: dict[str, str], body: bytes, send: Send) -> None:
@@ -114,7 +114,7 @@
         await send_whole(send, status, told, b"")
 
     def answer_headers(self, request: str) -> list[tuple[bytes, bytes]]:
-        """Return the headers of an answer that was run."""
+        """Return the headers of the answer to a request that was run."""
         shown = "another" if self.fault is Fault.OTHER else request
         return [
             (names.REQUEST_ID.encode(), shown.encode("latin-1")),
