--- a/src/lotushill/event_log.py
+++ b/src/lotushill/event_log.py
@@ -1,4 +1,4 @@
-"""Structured lines on standard output: bounded in rate, and never waited for."""
+"""Structured log lines on standard output, limited in rate and written without blocking."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EventLog:
-    """Writes one JSON object a line; what exceeds the rate is counted and left out."""
+    """Writes one JSON object per line; lines above the rate limit are counted and dropped."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         clock: Callable[[], float] = clocks.now,
         journal: Journal | None = None,
     ) -> None:
-        """Write lines of the node `name`; `journal` keeps the last ones about requests."""
+        """Create the log of the gateway `name`; `journal` keeps the last events of requests."""
         self._name = name
         self._write = write or _StandardOutput().write
         self._clock = clock
@@ -35,11 +35,11 @@
         self._credit = float(_BURST_LINES)
         self._at = clock()
         self.left_out = 0
-        """Lines left out since the last one written."""
+        """Number of lines dropped since the last one that was written."""
         self.left_out_in_all = 0
 
     def note(self, event: str, **fields: object) -> None:
-        """Write one event with its fields, if the rate allows."""
+        """Write one event with its fields unless the rate limit is exceeded."""
         now = self._clock()
         line: dict[str, object] = {"t": round(now, 3), "node": self._name, "event": event}
         if self._journal is not None and "request" in fields:
@@ -64,7 +64,7 @@
 
 
 class _StandardOutput:
-    """Standard output without blocking: a full pipe loses lines, and says how many."""
+    """Non-blocking standard output; a full pipe drops lines, and the next line counts them."""
 
     def __init__(self) -> None:
         self._lost = 0
@@ -84,7 +84,7 @@
             self._lost = 0
 
     def _put(self, data: bytes) -> bool:
-        """Write what fits; return whether all of it did, and keep the rest for next time."""
+        """Write what the pipe accepts and keep the rest; return whether all data was written."""
         try:
             written = os.write(1, data)
         except (BlockingIOError, BrokenPipeError, OSError):
--- a/src/lotushill/journal.py
+++ b/src/lotushill/journal.py
@@ -1,4 +1,4 @@
-"""What was decided about the last requests, for `lotushill explain`."""
+"""The events of the last requests, which `lotushill explain` shows."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 _REQUESTS = 300
 _EVENTS = 24
-"""Of one request: more than any that is served can have."""
+"""Events kept for one request: more than any served request can have."""
 
 Event = dict[str, object]
-"""The fields of one line of the log."""
+"""Fields of one log line."""
 
 
 class Journal:
-    """The events of the last requests by their id, the oldest first to give way."""
+    """Events of the last requests by request id; the oldest request is evicted first."""
 
     def __init__(self, requests: int = _REQUESTS) -> None:
         self._requests = requests
         self._events: OrderedDict[str, list[Event]] = OrderedDict()
 
     def add(self, request: str, event: Event) -> None:
-        """Keep one event of a request."""
+        """Store one event of a request."""
         held = self._events.setdefault(request, [])
         if len(held) < _EVENTS:
             held.append(event)
@@ -28,5 +28,5 @@
             self._events.popitem(last=False)
 
     def of(self, request: str) -> list[Event]:
-        """Return the events of a request in order, none if it is not remembered."""
+        """Return the events of a request in order, none if it is not stored."""
         return list(self._events.get(request, ()))
