--- a/src/lotushill/contracts/__init__.py
+++ b/src/lotushill/contracts/__init__.py
@@ -1,3 +1,3 @@
-"""The settings tree: what teams, services and classes override, and what they end up with."""
+"""The settings tree: values that teams, services and classes override, and their resolution."""
 
 from __future__ import annotations
--- a/src/lotushill/contracts/address.py
+++ b/src/lotushill/contracts/address.py
@@ -1,4 +1,4 @@
-"""Addresses as values of a settings model."""
+"""Address type for fields of settings models."""
 
 from __future__ import annotations
 
--- a/src/lotushill/contracts/document.py
+++ b/src/lotushill/contracts/document.py
@@ -1,4 +1,4 @@
-"""Checking plain data against a model, with the path of each value at fault."""
+"""Validates plain data against a model and reports the path of each invalid value."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class Document(BaseModel):
-    """Base of every settings model: unknown keys are errors and values do not change."""
+    """Base of every settings model: unknown keys are rejected, and instances are immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, allow_inf_nan=False)
 
 
 def check(model: type[M], value: Any, source: str) -> M:
-    """Validate `value` as `model`; raise SettingsError that lists each fault by its path."""
+    """Validate `value` as `model`; raise SettingsError with the path of each fault."""
     try:
         return model.model_validate(value)
     except ValidationError as error:
--- a/src/lotushill/contracts/editor.py
+++ b/src/lotushill/contracts/editor.py
@@ -1,4 +1,4 @@
-"""Conditional edits of the settings tree, safe against races and lost answers."""
+"""Conditional edits of the settings tree, safe against concurrent edits and lost answers."""
 
 from __future__ import annotations
 
@@ -31,35 +31,35 @@
 
 _TRIES = 5
 ABSENT = -1
-"""Revision of an object that is not there."""
+"""Revision of an object that does not exist."""
 
 Change = Callable[[dict[str, Any]], dict[str, Any]]
-"""From an object's data to what it should be."""
+"""Maps an object's current data to its new data."""
 
 
 class Store(Protocol):
-    """The calls to the platform's store that an editor makes."""
+    """Calls to the platform's store that an editor makes."""
 
     async def list_kind(self, kind: str, stale: bool = False) -> ObjectList:
         """Return all objects of a kind."""
         ...
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """Return one object, None if there is none."""
+        """Return one object, None if it does not exist."""
         ...
 
     async def create(self, kind: str, name: str, spec: Any) -> object:
-        """Make an object that is not there."""
+        """Create an object that does not exist."""
         ...
 
     async def replace(self, kind: str, name: str, spec: Any, revision: int | None = None) -> object:
-        """Replace an object at a revision."""
+        """Replace an object if it is at a revision."""
         ...
 
 
 @dataclass(frozen=True)
 class Held:
-    """One object of the tree as it stands."""
+    """One object of the tree at its current revision."""
 
     name: str
     revision: int
@@ -67,7 +67,7 @@
 
 
 def check_object(name: str, data: Any) -> None:
-    """Raise SettingsError if a document is not what its name says."""
+    """Raise SettingsError if a document is not valid for the object that its name denotes."""
     check(Root if name == ROOT_NAME else TeamSettings, data, name)
 
 
@@ -83,20 +83,20 @@
         return [shown_name(item.name) for item in listed.objects]
 
     async def read(self, name: str) -> Held | None:
-        """Return an object, or None if there is none."""
+        """Return an object, None if it does not exist."""
         stored = await self._store.get(KIND, stored_name(name))
         if stored is None:
             return None
         if not isinstance(stored.spec, dict):
-            fault = Fault("(document)", type(stored.spec).__name__, "is no mapping")
+            fault = Fault("(document)", type(stored.spec).__name__, "expected a mapping")
             raise SettingsError(name, (fault,))
         return Held(name, stored.revision, stored.spec)
 
     async def apply(self, name: str, wanted: dict[str, Any], base: dict[str, Any] | None) -> int:
-        """Bring an object to what is wanted; return its revision.
+        """Set an object to the wanted data; return its revision.
 
-        With the base that was edited, a race is merged if the edits are disjoint. Without, the
-        object must still be as it was when this call first read it.
+        With the base that was edited, a concurrent edit is merged if the two edits are disjoint.
+        Without a base, the object must still be as this call first read it.
         """
         check_object(name, wanted)
         first = await self.read(name)
@@ -110,8 +110,8 @@
     async def edit(self, name: str, change: Change) -> int:
         """Change an object by a function of its data; return its revision.
 
-        The function is called again on whatever a racing edit left, and raises MergeClashError
-        if it cannot be applied there.
+        The function is called again on the data that a concurrent edit wrote, and raises
+        MergeClashError if it cannot be applied to them.
         """
         for _ in range(_TRIES):
             held = await self.read(name)
@@ -130,7 +130,7 @@
         raise EndlessRaceError(name)
 
     async def _write(self, name: str, data: dict[str, Any], revision: int) -> int | None:
-        """Write at a revision and return the new one, None if another edit came first."""
+        """Write at a revision and return the new one, None if another edit was written first."""
         lost: StoreUnavailableError | None = None
         try:
             if revision == ABSENT:
@@ -141,12 +141,12 @@
             return None
         except StoreUnavailableError as error:
             lost = error
-        # The answer of a write says nothing of the new revision, and may have been lost.
+        # The answer of a write does not contain the new revision, and may have been lost.
         held = await self.read(name)
         if held is not None and held.data == data:
             return held.revision
         if lost is not None and (held.revision if held else ABSENT) == revision:
-            # Not there yet, though it may still be on its way: only the operator may decide.
+            # Not written yet, but the call may still be in transit: only the operator may decide.
             raise UnknownEffectError(name) from lost
         return None
 
--- a/src/lotushill/contracts/effective.py
+++ b/src/lotushill/contracts/effective.py
@@ -1,4 +1,4 @@
-"""Inheritance: from the platform's route over the levels of the tree to the values in force."""
+"""Resolves the values in force: the platform's route, overridden by the levels of the tree."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     from lotushill.routing.team import Team
 
 PLATFORM = "platform"
-"""Name of the level below the tree: the configuration that the platform hands out."""
+"""Name of the level below the tree: the configuration that the platform distributes."""
 
 
 @dataclass(frozen=True)
 class Origin:
-    """A value in force and the level that it comes from."""
+    """A value in force and the level that sets it."""
 
     path: str
     value: Any
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Level:
-    """One level of the tree on the way from the root to a class."""
+    """One level of the tree on the path from the root to a class."""
 
     name: str
     policy: Policy
@@ -45,7 +45,7 @@
 def levels(
     root: Root | None, settings: TeamSettings | None, service: str, klass: str
 ) -> tuple[Level, ...]:
-    """Return the levels of the tree that apply to a class, the weakest first."""
+    """Return the levels of the tree that apply to a class, in ascending order of precedence."""
     found: list[Level] = []
     if root is not None:
         found.append(Level("root", root.policy))
@@ -60,7 +60,7 @@
 def trace(
     root: Root | None, settings: TeamSettings | None, route: Route, team: Team | None, service: str
 ) -> dict[str, Origin]:
-    """Return every value in force for a route, by its path, with its level."""
+    """Return every value in force for a route by its path, with the level that sets it."""
     found = {path: Origin(path, value, PLATFORM) for path, value in _given(route)}
     for level in levels(root, settings, service, route.name):
         for path, value in _set_values(level.policy):
@@ -73,9 +73,10 @@
 ) -> Route:
     """Return a route with the values that are in force for one team's requests.
 
-    What may run again, and how often, is only ever narrowed: the tree cannot allow what the
-    platform's configuration forbids. A team's priority orders requests within a tier and never
-    across tiers: engines would preempt urgent streams and let another team's long prompts run on.
+    Whether and how often a request may be retried is only ever restricted: the tree cannot allow
+    what the platform's configuration forbids. A team's priority orders requests within a tier and
+    never across tiers: engines would preempt urgent streams while another team's long prompts
+    continue to run.
     """
     origins = trace(root, settings, route, team, service)
     values = {path: origin.value for path, origin in origins.items()}
@@ -105,7 +106,7 @@
 
 
 def _rate_limit(origin: Origin, team: Team | None) -> RateLimit | None:
-    """Return a limit as each team has it: what the level that sets it holds counts together."""
+    """Return a team's limit; all requests below the level that sets it count together."""
     if origin.value is None:
         return None
     name = team.name if team else ""
--- a/src/lotushill/contracts/exceptions.py
+++ b/src/lotushill/contracts/exceptions.py
@@ -1,4 +1,4 @@
-"""Failures of the settings tree."""
+"""Exceptions of the settings tree."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One thing wrong in a settings document: where, what stands there, and why it is wrong."""
+    """One invalid value of a settings document: its path, the value and the reason."""
 
     path: str
     value: str
@@ -22,7 +22,7 @@
 
 
 class SettingsError(Exception):
-    """A settings document that cannot be taken; `faults` names every value at fault."""
+    """A settings document is invalid; `faults` lists every invalid value."""
 
     def __init__(self, source: str, faults: tuple[Fault, ...]) -> None:
         self.source = source
@@ -31,15 +31,15 @@
 
 
 class UnknownPathError(Exception):
-    """An edit names a path that the tree does not have."""
+    """An edit names a path that does not exist in the tree."""
 
     def __init__(self, path: str) -> None:
         self.path = path
-        super().__init__(f"no such path: {path}")
+        super().__init__(f"path does not exist in the settings: {path}")
 
 
 class MergeClashError(Exception):
-    """A change that cannot be made on top of what another edit left."""
+    """A change cannot be applied to the data that another edit wrote."""
 
     def __init__(self, clashes: tuple[Clash, ...]) -> None:
         self.clashes = clashes
@@ -47,7 +47,7 @@
 
 
 class EditConflictError(Exception):
-    """Another edit changed the same values; both sides are shown."""
+    """Another edit changed the same values; the message shows both sides."""
 
     def __init__(self, name: str, revision: int, clashes: tuple[Clash, ...]) -> None:
         self.name = name
@@ -58,14 +58,14 @@
 
 
 class EndlessRaceError(Exception):
-    """Other edits came first each time that this one was tried."""
+    """Another edit was written first at each attempt of this one."""
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"{name}: edits race without an end")
+        super().__init__(f"{name}: other edits were written first at every attempt")
 
 
 class UnknownEffectError(Exception):
-    """A write without an answer, which is not to be seen but may still be done."""
+    """A write was not answered and has had no effect so far, but may still be carried out."""
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"{name}: no answer to the write; it may be done yet, look again")
+        super().__init__(f"{name}: no answer to the write; check whether it is carried out later")
--- a/src/lotushill/contracts/merge.py
+++ b/src/lotushill/contracts/merge.py
@@ -1,4 +1,4 @@
-"""Three-way merging of settings: edits of different values go together, others conflict."""
+"""Three-way merge of settings: edits of different values are combined, others conflict."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Clash:
-    """A value that two edits changed differently; None stands for removed."""
+    """A value that two edits changed differently; None means that it was removed."""
 
     path: str
     base: Any
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True)
 class Merged:
-    """The outcome of a merge; with clashes, the data holds their side of each."""
+    """Result of a merge; for each conflict, the data contains the value of `theirs`."""
 
     data: Any
     clashes: tuple[Clash, ...]
 
 
 def merge(base: Any, ours: Any, theirs: Any) -> Merged:
-    """Merge two edits of one base."""
+    """Merge two edits of the same base."""
     clashes: list[Clash] = []
     data = _merge("", base, ours, theirs, clashes)
     return Merged(None if data is _ABSENT else data, tuple(clashes))
--- a/src/lotushill/contracts/names.py
+++ b/src/lotushill/contracts/names.py
@@ -1,11 +1,11 @@
-"""How the objects of the tree are named, for operators and in the platform's store."""
+"""Names of the objects of the tree, for operators and in the platform's store."""
 
 from __future__ import annotations
 
 from typing import Any
 
 KIND = "lotushill-settings"
-"""The kind of the platform's store that holds the tree."""
+"""Object kind of the settings tree in the platform's store."""
 ROOT_NAME = "root"
 TEAM_PREFIX = "team/"
 _STORED_TEAM_PREFIX = "team."
@@ -19,7 +19,7 @@
 
 
 def stored_name(name: str) -> str:
-    """Return an object's name in the store, where a name has no slash."""
+    """Return an object's name in the store, where names may not contain a slash."""
     if name.startswith(TEAM_PREFIX):
         return _STORED_TEAM_PREFIX + name.removeprefix(TEAM_PREFIX)
     return name
--- a/src/lotushill/contracts/paths.py
+++ b/src/lotushill/contracts/paths.py
@@ -1,4 +1,4 @@
-"""Reading and changing plain settings data by a dotted path."""
+"""Reads and changes plain settings data by a dotted path."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def find(data: Any, path: str) -> Any:
-    """Return the value at a path; raise UnknownPathError if there is none."""
+    """Return the value at a path; raise UnknownPathError if the path does not exist."""
     value = data
     for part in path.split("."):
         if not isinstance(value, dict) or part not in value:
@@ -19,7 +19,7 @@
 
 
 def put(data: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
-    """Return a copy with the value at a path set, and the levels above it made."""
+    """Return a copy with the value at a path set; missing levels above it are created."""
     changed = copy.deepcopy(data)
     *above, last = path.split(".")
     level = changed
@@ -33,7 +33,7 @@
 
 
 def remove(data: dict[str, Any], path: str) -> dict[str, Any]:
-    """Return a copy without the value at a path; raise UnknownPathError if there is none."""
+    """Return a copy without the value at a path; raise UnknownPathError if it does not exist."""
     find(data, path)
     changed = copy.deepcopy(data)
     *above, last = path.split(".")
@@ -45,7 +45,7 @@
 
 
 def flatten(data: Any, prefix: str = "") -> dict[str, Any]:
-    """Return every leaf by its path; an empty level is a leaf of its own."""
+    """Return every leaf by its path; an empty level counts as a leaf."""
     if not isinstance(data, dict) or not data:
         return {prefix: data}
     found: dict[str, Any] = {}
--- a/src/lotushill/contracts/policy.py
+++ b/src/lotushill/contracts/policy.py
@@ -1,4 +1,4 @@
-"""The values that a level of the settings tree may set."""
+"""Values that a level of the settings tree may set."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
 
 class Target(Document):
-    """Latency promised to a class, in seconds; a value not set is inherited."""
+    """Target latency of a class, in seconds; a value that is not set is inherited."""
 
     first: Seconds | None = None
-    """To the whole answer, or to the first event of a stream."""
+    """Latency of the complete answer, or of the first event of a stream."""
     gap: Seconds | None = None
-    """The longest pause between two events of a stream that is in time."""
+    """Longest pause between two events of a stream that is on time."""
 
 
 class Limit(Document):
-    """What the whole fleet takes of a team; counted together for all that the level holds."""
+    """Limit of a team over the whole fleet; all requests below the level count together."""
 
     rate: Annotated[float, Field(ge=0.01, le=100_000)] | None = None
-    """Requests a second; without one, any number."""
+    """Requests per second; unlimited if not set."""
 
 
 class Policy(Document):
-    """What one level of the tree overrides; a value not set is inherited."""
+    """Values that one level of the tree overrides; a value that is not set is inherited."""
 
     tier: Tier | None = None
-    """Rank of the requests, 0 being the highest."""
+    """Tier of the requests, 0 being the most urgent."""
     deadline: Seconds | None = None
-    """The longest that a request is held; never longer than its client waits."""
+    """Longest time in seconds that a request is held; never longer than its client waits."""
     repeatable: bool | None = None
-    """`false` forbids to run a request again; `true` never widens what the platform allows."""
+    """`false` forbids retries of a request; `true` never allows more than the platform allows."""
     max_attempts: Annotated[int, Field(ge=1, le=16)] | None = None
-    """Most upstreams that may run one request; never more than the platform allows."""
+    """Maximum number of upstreams that may run one request; never more than the platform allows."""
     target: Target = Target()
     share: Weight | None = None
-    """Weight of the team's part of a service beside other teams of the tier, while room is short;
-    1 where nothing is set."""
+    """Weight of the team's fair share of a service among the teams of the tier, while capacity is
+    short; 1 if not set."""
     limit: Limit = Limit()
--- a/src/lotushill/contracts/settings_view.py
+++ b/src/lotushill/contracts/settings_view.py
@@ -1,6 +1,7 @@
-"""The settings tree as a gateway holds it, as of a revision; a pure state machine.
+"""A gateway's copy of the settings tree as of a revision; a pure state machine.
 
-The models of the tree are loaded when there is one: they take as long as a third of a start.
+The models of the tree are imported only once the store holds a tree: importing them takes as long
+as a third of a gateway's start.
 """
 
 from __future__ import annotations
@@ -24,36 +25,36 @@
 
 
 class SettingsView:
-    """The tree; without one, every value is the platform's.
+    """The settings tree; without one, every value in force is the platform's.
 
-    An object that cannot be read keeps its last good state, so that one faulty edit changes
-    nothing of what is in force.
+    An object that is invalid keeps its last valid state, so that one faulty edit does not change
+    the values in force.
     """
 
     def __init__(self) -> None:
         self.revision = -1
-        """The store's revision that the view stands at; below 0 while nothing is known."""
+        """Store revision of the view; negative until the first revision is received."""
         self.faults: dict[str, SettingsError] = {}
-        """What is wrong with objects, by their name as operators write it."""
+        """Faults of invalid objects by their display name, the name that operators write."""
         self._objects: dict[str, Any] = {}
         self._root: Root | None = None
-        """None while the store holds no root."""
+        """Root of the tree, None while the store contains none."""
         self._teams: dict[str, TeamSettings] = {}
         self._resolved: dict[tuple[str, str, str], Route] = {}
 
     @property
     def objects(self) -> dict[str, Any]:
-        """Return the objects as they stand in the store, by their stored name."""
+        """Return the objects as they are in the store, by their stored name."""
         return self._objects
 
     @property
     def fingerprint(self) -> str:
-        """Return a short text that is alike where the same objects are in force."""
+        """Return a short hash, equal for equal objects."""
         text = json.dumps(self._objects, sort_keys=True)
         return xxhash.xxh32_hexdigest(text) if self._objects else "none"
 
     def replace(self, objects: dict[str, Any], revision: int) -> bool:
-        """Take all objects of a newer revision; return whether the view is another now."""
+        """Replace all objects by those of a newer revision; return whether any object changed."""
         if revision <= self.revision:
             return False
         changed = objects != self._objects
@@ -74,7 +75,7 @@
         return found
 
     def forget_routes(self) -> None:
-        """Drop what was worked out for routes, as another configuration is in force."""
+        """Clear the resolved routes after the platform's configuration has changed."""
         self._resolved = {}
 
     def _read(self, objects: dict[str, Any]) -> None:
--- a/src/lotushill/contracts/tree.py
+++ b/src/lotushill/contracts/tree.py
@@ -1,4 +1,4 @@
-"""The operators' documents: one root, and one object for each team."""
+"""Models of the operators' documents: one root, and one object for each team."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 
 class Root(Document):
-    """The root of the tree: what every team inherits."""
+    """Root of the tree, whose values every team inherits."""
 
     policy: Policy = Policy()
     services: dict[Name, Service] = {}
 
 
 class TeamSettings(Document):
-    """What one team overrides; a team is a team of the platform's configuration."""
+    """Values that one team overrides; a team is a team of the platform's configuration."""
 
     team: Name
     policy: Policy = Policy()
--- a/src/lotushill/contracts/yaml_text.py
+++ b/src/lotushill/contracts/yaml_text.py
@@ -1,4 +1,4 @@
-"""YAML text to plain data and back; without the models, which take long to load."""
+"""Converts YAML text to plain data and back, without importing the models, which load slowly."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 def parse(text: str, source: str) -> Any:
-    """Parse YAML; raise SettingsError on malformed text.
+    """Parse YAML; raise SettingsError if the text is malformed.
 
-    JSON, a subset of it, is read without loading the YAML library, which takes a tenth of a
-    gateway's start.
+    JSON, a subset of YAML, is parsed without importing the YAML library, whose import takes a tenth
+    of a gateway's start.
     """
     if text.startswith("{"):
         try:
             return json.loads(text)
         except (ValueError, RecursionError):
-            # It may still be YAML in its flow style.
+            # The text may still be YAML in flow style.
             pass
     return _parse_yaml(text, source)
 
@@ -41,7 +41,7 @@
 
 
 def parse_file(path: Path) -> Any:
-    """Parse a YAML file; raise SettingsError where it cannot be read."""
+    """Parse a YAML file; raise SettingsError if it cannot be read or is malformed."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -50,7 +50,7 @@
 
 
 def write(value: Any) -> str:
-    """Write plain data as YAML text."""
+    """Return plain data as YAML text."""
     from ruamel.yaml import YAML
 
     stream = io.StringIO()
