--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -365,8 +365,8 @@
     Break(
         "gateway: watches end at different times",
         "views/watcher.py",
-        "kind.wait * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)",
-        "kind.wait",
+        "kind.max_watch_seconds * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)",
+        "kind.max_watch_seconds",
         "tests.views.test_watcher",
     ),
     Break(
@@ -393,7 +393,7 @@
     Break(
         "a roster that gossip left incomplete is pulled",
         "membership/roster_sync.py",
-        "return (settled or old) and since_pull >= options.pull_again",
+        "return (settled or old) and since_pull >= options.pull_interval",
         "return False",
         "tests.membership.test_large_fleet",
     ),
@@ -407,7 +407,7 @@
     Break(
         "only schedulers hear of load in a large fleet",
         "membership/schedulers.py",
-        "self._small = len(members) <= SMALL_FLEET",
+        "self._small = len(members) <= MAX_SMALL_FLEET_GATEWAYS",
         "self._small = True",
         "tests.peering.test_peers",
     ),
@@ -591,7 +591,7 @@
     ),
     Break(
         "what one gateway saw is told to all",
-        "peering/quarantine_keeper.py",
+        "peering/quarantine_gossip.py",
         "self._plan.schedule_failure(cut.identity, now)",
         "pass",
         "tests.quarantine.test_fleet",
@@ -606,13 +606,13 @@
     Break(
         "a whole answer clears a suspect",
         "requests/exchange.py",
-        "self._parts.quarantine.note_whole(request)",
+        "self._parts.quarantine.record_completion(request)",
         "pass",
         "tests.requests.test_quarantine",
     ),
     Break(
         "a planned end blames no request",
-        "peering/quarantine_keeper.py",
+        "peering/quarantine_gossip.py",
         "return Listing.LEAVING if found.draining else Listing.SERVING",
         "return Listing.SERVING",
         "tests.requests.test_quarantine",
@@ -626,7 +626,7 @@
     ),
     Break(
         "a suspect is not sent on after two ends",
-        "peering/quarantine_keeper.py",
+        "peering/quarantine_gossip.py",
         "_ENDS_TO_STOP = 2",
         "_ENDS_TO_STOP = 20",
         "tests.requests.test_quarantine",
@@ -804,14 +804,14 @@
         "availability/announcement_schedule.py",
         "return self._order.choose(names) if self._timer.is_due(now) else []",
         "return []",
-        "tests.peering.test_leaving_keeper",
+        "tests.peering.test_leaving_gossip",
     ),
     Break(
         "a telling that was heard is not repeated by all",
         "availability/trickle.py",
         "self._heard += 1",
         "self._heard += 0",
-        "tests.peering.test_leaving_keeper",
+        "tests.peering.test_leaving_gossip",
     ),
     Break(
         "a limit that an upstream names is read",
@@ -962,7 +962,7 @@
     ),
     Break(
         "a gateway that starts anew hears what is kept apart",
-        "peering/group_keeper.py",
+        "peering/group_gossip.py",
         "elif self._timer.is_due(now):",
         "elif False:",
         "tests.quarantine.test_fleet",
--- a/src/lotushill/console/fleet_commands.py
+++ b/src/lotushill/console/fleet_commands.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Gateway:
+class RegisteredGateway:
     """Where a gateway tells its status."""
 
     name: str
@@ -84,10 +84,10 @@
         lines += [_status_line(item, rows[item.name]) for item in gateways]
         return Result("\n".join(lines), rows, EXIT_OK if agree else EXIT_FAILED)
 
-    async def _gateways(self) -> list[Gateway]:
+    async def _gateways(self) -> list[RegisteredGateway]:
         listed = await self._store.list_kind(KIND)
         return [
-            Gateway(item.name, str(item.spec.get("hall")), str(item.spec["status"]))
+            RegisteredGateway(item.name, str(item.spec.get("hall")), str(item.spec["status"]))
             for item in listed.objects
             if isinstance(item.spec, dict) and item.spec.get("status")
         ]
@@ -96,7 +96,7 @@
         """Return what each gateway answers, None for those that give no good answer."""
         answers: dict[str, Any] = {}
 
-        async def ask(gateway: Gateway) -> None:
+        async def ask(gateway: RegisteredGateway) -> None:
             answers[gateway.name] = await _ask(pool, gateway.status, path)
 
         async with httpcore.AsyncConnectionPool() as pool, anyio.create_task_group() as group:
@@ -203,7 +203,7 @@
     ]
 
 
-def _status_line(gateway: Gateway, status: dict[str, Any] | None) -> str:
+def _status_line(gateway: RegisteredGateway, status: dict[str, Any] | None) -> str:
     if status is None:
         return f"{gateway.name} ({gateway.hall}): no answer"
     line = (
--- a/src/lotushill/console/gateway.py
+++ b/src/lotushill/console/gateway.py
@@ -25,10 +25,10 @@
     # Loading makes many objects and no garbage: without the collector it takes a tenth less
     # time, which counts when all hosts come back at once. What was loaded stays for good.
     gc.disable()
+    from lotushill.console.program import configure_logging
     from lotushill.console.program import new_parser
     from lotushill.console.program import read_or_exit
     from lotushill.console.program import run
-    from lotushill.console.program import start_logs
     from lotushill.process.settings_file import read_settings
 
     parser = new_parser("lotushill-gateway", "Route requests on one node.")
@@ -41,7 +41,7 @@
     path = parser.parse_args(arguments).config
     if path is None:
         parser.error(f"--config or ${CONFIG_VARIABLE} is needed")
-    start_logs("INFO")
+    configure_logging("INFO")
     run(_serve, read_or_exit(read_settings, Path(path)), Path(path), signals)
 
 
@@ -52,7 +52,7 @@
     gateway = Gateway(settings, lambda: read_settings(path))
     gc.freeze()
     gc.enable()
-    await gateway.run(lambda: signals.reload_asked)
+    await gateway.run(lambda: signals.is_reload_requested)
     signals.ignore()
 
 
--- a/src/lotushill/console/operator.py
+++ b/src/lotushill/console/operator.py
@@ -20,9 +20,9 @@
 from lotushill.console.quarantine_commands import QuarantineCommands
 from lotushill.console.settings_commands import SettingsCommands
 from lotushill.contracts.exceptions import EditConflictError
-from lotushill.contracts.exceptions import EndlessRaceError
+from lotushill.contracts.exceptions import EditRetriesExhaustedError
 from lotushill.contracts.exceptions import SettingsError
-from lotushill.contracts.exceptions import UnknownEffectError
+from lotushill.contracts.exceptions import UnknownOutcomeError
 from lotushill.contracts.exceptions import UnknownPathError
 from lotushill.platform.object_store import ObjectStore
 from lotushill.views.exceptions import StoreError
@@ -61,13 +61,13 @@
         print(error, file=sys.stderr)
         return EXIT_FAILED
     except EditConflictError as error:
-        for clash in error.clashes:
+        for clash in error.conflicts:
             print(f"{error.name}: conflict at {clash}", file=sys.stderr)
         return EXIT_CONFLICT
-    except EndlessRaceError as error:
+    except EditRetriesExhaustedError as error:
         print(error, file=sys.stderr)
         return EXIT_CONFLICT
-    except (StoreError, UnknownEffectError) as error:
+    except (StoreError, UnknownOutcomeError) as error:
         print(f"store: {error}", file=sys.stderr)
         return EXIT_UNAVAILABLE
     print(json.dumps(result.value, indent=2) if options.json else result.text)
--- a/src/lotushill/console/process_signals.py
+++ b/src/lotushill/console/process_signals.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(self) -> None:
-        self.reload_asked = False
+        self.is_reload_requested = False
         """Whether the settings are to be read again once the program runs."""
 
     def install(self) -> None:
@@ -31,7 +31,7 @@
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
 
     def _note_reload(self, number: int, frame: FrameType | None) -> None:
-        self.reload_asked = True
+        self.is_reload_requested = True
 
     def _stop(self, number: int, frame: FrameType | None) -> None:
         # At once, since nothing was taken on yet that would have to be finished: an error that is
--- a/src/lotushill/console/program.py
+++ b/src/lotushill/console/program.py
@@ -61,7 +61,7 @@
     return record.getMessage() != _UNCLEAN_END
 
 
-def start_logs(level: str) -> None:
+def configure_logging(level: str) -> None:
     """Send logs to standard error, each line with the prefix of its part."""
     logging.basicConfig(level=level.upper(), format=_LOG_FORMAT, stream=sys.stderr)
     logging.getLogger("uvicorn.error").addFilter(_is_news)
--- a/src/lotushill/console/settings_commands.py
+++ b/src/lotushill/console/settings_commands.py
@@ -16,7 +16,7 @@
 from lotushill.contracts.exceptions import Fault
 from lotushill.contracts.exceptions import SettingsError
 from lotushill.contracts.names import ROOT_NAME
-from lotushill.contracts.names import name_of
+from lotushill.contracts.names import document_name
 from lotushill.contracts.paths import flatten
 from lotushill.contracts.paths import put
 from lotushill.contracts.paths import remove
@@ -46,7 +46,7 @@
         """Check files."""
         for path in options.files:
             data = _load(path)
-            check(Root if name_of(data) == ROOT_NAME else TeamSettings, data, str(path))
+            check(Root if document_name(data) == ROOT_NAME else TeamSettings, data, str(path))
         count = len(options.files)
         return Result(f"{count} files are good", {"files": count})
 
@@ -56,7 +56,7 @@
         revisions: dict[str, int] = {}
         for path in options.files:
             data = _load(path)
-            name = name_of(data)
+            name = document_name(data)
             revisions[name] = await self._editor.apply(name, data, base)
         lines = [f"{name} is at revision {revision}" for name, revision in revisions.items()]
         return Result("\n".join(lines), revisions)
@@ -77,7 +77,7 @@
     async def diff(self, options: argparse.Namespace) -> Result:
         """Show what applying a file would change; exit code 1 if anything."""
         wanted = _load(options.file)
-        name = name_of(wanted)
+        name = document_name(wanted)
         check_object(name, wanted)
         held = await self._editor.read(name)
         before, after = flatten(held.data if held else {}), flatten(wanted)
--- a/src/lotushill/console/standin.py
+++ b/src/lotushill/console/standin.py
@@ -9,10 +9,10 @@
 
 import anyio
 
+from lotushill.console.program import configure_logging
 from lotushill.console.program import parse_config_option
 from lotushill.console.program import read_or_exit
 from lotushill.console.program import run
-from lotushill.console.program import start_logs
 from lotushill.contracts.document import read
 from lotushill.links.http_server import HttpServer
 from lotushill.standin.engine_app import EngineApp
@@ -36,7 +36,7 @@
     description = "Stand in for the platform's store, an engine or a plain service."
     path = parse_config_option("lotushill-standin", description)
     settings = read_or_exit(functools.partial(read, StandinSettings), path)
-    start_logs("INFO")
+    configure_logging("INFO")
     run(_serve, settings)
 
 
@@ -46,7 +46,7 @@
     if settings.kind == "service":
         return ServiceApp(settings.name, settings.slots, settings.work)
     engine = EngineApp(settings)
-    group.start_soon(engine.step_for_ever)
+    group.start_soon(engine.run_steps)
     return engine
 
 
@@ -55,13 +55,13 @@
         server = HttpServer(_start_app(settings, group), settings.address)
         group.start_soon(server.serve)
         entry = UpstreamEntry(settings) if settings.store is not None else None
-        heartbeats = asyncio.create_task(entry.keep()) if entry is not None else None
+        heartbeats = asyncio.create_task(entry.run_heartbeats()) if entry is not None else None
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for _ in signals:
                 break
         if entry is not None and heartbeats is not None:
             heartbeats.cancel()
-            await entry.leave()
+            await entry.mark_draining()
             await anyio.sleep(_LEAVE_SECONDS)
             await entry.remove()
         server.abort()
--- a/src/lotushill/contracts/editor.py
+++ b/src/lotushill/contracts/editor.py
@@ -10,15 +10,15 @@
 
 from lotushill.contracts.document import check
 from lotushill.contracts.exceptions import EditConflictError
-from lotushill.contracts.exceptions import EndlessRaceError
+from lotushill.contracts.exceptions import EditRetriesExhaustedError
 from lotushill.contracts.exceptions import Fault
-from lotushill.contracts.exceptions import MergeClashError
+from lotushill.contracts.exceptions import MergeConflictError
 from lotushill.contracts.exceptions import SettingsError
-from lotushill.contracts.exceptions import UnknownEffectError
+from lotushill.contracts.exceptions import UnknownOutcomeError
 from lotushill.contracts.merge import merge
-from lotushill.contracts.names import KIND
 from lotushill.contracts.names import ROOT_NAME
-from lotushill.contracts.names import shown_name
+from lotushill.contracts.names import SETTINGS_KIND
+from lotushill.contracts.names import display_name
 from lotushill.contracts.names import stored_name
 from lotushill.contracts.tree import Root
 from lotushill.contracts.tree import TeamSettings
@@ -33,7 +33,7 @@
 ABSENT = -1
 """Revision of an object that does not exist."""
 
-Change = Callable[[dict[str, Any]], dict[str, Any]]
+EditFunction = Callable[[dict[str, Any]], dict[str, Any]]
 """Maps an object's current data to its new data."""
 
 
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Held:
+class StoredDocument:
     """One object of the tree at its current revision."""
 
     name: str
@@ -79,18 +79,18 @@
 
     async def names(self) -> list[str]:
         """Return the names of all objects."""
-        listed = await self._store.list_kind(KIND)
-        return [shown_name(item.name) for item in listed.objects]
+        listed = await self._store.list_kind(SETTINGS_KIND)
+        return [display_name(item.name) for item in listed.objects]
 
-    async def read(self, name: str) -> Held | None:
+    async def read(self, name: str) -> StoredDocument | None:
         """Return an object, None if it does not exist."""
-        stored = await self._store.get(KIND, stored_name(name))
+        stored = await self._store.get(SETTINGS_KIND, stored_name(name))
         if stored is None:
             return None
         if not isinstance(stored.spec, dict):
             fault = Fault("(document)", type(stored.spec).__name__, "expected a mapping")
             raise SettingsError(name, (fault,))
-        return Held(name, stored.revision, stored.spec)
+        return StoredDocument(name, stored.revision, stored.spec)
 
     async def apply(self, name: str, wanted: dict[str, Any], base: dict[str, Any] | None) -> int:
         """Set an object to the wanted data; return its revision.
@@ -107,11 +107,11 @@
 
         return await self.edit(name, change)
 
-    async def edit(self, name: str, change: Change) -> int:
+    async def edit(self, name: str, change: EditFunction) -> int:
         """Change an object by a function of its data; return its revision.
 
         The function is called again on the data that a concurrent edit wrote, and raises
-        MergeClashError if it cannot be applied to them.
+        MergeConflictError if it cannot be applied to them.
         """
         for _ in range(_TRIES):
             held = await self.read(name)
@@ -119,24 +119,24 @@
             revision = held.revision if held else ABSENT
             try:
                 wanted = change(data)
-            except MergeClashError as error:
-                raise EditConflictError(name, revision, error.clashes) from error
+            except MergeConflictError as error:
+                raise EditConflictError(name, revision, error.conflicts) from error
             check_object(name, wanted)
             if held is not None and wanted == data:
                 return held.revision
             written = await self._write(name, wanted, revision)
             if written is not None:
                 return written
-        raise EndlessRaceError(name)
+        raise EditRetriesExhaustedError(name)
 
     async def _write(self, name: str, data: dict[str, Any], revision: int) -> int | None:
         """Write at a revision and return the new one, None if another edit was written first."""
         lost: StoreUnavailableError | None = None
         try:
             if revision == ABSENT:
-                await self._store.create(KIND, stored_name(name), data)
+                await self._store.create(SETTINGS_KIND, stored_name(name), data)
             else:
-                await self._store.replace(KIND, stored_name(name), data, revision)
+                await self._store.replace(SETTINGS_KIND, stored_name(name), data, revision)
         except RevisionConflictError:
             return None
         except StoreUnavailableError as error:
@@ -147,12 +147,12 @@
             return held.revision
         if lost is not None and (held.revision if held else ABSENT) == revision:
             # Not written yet, but the call may still be in transit: only the operator may decide.
-            raise UnknownEffectError(name) from lost
+            raise UnknownOutcomeError(name) from lost
         return None
 
 
 def _merge(base: dict[str, Any], ours: dict[str, Any], theirs: dict[str, Any]) -> dict[str, Any]:
     merged = merge(base, ours, theirs)
-    if merged.clashes:
-        raise MergeClashError(merged.clashes)
+    if merged.conflicts:
+        raise MergeConflictError(merged.conflicts)
     return dict(merged.data)
--- a/src/lotushill/contracts/exceptions.py
+++ b/src/lotushill/contracts/exceptions.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from lotushill.contracts.merge import Clash
+    from lotushill.contracts.merge import MergeConflict
 
 
 @dataclass(frozen=True)
@@ -38,33 +38,33 @@
         super().__init__(f"path does not exist in the settings: {path}")
 
 
-class MergeClashError(Exception):
+class MergeConflictError(Exception):
     """A change cannot be applied to the data that another edit wrote."""
 
-    def __init__(self, clashes: tuple[Clash, ...]) -> None:
-        self.clashes = clashes
+    def __init__(self, clashes: tuple[MergeConflict, ...]) -> None:
+        self.conflicts = clashes
         super().__init__("; ".join(str(clash) for clash in clashes))
 
 
 class EditConflictError(Exception):
     """Another edit changed the same values; the message shows both sides."""
 
-    def __init__(self, name: str, revision: int, clashes: tuple[Clash, ...]) -> None:
+    def __init__(self, name: str, revision: int, clashes: tuple[MergeConflict, ...]) -> None:
         self.name = name
         self.revision = revision
-        self.clashes = clashes
+        self.conflicts = clashes
         shown = "; ".join(str(clash) for clash in clashes)
         super().__init__(f"{name} is at revision {revision}: {shown}")
 
 
-class EndlessRaceError(Exception):
+class EditRetriesExhaustedError(Exception):
     """Another edit was written first at each attempt of this one."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name}: other edits were written first at every attempt")
 
 
-class UnknownEffectError(Exception):
+class UnknownOutcomeError(Exception):
     """A write was not answered and has had no effect so far, but may still be carried out."""
 
     def __init__(self, name: str) -> None:
--- a/src/lotushill/contracts/merge.py
+++ b/src/lotushill/contracts/merge.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True)
-class Clash:
+class MergeConflict:
     """A value that two edits changed differently; None means that it was removed."""
 
     path: str
@@ -23,28 +23,28 @@
 
 
 @dataclass(frozen=True)
-class Merged:
+class MergeResult:
     """Result of a merge; for each conflict, the data contains the value of `theirs`."""
 
     data: Any
-    clashes: tuple[Clash, ...]
+    conflicts: tuple[MergeConflict, ...]
 
 
-def merge(base: Any, ours: Any, theirs: Any) -> Merged:
+def merge(base: Any, ours: Any, theirs: Any) -> MergeResult:
     """Merge two edits of the same base."""
-    clashes: list[Clash] = []
+    clashes: list[MergeConflict] = []
     data = _merge("", base, ours, theirs, clashes)
-    return Merged(None if data is _ABSENT else data, tuple(clashes))
+    return MergeResult(None if data is _ABSENT else data, tuple(clashes))
 
 
-def _merge(path: str, base: Any, ours: Any, theirs: Any, clashes: list[Clash]) -> Any:
+def _merge(path: str, base: Any, ours: Any, theirs: Any, clashes: list[MergeConflict]) -> Any:
     if ours in (theirs, base):
         return copy.deepcopy(theirs) if theirs is not _ABSENT else _ABSENT
     if theirs == base:
         return copy.deepcopy(ours) if ours is not _ABSENT else _ABSENT
     if isinstance(ours, dict) and isinstance(theirs, dict):
         return _merge_levels(path, base if isinstance(base, dict) else {}, ours, theirs, clashes)
-    clashes.append(Clash(path or "(document)", _shown(base), _shown(ours), _shown(theirs)))
+    clashes.append(MergeConflict(path or "(document)", _shown(base), _shown(ours), _shown(theirs)))
     return theirs
 
 
@@ -53,7 +53,7 @@
     base: dict[str, Any],
     ours: dict[str, Any],
     theirs: dict[str, Any],
-    clashes: list[Clash],
+    clashes: list[MergeConflict],
 ) -> dict[str, Any]:
     merged: dict[str, Any] = {}
     for key in [*theirs, *(key for key in ours if key not in theirs)]:
--- a/src/lotushill/contracts/names.py
+++ b/src/lotushill/contracts/names.py
@@ -4,14 +4,14 @@
 
 from typing import Any
 
-KIND = "lotushill-settings"
+SETTINGS_KIND = "lotushill-settings"
 """Object kind of the settings tree in the platform's store."""
 ROOT_NAME = "root"
 TEAM_PREFIX = "team/"
 _STORED_TEAM_PREFIX = "team."
 
 
-def name_of(data: Any) -> str:
+def document_name(data: Any) -> str:
     """Return the name of the object that a document describes: `root` or `team/NAME`."""
     if isinstance(data, dict) and "team" in data:
         return f"{TEAM_PREFIX}{data['team']}"
@@ -25,7 +25,7 @@
     return name
 
 
-def shown_name(stored: str) -> str:
+def display_name(stored: str) -> str:
     """Return an object's name as operators write it."""
     if stored.startswith(_STORED_TEAM_PREFIX):
         return TEAM_PREFIX + stored.removeprefix(_STORED_TEAM_PREFIX)
--- a/src/lotushill/contracts/settings_view.py
+++ b/src/lotushill/contracts/settings_view.py
@@ -15,7 +15,7 @@
 from lotushill.contracts.effective import resolve
 from lotushill.contracts.exceptions import SettingsError
 from lotushill.contracts.names import ROOT_NAME
-from lotushill.contracts.names import shown_name
+from lotushill.contracts.names import display_name
 
 if TYPE_CHECKING:
     from lotushill.contracts.tree import Root
@@ -74,7 +74,7 @@
             self._resolved[key] = found
         return found
 
-    def forget_routes(self) -> None:
+    def clear_resolved_routes(self) -> None:
         """Clear the resolved routes after the platform's configuration has changed."""
         self._resolved = {}
 
@@ -86,7 +86,7 @@
         if ROOT_NAME not in objects:
             self._root = None
         for stored, data in objects.items():
-            name = shown_name(stored)
+            name = display_name(stored)
             try:
                 self._take(name, data)
             except SettingsError as error:
--- a/src/lotushill/duties/call_health.py
+++ b/src/lotushill/duties/call_health.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lotushill.platform.duty_api import CallEnd
+from lotushill.platform.duty_api import CallOutcome
 
 _FAILING_SECONDS = 4.0
 _MOST_UNANSWERED = 3
@@ -22,9 +22,9 @@
         self._since = None
         self._unanswered = 0
 
-    def note(self, end: CallEnd, began: float) -> None:
+    def note(self, end: CallOutcome, began: float) -> None:
         """Note how a call ended that began at some moment."""
-        if end in (CallEnd.DONE, CallEnd.REFUSED):
+        if end in (CallOutcome.DONE, CallOutcome.REFUSED):
             self.forget()
             return
         self._unanswered += 1
--- a/src/lotushill/duties/order_duty.py
+++ b/src/lotushill/duties/order_duty.py
@@ -11,9 +11,9 @@
 from lotushill.duties.engine_sizing import EngineSizing
 from lotushill.duties.engine_sizing import HallEngines
 from lotushill.duties.engine_sizing import engines_lost
-from lotushill.platform.duty_api import CallEnd
+from lotushill.platform.duty_api import CallOutcome
 from lotushill.platform.duty_api import EngineOrder
-from lotushill.platform.duty_api import Signature
+from lotushill.platform.duty_api import LeaseCredentials
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -218,13 +218,13 @@
         former = self._sent.get(_key(order))
         began = self._clock()
         self._sent[_key(order)] = _Sent(order.engines, began + _REPEAT_SECONDS)
-        end = await self._platform.order(order, Signature(lease.name, token))
+        end = await self._platform.order(order, LeaseCredentials(lease.name, token))
         self._health.note(end, began)
-        if former is None or former.engines != order.engines or end is not CallEnd.DONE:
+        if former is None or former.engines != order.engines or end is not CallOutcome.DONE:
             self._note(order, end, token)
-        if end is CallEnd.REFUSED and lease.token == token:
+        if end is CallOutcome.REFUSED and lease.token == token:
             self._take_refusal(order)
-        elif end is not CallEnd.DONE:
+        elif end is not CallOutcome.DONE:
             self._sent.pop(_key(order), None)
 
     def _take_refusal(self, order: EngineOrder) -> None:
@@ -240,7 +240,7 @@
         self._sizings[order.service].note_dry(order.hall, now)
         self._sent[_key(order)] = _Sent(order.engines, now + _REFUSED_SECONDS)
 
-    def _note(self, order: EngineOrder, end: CallEnd, token: int) -> None:
+    def _note(self, order: EngineOrder, end: CallOutcome, token: int) -> None:
         self._log.note(
             "engines.ordered",
             service=order.service,
--- a/src/lotushill/duties/ports.py
+++ b/src/lotushill/duties/ports.py
@@ -15,9 +15,9 @@
     from lotushill.links.messages import MemberState
     from lotushill.links.messages import WorkPage
     from lotushill.links.messages import WorkPull
-    from lotushill.platform.duty_api import CallEnd
+    from lotushill.platform.duty_api import CallOutcome
     from lotushill.platform.duty_api import EngineOrder
-    from lotushill.platform.duty_api import Signature
+    from lotushill.platform.duty_api import LeaseCredentials
     from lotushill.routing.service import Service
     from lotushill.views.stored_object import StoredObject
     from lotushill.views.upstream_view import UpstreamView
@@ -45,12 +45,12 @@
     """The calls that the holder of the duties makes."""
 
     async def report_usage(
-        self, window: int, counts: Mapping[str, int], signature: Signature
-    ) -> CallEnd:
+        self, window: int, counts: Mapping[str, int], signature: LeaseCredentials
+    ) -> CallOutcome:
         """Report the requests of each team that began in a window."""
         ...
 
-    async def order(self, order: EngineOrder, signature: Signature) -> CallEnd:
+    async def order(self, order: EngineOrder, signature: LeaseCredentials) -> CallOutcome:
         """Order engines."""
         ...
 
--- a/src/lotushill/duties/usage_duty.py
+++ b/src/lotushill/duties/usage_duty.py
@@ -10,8 +10,8 @@
 from lotushill.duties.ownership import TICK_SECONDS
 from lotushill.duties.usage_ledger import UsageLedger
 from lotushill.links.messages import WorkPull
-from lotushill.platform.duty_api import CallEnd
-from lotushill.platform.duty_api import Signature
+from lotushill.platform.duty_api import CallOutcome
+from lotushill.platform.duty_api import LeaseCredentials
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -189,13 +189,13 @@
         if token is None or not lease.may_act(self._clock()):
             return False
         began = self._clock()
-        end = await self._platform.report_usage(window, counts, Signature(lease.name, token))
+        end = await self._platform.report_usage(window, counts, LeaseCredentials(lease.name, token))
         self._health.note(end, began)
         self._log.note("usage.reported", window=window, end=end.value, token=token)
-        if end is CallEnd.DONE:
+        if end is CallOutcome.DONE:
             self._reported.add(window)
             return True
-        if end is CallEnd.REFUSED and lease.token == token:
+        if end is CallOutcome.REFUSED and lease.token == token:
             self._ownership.lose("a report was refused")
         await anyio.sleep(_RETRY_SECONDS)
         return False
--- a/src/lotushill/event_log.py
+++ b/src/lotushill/event_log.py
@@ -36,7 +36,7 @@
         self._at = clock()
         self.left_out = 0
         """Number of lines dropped since the last one that was written."""
-        self.left_out_in_all = 0
+        self.total_left_out = 0
 
     def note(self, event: str, **fields: object) -> None:
         """Write one event with its fields unless the rate limit is exceeded."""
@@ -46,7 +46,7 @@
             self._journal.add(str(fields["request"]), {**line, **fields})
         if not self._allowed(now):
             self.left_out += 1
-            self.left_out_in_all += 1
+            self.total_left_out += 1
             return
         if self.left_out:
             line["left_out"] = self.left_out
--- a/src/lotushill/following/configuration.py
+++ b/src/lotushill/following/configuration.py
@@ -8,7 +8,7 @@
 
 from lotushill.following.followed import FROM_PEER
 from lotushill.following.followed import FROM_STORE
-from lotushill.following.followed import Followed
+from lotushill.following.followed import FollowedKind
 from lotushill.platform import names
 from lotushill.platform.configuration import parse_table
 from lotushill.routing.exceptions import InvalidTableError
@@ -25,7 +25,7 @@
 _INTERVAL_SECONDS = 0.05
 
 
-class FollowedConfiguration(Followed):
+class FollowedConfiguration(FollowedKind):
     """The newest configuration that can be read is in force."""
 
     def __init__(
@@ -45,7 +45,7 @@
         """Return the revision in force."""
         return self.view.revision
 
-    def watched(self) -> WatchedKind:
+    def watched_kind(self) -> WatchedKind:
         """Return how it is followed at the store."""
         return WatchedKind(
             names.CONFIGURATION_KIND,
@@ -56,11 +56,11 @@
             may_start=self._may_start,
         )
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """Return the configuration in force."""
         return self._text
 
-    def take_from_peer(self, value: Any, revision: int) -> None:
+    def receive_from_peer(self, value: Any, revision: int) -> None:
         """Take a peer's."""
         self._take(value, revision, FROM_PEER)
 
@@ -84,7 +84,7 @@
             self._rejected = revision
             self._log.note("configuration.rejected", revision=revision, error=str(error))
             return
-        if self.view.take(table, revision):
+        if self.view.replace(table, revision):
             self._text = json.dumps(spec)
             self._log.note(
                 "configuration.in_force", revision=revision, version=table.version, source=source
--- a/src/lotushill/following/followed.py
+++ b/src/lotushill/following/followed.py
@@ -19,7 +19,7 @@
 """The specs of all objects of a kind, by name, as the store has them."""
 
 
-class Followed(ABC):
+class FollowedKind(ABC):
     """One kind at the highest revision that was heard of."""
 
     @property
@@ -28,24 +28,24 @@
         """Return the store's revision that is held; below 0 while nothing is known."""
 
     @abstractmethod
-    def watched(self) -> WatchedKind:
+    def watched_kind(self) -> WatchedKind:
         """Return how it is followed at the store."""
 
     @abstractmethod
-    def text(self) -> str:
+    def to_json(self) -> str:
         """Return what is held as JSON, for a peer."""
 
     @abstractmethod
-    def take_from_peer(self, value: Any, revision: int) -> None:
+    def receive_from_peer(self, value: Any, revision: int) -> None:
         """Take what a peer holds if it is newer; any error says that it cannot be read."""
 
 
-def specs_of(listed: ObjectList) -> Specs:
+def specs_by_name(listed: ObjectList) -> Specs:
     """Return the specs of a list."""
     return {item.name: item.spec for item in listed.objects}
 
 
-def changed(specs: Specs, changes: list[Change]) -> Specs:
+def apply_changes(specs: Specs, changes: list[Change]) -> Specs:
     """Return specs with changes made."""
     out = dict(specs)
     for change in changes:
--- a/src/lotushill/following/followed_objects.py
+++ b/src/lotushill/following/followed_objects.py
@@ -10,10 +10,10 @@
 
 from lotushill.following.followed import FROM_PEER
 from lotushill.following.followed import FROM_STORE
-from lotushill.following.followed import Followed
+from lotushill.following.followed import FollowedKind
 from lotushill.following.followed import Specs
-from lotushill.following.followed import changed
-from lotushill.following.followed import specs_of
+from lotushill.following.followed import apply_changes
+from lotushill.following.followed import specs_by_name
 from lotushill.views.watcher import WatchedKind
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
         ...
 
 
-class FollowedObjects(Followed):
+class FollowedObjects(FollowedKind):
     """Follows one kind into a view."""
 
     def __init__(self, kind: str, view: ObjectsView) -> None:
@@ -51,32 +51,32 @@
         """Return the revision that is held."""
         return self._objects.revision
 
-    def watched(self) -> WatchedKind:
+    def watched_kind(self) -> WatchedKind:
         """Return how it is followed at the store."""
         return WatchedKind(
             self._kind,
-            lambda listed: self._take(specs_of(listed), listed.revision, FROM_STORE),
+            lambda listed: self._take(specs_by_name(listed), listed.revision, FROM_STORE),
             self._on_changes,
             lambda: self.revision,
             _INTERVAL_SECONDS,
             _WATCH_SECONDS,
         )
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """Return all objects."""
         return json.dumps(self._objects.objects)
 
-    def take_from_peer(self, value: Any, revision: int) -> None:
+    def receive_from_peer(self, value: Any, revision: int) -> None:
         """Take a peer's."""
         self._take(dict(value), revision, FROM_PEER)
 
     def _on_changes(self, changes: list[Change], revision: int) -> None:
-        self._take(changed(self._objects.objects, changes), revision, FROM_STORE)
+        self._take(apply_changes(self._objects.objects, changes), revision, FROM_STORE)
 
     def _take(self, specs: Specs, revision: int, source: str) -> None:
         if self._objects.replace(specs, revision):
-            self.note_change(source)
+            self.report_change(source)
 
     @abstractmethod
-    def note_change(self, source: str) -> None:
+    def report_change(self, source: str) -> None:
         """Tell of another view, which came from `source`."""
--- a/src/lotushill/following/holds.py
+++ b/src/lotushill/following/holds.py
@@ -29,7 +29,7 @@
         self._log = log
         self._on_change = on_change
 
-    def note_change(self, source: str) -> None:
+    def report_change(self, source: str) -> None:
         """Tell of other holds, and of what names none."""
         revision, count = self.view.revision, len(self.view.objects)
         self.faults.replace(self.view.faults, revision)
--- a/src/lotushill/following/settings.py
+++ b/src/lotushill/following/settings.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.contracts.names import KIND
+from lotushill.contracts.names import SETTINGS_KIND
 from lotushill.contracts.settings_view import SettingsView
 from lotushill.following.followed_objects import FollowedObjects
 
@@ -17,10 +17,10 @@
 
     def __init__(self, log: EventLog) -> None:
         self.view = SettingsView()
-        super().__init__(KIND, self.view)
+        super().__init__(SETTINGS_KIND, self.view)
         self._log = log
 
-    def note_change(self, source: str) -> None:
+    def report_change(self, source: str) -> None:
         """Tell of another tree, and of what in it cannot be read."""
         revision, count = self.view.revision, len(self.view.objects)
         self._log.note("settings.in_force", revision=revision, objects=count, source=source)
--- a/src/lotushill/following/upstreams.py
+++ b/src/lotushill/following/upstreams.py
@@ -8,10 +8,10 @@
 
 from lotushill.following.followed import FROM_PEER
 from lotushill.following.followed import FROM_STORE
-from lotushill.following.followed import Followed
+from lotushill.following.followed import FollowedKind
 from lotushill.following.followed import Specs
-from lotushill.following.followed import changed
-from lotushill.following.followed import specs_of
+from lotushill.following.followed import apply_changes
+from lotushill.following.followed import specs_by_name
 from lotushill.platform import names
 from lotushill.platform.upstreams import parse_upstream
 from lotushill.views.entry_faults import EntryFaults
@@ -39,21 +39,21 @@
 _LAPSED = "lapsed"
 
 
-class FollowedUpstreams(Followed):
+class FollowedUpstreams(FollowedKind):
     """All upstreams whose entries can be read, and those whose entries lapsed in an outage."""
 
     def __init__(
         self,
         log: EventLog,
         clock: Callable[[], float],
-        away_at: Callable[[], float | None],
+        last_failure_at: Callable[[], float | None],
     ) -> None:
         """Keep what is missing after an outage; `away_at` tells when the store last was away."""
         self.view = UpstreamView()
         self.faults = EntryFaults(names.BACKEND_KIND, log)
         self._log = log
         self._clock = clock
-        self._away_at = away_at
+        self._away_at = last_failure_at
         self._specs: Specs = {}
 
     @property
@@ -61,7 +61,7 @@
         """Return the revision that is held."""
         return self.view.revision
 
-    def watched(self) -> WatchedKind:
+    def watched_kind(self) -> WatchedKind:
         """Return how it is followed at the store."""
         return WatchedKind(
             names.BACKEND_KIND,
@@ -76,13 +76,13 @@
         for upstream in self.view.expire(self._clock()):
             self._note_gone(upstream, _LAPSED_SOURCE)
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """Return all entries, and how many seconds are left to those that are kept without."""
         now = self._clock()
         left = {name: until - now for name, until in self.view.lapsed.items()}
         return json.dumps({_ENTRIES: self._specs, _LAPSED: left})
 
-    def take_from_peer(self, value: Any, revision: int) -> None:
+    def receive_from_peer(self, value: Any, revision: int) -> None:
         """Take a peer's."""
         if revision <= self.revision:
             return
@@ -92,11 +92,13 @@
 
     def _on_list(self, listed: ObjectList) -> None:
         if listed.revision > self.revision:
-            self._replace(specs_of(listed), listed.revision, FROM_STORE, self._kept_after_outage())
+            self._replace(
+                specs_by_name(listed), listed.revision, FROM_STORE, self._kept_after_outage()
+            )
 
     def _on_changes(self, changes: list[Change], revision: int) -> None:
         if revision > self.revision:
-            specs = changed(self._specs, changes)
+            specs = apply_changes(self._specs, changes)
             self._replace(specs, revision, FROM_STORE, self._kept_after_outage())
 
     def _kept_after_outage(self) -> dict[str, float]:
--- a/src/lotushill/gateway/duties.py
+++ b/src/lotushill/gateway/duties.py
@@ -38,10 +38,10 @@
 
 
 @dataclass(frozen=True)
-class DutyParts:
+class DutyDependencies:
     """The parts of a running gateway that its duties use."""
 
-    ready: Callable[[], bool]
+    is_ready: Callable[[], bool]
     views: StoreViews
     peers: Peers
     fleet: Fleet
@@ -58,12 +58,12 @@
         self._settings = settings
         self._time = TrueTime(time.time, clocks.now)
         window_seconds = (settings.duties or DutySettings("")).report_window_seconds
-        self.work = RequestCounter(settings.name, window_seconds, self._time, clocks.now)
+        self.request_counter = RequestCounter(settings.name, window_seconds, self._time, clocks.now)
         self._keeper: DutyRunner | None = None
 
-    async def run(self, parts: DutyParts) -> None:
+    async def run(self, parts: DutyDependencies) -> None:
         """Do what falls to this gateway for the whole fleet, once it can serve."""
-        while not parts.ready():
+        while not parts.is_ready():
             await anyio.sleep(_TICK_SECONDS)
         self._keeper = self._new_keeper(parts)
         try:
@@ -71,10 +71,10 @@
         finally:
             self._keeper = None
 
-    def pages(self, pull: WorkPull) -> Iterable[WorkPage]:
+    def work_pages(self, pull: WorkPull) -> Iterable[WorkPage]:
         """Return what this gateway counted, and take over the time that the asker worked out."""
         self._time.set_time(pull.now)
-        return self.work.pages(pull.since)
+        return self.request_counter.pages(pull.since)
 
     def receive(self, page: WorkPage) -> None:
         """Take in what another gateway counted."""
@@ -90,7 +90,7 @@
         """Return what operators ask of the duties, None without any."""
         return self._keeper.status() if self._keeper is not None else None
 
-    def _new_keeper(self, parts: DutyParts) -> DutyRunner:
+    def _new_keeper(self, parts: DutyDependencies) -> DutyRunner:
         # Loaded late: nothing of it is needed to serve.
         from lotushill.duties.duty_runner import DutyRunner
         from lotushill.duties.ports import FleetAccess
@@ -108,7 +108,7 @@
             send_pull=parts.peers.send_message,
             request_rate_limit=parts.limits.rate,
             stream_seconds=lambda service: parts.fleet.pace(service).stream_seconds,
-            own_pages=self.work.pages,
+            own_pages=self.request_counter.pages,
         )
         return DutyRunner(
             self._settings.name,
--- a/src/lotushill/gateway/fleet_quarantine.py
+++ b/src/lotushill/gateway/fleet_quarantine.py
@@ -7,8 +7,8 @@
 import anyio
 
 from lotushill import clock as clocks
-from lotushill.peering.group_keeper import GroupKeeper
-from lotushill.peering.quarantine_keeper import QuarantineKeeper
+from lotushill.peering.group_gossip import GroupGossip
+from lotushill.peering.quarantine_gossip import QuarantineGossip
 from lotushill.quarantine.hold_store import HoldStore
 from lotushill.quarantine.isolation import Isolation
 from lotushill.quarantine.quarantine import Quarantine
@@ -42,32 +42,32 @@
         self._views = views
         self.suspects = Quarantine()
         self.isolation = Isolation()
-        self.keeper = QuarantineKeeper(
+        self.gossip = QuarantineGossip(
             name,
             self.suspects,
-            GroupKeeper(name, self.isolation, peers.tell_all, log, rng, clocks.now),
+            GroupGossip(name, self.isolation, peers.broadcast, log, rng, clocks.now),
             views.upstreams,
             pool.has_ended,
-            peers.tell_all,
+            peers.broadcast,
             log,
             rng,
             clocks.now,
         )
         self._hold_store = HoldStore(store, self.suspects, views.holds, log, rng)
 
-    def held(self) -> list[bytes]:
+    def held_identities(self) -> list[bytes]:
         """Return the identities of all requests that are held now."""
         return self.suspects.held_identities(clocks.now())
 
-    def isolated(self) -> list[Group]:
+    def isolated_groups(self) -> list[Group]:
         """Return the groups of requests that run apart now."""
         return self.isolation.isolated_groups(clocks.now())
 
-    def take_stored(self) -> None:
+    def replace_stored(self) -> None:
         """Take what the store has, since it has changed."""
-        self.keeper.take_stored(self._views.holds.holds)
+        self.gossip.replace_stored(self._views.holds.holds)
 
-    async def store_for_ever(self) -> None:
+    async def run_hold_store(self) -> None:
         """Bring the store in line with what is held."""
         while True:
             await anyio.sleep(_LOOK_SECONDS)
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -17,7 +17,7 @@
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.contracts.exceptions import SettingsError
 from lotushill.event_log import EventLog
-from lotushill.gateway.duties import DutyParts
+from lotushill.gateway.duties import DutyDependencies
 from lotushill.gateway.duties import FleetDuties
 from lotushill.gateway.fleet_quarantine import FleetQuarantine
 from lotushill.gateway.status_app import StatusApp
@@ -31,13 +31,13 @@
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.limits.team_limits import TeamLimits
 from lotushill.links.http_server import HttpServer
-from lotushill.membership.schedulers import SMALL_FLEET
-from lotushill.peering.leaving_keeper import LeavingKeeper
+from lotushill.membership.schedulers import MAX_SMALL_FLEET_GATEWAYS
+from lotushill.peering.leaving_gossip import LeavingGossip
 from lotushill.peering.peers import PeerHooks
 from lotushill.peering.peers import Peers
 from lotushill.peering.reader_role import ReaderRole
 from lotushill.peering.registration import Registration
-from lotushill.peering.return_keeper import ReturnKeeper
+from lotushill.peering.return_gossip import ReturnGossip
 from lotushill.placement.fleet import Fleet
 from lotushill.platform import request_head
 from lotushill.platform.object_store import ObjectStore
@@ -89,11 +89,11 @@
     """Everything that runs in one gateway process."""
 
     def __init__(
-        self, settings: GatewaySettings, read_again: Callable[[], GatewaySettings]
+        self, settings: GatewaySettings, read_settings: Callable[[], GatewaySettings]
     ) -> None:
         """Put the parts together; `read_again` reads the settings file once more."""
         self.settings = settings
-        self._read_again = read_again
+        self._read_again = read_settings
         self.journal = Journal()
         self.metrics = Metrics()
         self.log = EventLog(settings.name, journal=self.journal)
@@ -108,7 +108,7 @@
             self.log,
             self._on_configuration,
             role,
-            on_holds=lambda: self.quarantine.take_stored(),
+            on_holds=lambda: self.quarantine.replace_stored(),
         )
         self.fleet = Fleet(
             settings.hall, settings.recent_seconds, lambda hall: self.peers.is_cut_off(hall)
@@ -119,21 +119,21 @@
             self.fleet,
             clocks.now,
             self._service_of,
-            self.peers.tell_load,
-            self.peers.is_near,
+            self.peers.publish_load,
+            self.peers.is_same_hall,
         )
-        self.returns = ReturnKeeper(
+        self.return_gossip = ReturnGossip(
             settings.name,
             self.fleet.shedding.returns,
             self.peers.schedulers,
             self.peers.send_message,
             clocks.now,
         )
-        self._start_of_life = StartupPhase(SMALL_FLEET, clocks.now())
-        self.rests = Cooldowns()
+        self._start_of_life = StartupPhase(MAX_SMALL_FLEET_GATEWAYS, clocks.now())
+        self.cooldowns = Cooldowns()
         stated = StatedLimits()
         counting = LimitOwners(
-            self.peers.membership, self.peers.schedulers, lambda: self.registration.listed
+            self.peers.membership, self.peers.schedulers, lambda: self.registration.registered_count
         )
         self.limits = FleetLimits(
             self.views.upstreams,
@@ -141,13 +141,13 @@
             stated,
             PermitRanks(self.fleet, stated, self.views.upstreams.of),
             self.peers.send_message,
-            self.peers.tell_all,
+            self.peers.broadcast,
             self.log,
             rng,
             clocks.now,
         )
         self.team_limits = TeamLimits(counting, self.limits.client, rng, clocks.now)
-        self.waiting = QueueRunner(
+        self.queue_runner = QueueRunner(
             settings.name,
             AdmissionQueue(
                 self.fleet,
@@ -157,11 +157,11 @@
             ),
             self._service_named,
             self.views.upstreams.of,
-            self.peers.tell_schedulers,
+            self.peers.send_to_schedulers,
             clocks.now,
             self.log,
         )
-        self.desk = PlacementResponder(
+        self.placement_responder = PlacementResponder(
             settings.name,
             self.fleet,
             self.shared_load,
@@ -169,7 +169,7 @@
             self.views.upstreams.of,
             self.peers.model_sync.is_ready,
             stated,
-            self.waiting,
+            self.queue_runner,
             self.peers.send_to,
         )
         placer = Placer(
@@ -179,33 +179,33 @@
             self.views.upstreams,
             rng,
             clocks.now,
-            BarredUpstreams(self.rests, self.limits.denials),
+            BarredUpstreams(self.cooldowns, self.limits.denials),
             stated,
             self.peers.schedulers,
             self.peers.client,
             self._knows_fleet,
-            self.waiting,
+            self.queue_runner,
         )
-        self.pool = UpstreamPool(request_head.answered_id, self._most_idle)
+        self.pool = UpstreamPool(request_head.answer_request_id, self._most_idle)
         self.quarantine = FleetQuarantine(
             settings.name, self.views, self.pool, self.peers, self.store, self.log, rng
         )
         self.registration = Registration(settings, self.store, self.peers, self.log, rng)
         self.suspension = SuspensionWatch(
-            clocks.now, time.monotonic, self._on_woke, self.views.confirmed
+            clocks.now, time.monotonic, self._on_woke, self.views.is_confirmed_since
         )
-        self.leaving = LeavingKeeper(
-            settings.name, self.views.upstreams, self.peers.tell_all, self.log, rng, clocks.now
+        self.leaving_gossip = LeavingGossip(
+            settings.name, self.views.upstreams, self.peers.broadcast, self.log, rng, clocks.now
         )
-        self.gate = UpstreamGate(
+        self.upstream_gate = UpstreamGate(
             self.views.upstreams,
-            self.rests,
+            self.cooldowns,
             self.limits,
-            self.leaving.note,
+            self.leaving_gossip.note_answer,
             self.log,
             clocks.now,
         )
-        self.budgets = RetryBudgets(settings.retry, self._sharing, clocks.now())
+        self.retry_budgets = RetryBudgets(settings.retry, self._sharing, clocks.now())
         ward = IsolationPolicy(self.quarantine.isolation, self.views.upstreams, clocks.now)
         self.mover = Mover(
             EngineMemoryClient(),
@@ -213,14 +213,14 @@
             self.shared_load,
             self.views.upstreams,
             ward,
-            self.quarantine.keeper,
-            self.budgets,
+            self.quarantine.gossip,
+            self.retry_budgets,
             stated.rate,
             self.metrics,
             self.log,
             clocks.now,
         )
-        self.front = ClientApplication(
+        self.client_application = ClientApplication(
             GatewayParts(
                 name=settings.name,
                 configuration=self.views.configuration,
@@ -230,39 +230,43 @@
                 shared_load=self.shared_load,
                 placer=placer,
                 pool=self.pool,
-                gate=self.gate,
+                gate=self.upstream_gate,
                 limits=self.limits,
                 team_limits=self.team_limits,
                 isolation_policy=ward,
                 mover=self.mover,
-                budgets=self.budgets,
-                quarantine=self.quarantine.keeper,
-                work=self.duties.work,
+                budgets=self.retry_budgets,
+                quarantine=self.quarantine.gossip,
+                work=self.duties.request_counter,
                 log=self.log,
                 metrics=self.metrics,
                 rng=rng,
                 clock=clocks.now,
                 suspension=self.suspension,
-                view_is_fresh=self.views.fresh,
+                view_is_fresh=self.views.is_fresh,
                 knows_holds=self.views.knows_holds,
             )
         )
         protocol = functools.partial(ClientProtocol, limits=self._client_limits)
-        self.clients = HttpServer(self.front, settings.clients, protocol=protocol)
-        self.status = HttpServer(
-            StatusApp(self.ready, functools.partial(status, self), self.metrics.text, self.journal),
+        self.client_listener = HttpServer(
+            self.client_application, settings.clients, protocol=protocol
+        )
+        self.status_listener = HttpServer(
+            StatusApp(
+                self.is_ready, functools.partial(status, self), self.metrics.text, self.journal
+            ),
             settings.readiness,
         )
         add_gauges(self)
         self._stopping = False
         self._following: list[asyncio.Task[None]] = []
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether clients may be sent here."""
-        known = self.views.configuration.table is not None and self.views.upstreams.known
+        known = self.views.configuration.table is not None and self.views.upstreams.is_loaded
         return known and self.views.knows_holds() and not self._stopping
 
-    async def run(self, reload_asked: Callable[[], bool] = lambda: False) -> None:
+    async def run(self, is_reload_requested: Callable[[], bool] = lambda: False) -> None:
         """Serve until a signal says to stop, and then finish what is in progress.
 
         `reload_asked` tells whether the settings were to be read again while the program started.
@@ -273,7 +277,7 @@
             async with anyio.create_task_group() as group:
                 self._start(group)
                 self.log.note("process.started", pid=os.getpid(), hall=self.settings.hall)
-                await self._wait_for_stop(signals, reload_asked)
+                await self._wait_for_stop(signals, is_reload_requested)
                 # Beside the stop: a silent store must not take the time of requests in progress.
                 group.start_soon(self.side_tasks.run, "hand over", self.duties.hand_over)
                 await self._drain()
@@ -284,18 +288,18 @@
         self.log.note("process.stopped")
 
     def _start(self, group: TaskGroup) -> None:
-        group.start_soon(self.status.serve)
-        group.start_soon(self.clients.serve)
+        group.start_soon(self.status_listener.serve)
+        group.start_soon(self.client_listener.serve)
         group.start_soon(self.peers.run, group)
-        self._following = self.views.tasks()
+        self._following = self.views.start_tasks()
         group.start_soon(self.side_tasks.run, "registration", self.registration.run)
-        group.start_soon(self.side_tasks.run, "waiting line", self.waiting.run)
+        group.start_soon(self.side_tasks.run, "waiting line", self.queue_runner.run)
         group.start_soon(self.side_tasks.run, "sweep", self._sweep)
-        group.start_soon(self.side_tasks.run, "quarantine", self.quarantine.keeper.run)
-        group.start_soon(self.side_tasks.run, "holds", self.quarantine.store_for_ever)
+        group.start_soon(self.side_tasks.run, "quarantine", self.quarantine.gossip.run)
+        group.start_soon(self.side_tasks.run, "holds", self.quarantine.run_hold_store)
         if self.settings.duties is not None:
-            parts = DutyParts(
-                self.ready,
+            parts = DutyDependencies(
+                self.is_ready,
                 self.views,
                 self.peers,
                 self.fleet,
@@ -313,16 +317,16 @@
             self.pool.close_expired(known)
             self.fleet.evict_unused(known, clocks.now())
             self._tell_paces()
-            self.rests.forget(known, clocks.now())
+            self.cooldowns.forget(known, clocks.now())
             self.limits.forget(known)
             self.team_limits.forget()
             self.mover.forget(known)
-            self.waiting.queue.engines.forget(known)
+            self.queue_runner.queue.engines.forget(known)
             self.shared_load.expire()
             self.views.expire()
-            self.quarantine.keeper.look()
+            self.quarantine.gossip.process_pending()
             for load in self.shared_load.due_snapshots(self.peers.count()):
-                self.peers.tell_load(load)
+                self.peers.publish_load(load)
 
     # Settings
 
@@ -336,7 +340,7 @@
         fixed = {name: getattr(self.settings, name) for name in _FIXED_SETTINGS}
         needs_restart = [name for name, value in fixed.items() if getattr(settings, name) != value]
         self.settings = replace(settings, **fixed)
-        self.budgets.change(self.settings.retry)
+        self.retry_budgets.change(self.settings.retry)
         self.fleet.recent.seconds = self.settings.recent_seconds
         self.log.note("process.reload", outcome="in force", needs_restart=needs_restart)
 
@@ -356,16 +360,16 @@
         """Be taken out by the balancer first, then finish every request in progress."""
         ends = clocks.now() + self.settings.grace_seconds - _LAST_SECONDS
         self._stopping = True
-        self.front.closes_connections = True
-        self.log.note("process.stopping", in_progress=self.front.in_progress)
+        self.client_application.closes_connections = True
+        self.log.note("process.stopping", in_progress=self.client_application.in_progress)
         await anyio.sleep(self.settings.leave_seconds)
-        self.front.accepts_requests = False
-        self.clients.stop()
-        while self.front.in_progress and clocks.now() < ends:
+        self.client_application.accepts_requests = False
+        self.client_listener.stop()
+        while self.client_application.in_progress and clocks.now() < ends:
             await anyio.sleep(_TICK_SECONDS)
         self.peers.leave()
-        if self.front.in_progress:
-            self.log.note("process.cut", in_progress=self.front.in_progress)
+        if self.client_application.in_progress:
+            self.log.note("process.cut", in_progress=self.client_application.in_progress)
 
     # Wiring
 
@@ -374,26 +378,26 @@
         return PeerHooks(
             view_revision=self.views.revision,
             view_text=self.views.text,
-            on_view=self.views.take_from_peer,
-            contact=self.views.contact,
-            upstream_id=self.views.upstreams.id_of,
+            on_view=self.views.receive_from_peer,
+            store_contact=self.views.contact,
+            upstream_id=self.views.upstreams.id_by_number,
             on_load=lambda load: self.shared_load.receive(load),
-            everything=lambda: self.shared_load.all_running(),
-            on_gone=self._on_gone,
+            all_running=lambda: self.shared_load.all_running(),
+            on_gateway_gone=self._on_gone,
             paces=lambda: self.shared_load.paces(),
             on_paces=lambda paces: self.shared_load.merge_paces(paces),
-            answer=lambda ask, now: self.desk.answer(ask, now),
-            on_late=lambda request: self.shared_load.give_up(request),
-            on_work_pull=self.duties.pages,
+            answer_placement=lambda ask, now: self.placement_responder.answer(ask, now),
+            on_late_placement=lambda request: self.shared_load.give_up(request),
+            on_work_pull=self.duties.work_pages,
             on_work_page=self.duties.receive,
-            on_suspects=lambda news: self.quarantine.keeper.receive(news),
-            on_leaving=lambda news: self.leaving.receive(news),
+            on_suspects=lambda news: self.quarantine.gossip.receive(news),
+            on_leaving=lambda news: self.leaving_gossip.receive(news),
             on_limits=lambda news: self.limits.gossip.receive(news),
             on_permit_ask=self._on_permit_ask,
             on_permit_answer=lambda answer: self.limits.client.receive(answer),
-            on_returns=lambda news: self.returns.receive(news),
+            on_returns=lambda news: self.return_gossip.receive(news),
             on_tick=self._on_tick,
-            on_waiting=lambda news: self.waiting.receive(news),
+            on_queue_counts=lambda news: self.queue_runner.receive(news),
         )
 
     def _on_permit_ask(self, ask: PermitAsk) -> PermitAnswer:
@@ -402,7 +406,7 @@
 
     def _on_gone(self, name: str) -> None:
         self.shared_load.drop_sender(name)
-        self.waiting.drop_gateway(name)
+        self.queue_runner.drop_gateway(name)
 
     def _tell_paces(self) -> None:
         for item in self.fleet.engine_paces.take_changes():
@@ -410,10 +414,10 @@
             self.log.note("upstream.pace", upstream=item.upstream, steps=steps, reading=reading)
 
     def _on_tick(self) -> None:
-        self.suspension.look()
-        self.leaving.tell_due()
+        self.suspension.check()
+        self.leaving_gossip.send_due()
         self.limits.gossip.send_due()
-        self.returns.tell_due()
+        self.return_gossip.send_due()
         self.mover.start_due_handovers()
 
     def _knows_fleet(self) -> bool:
@@ -423,14 +427,16 @@
             return True
         heard = len(self.peers.membership.live())
         has_model = self.peers.model_sync.is_ready()
-        return self._start_of_life.knows_fleet(heard, self.registration.listed, has_model, now)
+        return self._start_of_life.knows_fleet(
+            heard, self.registration.registered_count, has_model, now
+        )
 
     def _sharing(self) -> int:
         """Return how many gateways there may be, 0 while the store has not told.
 
         Members that are heard alone may be one hall of many, which is cut off.
         """
-        listed = self.registration.listed
+        listed = self.registration.registered_count
         return max(listed, self.peers.count()) if listed else 0
 
     def _service_named(self, name: str) -> Service | None:
@@ -457,11 +463,11 @@
     def _on_woke(self, seconds: float) -> None:
         """Take what was believed before a suspension for old."""
         self.log.note("process.woke", suspended=round(seconds, 2))
-        self.front.note_suspension(seconds)
+        self.client_application.note_suspension(seconds)
         self.pool.close_idle()
-        self.views.doubt()
+        self.views.relist()
 
     def _on_configuration(self) -> None:
         table = self.views.configuration.table
         if table is not None:
-            self.clients.set_idle_seconds(table.limits.idle_seconds)
+            self.client_listener.set_idle_seconds(table.limits.idle_seconds)
--- a/src/lotushill/gateway/status_app.py
+++ b/src/lotushill/gateway/status_app.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from lotushill.links.asgi import send_json
-from lotushill.links.asgi import send_whole
+from lotushill.links.asgi import send_response
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -44,13 +44,13 @@
         """Serve one call."""
         path = str(scope["path"])
         if path == _READY_PATH:
-            await send_whole(send, _OK if self._ready() else _NOT_READY, (), b"")
+            await send_response(send, _OK if self._ready() else _NOT_READY, (), b"")
         elif path == STATUS_PATH:
             await send_json(send, _OK, self._status())
         elif path == _METRICS_PATH:
-            await send_whole(send, _OK, (_METRICS_TYPE,), self._metrics())
+            await send_response(send, _OK, (_METRICS_TYPE,), self._metrics())
         elif path.startswith(EXPLAIN_PATH):
-            events = self._journal.of(path.removeprefix(EXPLAIN_PATH))
+            events = self._journal.events_of(path.removeprefix(EXPLAIN_PATH))
             await send_json(send, _OK if events else _NOT_FOUND, events)
         else:
             await send_json(send, _NOT_FOUND, {})
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -31,7 +31,7 @@
     from lotushill.scheduling.queue_runner import QueueRunner
 
 
-class Reported(Protocol):
+class ReportedGateway(Protocol):
     """The parts of a gateway of which it tells."""
 
     settings: GatewaySettings
@@ -41,36 +41,36 @@
     store: ObjectStore
     views: StoreViews
     peers: Peers
-    rests: Cooldowns
+    cooldowns: Cooldowns
     limits: FleetLimits
     team_limits: TeamLimits
     fleet: Fleet
-    gate: UpstreamGate
+    upstream_gate: UpstreamGate
     pool: UpstreamPool
     mover: Mover
     quarantine: FleetQuarantine
     side_tasks: SideTasks
-    front: ClientApplication
-    waiting: QueueRunner
+    client_application: ClientApplication
+    queue_runner: QueueRunner
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether clients may be sent here."""
 
 
-def add_gauges(gateway: Reported) -> None:
+def add_gauges(gateway: ReportedGateway) -> None:
     """Serve the figures that are read when asked for."""
-    gauge = gateway.metrics.gauge
-    gauge("in_progress", "Requests in progress", lambda: gateway.front.in_progress)
+    gauge = gateway.metrics.add_gauge
+    gauge("in_progress", "Requests in progress", lambda: gateway.client_application.in_progress)
     gauge("store_calls", "Calls to the store so far", lambda: gateway.store.calls)
     gauge("peer_bytes", "Bytes of datagrams sent so far", lambda: gateway.peers.bytes_sent)
     gauge("members", "Gateways that are heard", lambda: len(gateway.peers.membership.live()))
     gauge(
         "schedules",
         "1 on one that places by its own model",
-        lambda: float(gateway.peers.schedulers.schedules()),
+        lambda: float(gateway.peers.schedulers.is_scheduler()),
     )
     gauge("unanswered_asks", "Asks without an answer", lambda: gateway.peers.client.unanswered)
-    line = gateway.waiting.queue
+    line = gateway.queue_runner.queue
     gauge("waiting", "Requests that wait here for room", lambda: len(line.requests))
     gauge("waiting_bytes", "Bytes of these, as reckoned", lambda: line.requests.bytes)
     gauge("waiting_held", "Requests that had to wait here so far", lambda: line.held)
@@ -88,17 +88,17 @@
     gauge(
         "entries_ignored",
         "Entries of upstreams that cannot be read",
-        lambda: len(gateway.views.upstream_faults.held),
+        lambda: len(gateway.views.upstream_faults.current),
     )
     gauge(
         "entry_faults",
         "Entries of upstreams that could not be read, so far",
-        lambda: gateway.views.upstream_faults.counted,
+        lambda: gateway.views.upstream_faults.total_count,
     )
     gauge(
         "requests_held",
         "Requests that are kept from upstreams, by caller, path and body",
-        lambda: len(gateway.quarantine.held()),
+        lambda: len(gateway.quarantine.held_identities()),
     )
     gauge(
         "requests_suspected",
@@ -108,35 +108,37 @@
     gauge(
         "groups_isolated",
         "Groups of requests that run apart, since upstreams end under them",
-        lambda: len(gateway.quarantine.isolated()),
+        lambda: len(gateway.quarantine.isolated_groups()),
     )
     gauge(
-        "kept_back", "Arrivals kept from upstreams so far", lambda: gateway.quarantine.keeper.held
+        "kept_back",
+        "Arrivals kept from upstreams so far",
+        lambda: gateway.quarantine.gossip.held_count,
     )
     gauge(
         "upstream_ends",
         "Ends of upstreams under requests of this gateway so far, once for each request",
-        lambda: gateway.quarantine.keeper.upstream_ends,
+        lambda: gateway.quarantine.gossip.upstream_failures,
     )
     gauge(
         "rests_asked",
         "Rests that upstreams asked for so far",
-        lambda: gateway.rests.requested_count,
+        lambda: gateway.cooldowns.requested_count,
     )
     gauge(
         "upstreams_resting",
         "Upstreams that want nothing from this gateway now",
-        lambda: len(gateway.rests.barred(clocks.now())),
+        lambda: len(gateway.cooldowns.barred(clocks.now())),
     )
     gauge(
         "sends_barred",
         "Requests kept from upstreams that were chosen and want none, so far",
-        lambda: gateway.gate.blocked_sends,
+        lambda: gateway.upstream_gate.blocked_sends,
     )
     gauge(
         "rests_unreadable",
         "Wishes for rest that could not be read so far",
-        lambda: gateway.gate.unreadable_cooldowns,
+        lambda: gateway.upstream_gate.unreadable_cooldowns,
     )
     gauge(
         "upstreams_limited",
@@ -146,7 +148,7 @@
     gauge(
         "sends_unpermitted",
         "Requests for which there was no permit at the upstream that was chosen, so far",
-        lambda: gateway.gate.requests_without_permit,
+        lambda: gateway.upstream_gate.requests_without_permit,
     )
     gauge(
         "permits_denied",
@@ -161,7 +163,7 @@
     gauge(
         "limits_unreadable",
         "Limits that could not be read so far",
-        lambda: gateway.gate.unreadable_limits,
+        lambda: gateway.upstream_gate.unreadable_limits,
     )
     returns = gateway.fleet.shedding.returns
     gauge("places_kept", "Callers that were promised a place and are awaited", lambda: len(returns))
@@ -182,7 +184,7 @@
     gauge(
         "waiting_for_start",
         "Requests that wait until this gateway is ready",
-        lambda: gateway.front.waiting_until_ready,
+        lambda: gateway.client_application.waiting_until_ready,
     )
     gauge(
         "upstreams_uneven",
@@ -190,8 +192,8 @@
         lambda: len(gateway.fleet.engine_paces.deviating_paces()),
     )
     gauge("connections_opened", "Connections to upstreams", lambda: gateway.pool.opened)
-    gauge("task_faults", "Faults beside the request path", lambda: gateway.side_tasks.faults)
-    gauge("log_lines_left_out", "Lines over the rate", lambda: gateway.log.left_out_in_all)
+    gauge("task_faults", "Faults beside the request path", lambda: gateway.side_tasks.failure_count)
+    gauge("log_lines_left_out", "Lines over the rate", lambda: gateway.log.total_left_out)
     gauge(
         "configuration_revision",
         "Revision of the configuration in force",
@@ -199,12 +201,12 @@
     )
 
 
-def status(gateway: Reported) -> dict[str, object]:
+def status(gateway: ReportedGateway) -> dict[str, object]:
     """Return what one gateway knows and does, as plain data."""
     table = gateway.views.configuration.table
     return {
         "name": gateway.settings.name,
-        "ready": gateway.ready(),
+        "ready": gateway.is_ready(),
         "configuration": {
             "revision": gateway.views.configuration.revision,
             "version": table.version if table else None,
@@ -212,8 +214,8 @@
         "upstreams": {
             "revision": gateway.views.upstreams.revision,
             "known": [asdict(item) for item in gateway.views.upstreams.all()],
-            "ignored": dict(gateway.views.upstream_faults.held),
-            "resting": sorted(gateway.rests.barred(clocks.now())),
+            "ignored": dict(gateway.views.upstream_faults.current),
+            "resting": sorted(gateway.cooldowns.barred(clocks.now())),
             "limited": gateway.limits.stated.limited_rates(),
             "paces": {
                 item.upstream: [round(item.step_slowness, 2), round(item.read_slowness, 2)]
@@ -229,23 +231,23 @@
         "members": [_member(item) for item in gateway.peers.membership.all()],
         "held_requests": {
             item.hex(): gateway.quarantine.suspects.failure_count(item)
-            for item in gateway.quarantine.held()
+            for item in gateway.quarantine.held_identities()
         },
         "isolated_groups": [
-            f"{group.label} ({group.service})" for group in gateway.quarantine.isolated()
+            f"{group.label} ({group.service})" for group in gateway.quarantine.isolated_groups()
         ],
         "places_kept": len(gateway.fleet.shedding.returns),
         "moves": gateway.mover.status(),
-        "in_progress": gateway.front.in_progress,
+        "in_progress": gateway.client_application.in_progress,
         "store_calls": gateway.store.calls,
         "connections_opened": gateway.pool.opened,
         "peer_bytes": gateway.peers.bytes_sent,
-        "waiting": _waiting(gateway.waiting),
+        "waiting": _waiting(gateway.queue_runner),
         "duties": gateway.duties.status(),
     }
 
 
-def _over_share(gateway: Reported) -> list[dict[str, object]]:
+def _over_share(gateway: ReportedGateway) -> list[dict[str, object]]:
     """Return the teams that others go before while a service has too little room."""
     table = gateway.views.configuration.table
     names = {team_number(item.name): item.name for item in table.teams} if table else {}
--- a/src/lotushill/gateway/store_views.py
+++ b/src/lotushill/gateway/store_views.py
@@ -21,7 +21,7 @@
     from collections.abc import Callable
 
     from lotushill.event_log import EventLog
-    from lotushill.following.followed import Followed
+    from lotushill.following.followed import FollowedKind
     from lotushill.peering.reader_role import ReaderRole
     from lotushill.views.watcher import Store
 
@@ -67,14 +67,14 @@
         self._upstreams = FollowedUpstreams(log, clock, self._away_at)
         self._settings = FollowedSettings(log)
         self._holds = FollowedHolds(log, on_holds)
-        self._followed: dict[ViewKind, Followed] = {
+        self._followed: dict[ViewKind, FollowedKind] = {
             ViewKind.CONFIGURATION: self._configuration,
             ViewKind.UPSTREAMS: self._upstreams,
             ViewKind.SETTINGS: self._settings,
             ViewKind.HOLDS: self._holds,
         }
         self._watchers = {
-            kind: Watcher(store, item.watched(), rng, log, role, clock)
+            kind: Watcher(store, item.watched_kind(), rng, log, role, clock)
             for kind, item in self._followed.items()
         }
         self.configuration = self._configuration.view
@@ -83,7 +83,7 @@
         self.holds = self._holds.view
         self.upstream_faults = self._upstreams.faults
 
-    def tasks(self) -> list[asyncio.Task[None]]:
+    def start_tasks(self) -> list[asyncio.Task[None]]:
         """Start to follow the store, for ever."""
         return [asyncio.create_task(watcher.run()) for watcher in self._watchers.values()]
 
@@ -112,29 +112,29 @@
             return StoreContact.READING
         return StoreContact.PASSIVE
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Return whether nothing newer is known anywhere than the configuration in force."""
         watcher = self._watchers[ViewKind.CONFIGURATION]
         if watcher.active and not watcher.failing:
-            return watcher.confirmed_from >= self._doubted_at
-        return self._role is not None and self._role.told_by_others(self.configuration.revision)
+            return watcher.last_list_sent_at >= self._doubted_at
+        return self._role is not None and self._role.has_current_reader(self.configuration.revision)
 
-    def doubt(self) -> None:
+    def relist(self) -> None:
         """Ask the store again for all that this gateway reads, since it may be old."""
         self._doubted_at = self._clock()
         for watcher in self._watchers.values():
-            watcher.doubt()
+            watcher.relist()
 
-    def confirmed(self, since: float) -> bool:
+    def is_confirmed_since(self, since: float) -> bool:
         """Return whether this gateway read configuration and upstreams from a time on."""
-        return all(watcher.confirmed_from >= since for watcher in self._deciding())
+        return all(watcher.last_list_sent_at >= since for watcher in self._deciding())
 
     def _deciding(self) -> tuple[Watcher, Watcher]:
         """Return who follows what no request is served without."""
         return self._watchers[ViewKind.CONFIGURATION], self._watchers[ViewKind.UPSTREAMS]
 
     def _away_at(self) -> float | None:
-        return self._watchers[ViewKind.UPSTREAMS].away_at
+        return self._watchers[ViewKind.UPSTREAMS].last_failure_at
 
     def _may_start(self) -> bool:
         """Return whether the configuration, without which nothing is served, may be read.
@@ -152,7 +152,7 @@
     def _note_configuration(self) -> None:
         if self._configured_at is None:
             self._configured_at = self._clock()
-        self.settings.forget_routes()
+        self.settings.clear_resolved_routes()
         self._on_configuration()
 
     # Peers
@@ -160,15 +160,15 @@
     def text(self, kind: ViewKind) -> tuple[int, str]:
         """Return the revision and the JSON text of a view, for a peer."""
         followed = self._followed[kind]
-        return followed.revision, followed.text()
+        return followed.revision, followed.to_json()
 
     def revision(self, kind: ViewKind) -> int:
         """Return the revision of a view."""
         return self._followed[kind].revision
 
-    def take_from_peer(self, kind: ViewKind, revision: int, text: str) -> None:
+    def receive_from_peer(self, kind: ViewKind, revision: int, text: str) -> None:
         """Take a peer's view if it is newer; raise MalformedViewError if it cannot be read."""
         try:
-            self._followed[kind].take_from_peer(json.loads(text), revision)
+            self._followed[kind].receive_from_peer(json.loads(text), revision)
         except _UNREADABLE as error:
             raise MalformedViewError(kind.value) from error
--- a/src/lotushill/journal.py
+++ b/src/lotushill/journal.py
@@ -27,6 +27,6 @@
         if len(self._events) > self._requests:
             self._events.popitem(last=False)
 
-    def of(self, request: str) -> list[Event]:
+    def events_of(self, request: str) -> list[Event]:
         """Return the events of a request in order, none if it is not stored."""
         return list(self._events.get(request, ()))
--- a/src/lotushill/limits/limit_owners.py
+++ b/src/lotushill/limits/limit_owners.py
@@ -41,7 +41,7 @@
 
     def owner_of(self, upstream: Upstream) -> MemberState:
         """Return who counts for an upstream: one of its hall, which is cut off together with it."""
-        halls = self._schedulers.halls()
+        halls = self._schedulers.names_by_hall()
         near = halls.get(upstream.hall)
         names = near or [name for hall in halls.values() for name in hall]
         name = owner(upstream.id, names)
--- a/src/lotushill/links/asgi.py
+++ b/src/lotushill/links/asgi.py
@@ -24,33 +24,33 @@
     """A request body longer than allowed."""
 
 
-class SlowSenderError(Exception):
+class BodyTimeoutError(Exception):
     """A request body that did not arrive in time."""
 
 
-class CallerGoneError(Exception):
+class ClientDisconnectedError(Exception):
     """The other end closed the connection before its request was whole."""
 
 
-async def read_body(receive: Receive, limit: int, patience: float) -> bytes:
+async def read_body(receive: Receive, limit: int, timeout_seconds: float) -> bytes:
     """Return the whole body; raise when it is too large, too slow or cut off."""
     body = bytearray()
     try:
-        with anyio.fail_after(patience):
+        with anyio.fail_after(timeout_seconds):
             while True:
                 event = await receive()
                 if event["type"] == "http.disconnect":
-                    raise CallerGoneError
+                    raise ClientDisconnectedError
                 body += event.get("body", b"")
                 if len(body) > limit:
                     raise BodyTooLargeError
                 if not event.get("more_body", False):
                     return bytes(body)
     except TimeoutError as error:
-        raise SlowSenderError from error
+        raise BodyTimeoutError from error
 
 
-async def send_whole(send: Send, status: int, headers: Headers, body: bytes) -> None:
+async def send_response(send: Send, status: int, headers: Headers, body: bytes) -> None:
     """Send a whole response."""
     length = (b"content-length", str(len(body)).encode())
     start = {"type": "http.response.start", "status": status, "headers": [*headers, length]}
@@ -60,4 +60,4 @@
 
 async def send_json(send: Send, status: int, value: Any, headers: Headers = ()) -> None:
     """Send a value as JSON."""
-    await send_whole(send, status, [JSON_TYPE, *headers], json.dumps(value).encode())
+    await send_response(send, status, [JSON_TYPE, *headers], json.dumps(value).encode())
--- a/src/lotushill/links/hop_headers.py
+++ b/src/lotushill/links/hop_headers.py
@@ -20,12 +20,12 @@
 _ANSWER_DROPPED = frozenset((b"connection", b"keep-alive", b"transfer-encoding", b"upgrade"))
 
 
-def one_connection(connection: bytes) -> frozenset[bytes]:
+def hop_by_hop_headers(connection: bytes) -> frozenset[bytes]:
     """Return the headers of a request that stay behind, with those that `connection` names."""
     named = frozenset(item.strip().lower() for item in connection.split(b",") if item.strip())
     return _ONE_CONNECTION | named
 
 
-def relayed(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+def end_to_end_headers(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
     """Return the headers of an answer that travel on to the client."""
     return [item for item in headers if item[0] not in _ANSWER_DROPPED]
--- a/src/lotushill/links/json_client.py
+++ b/src/lotushill/links/json_client.py
@@ -43,12 +43,12 @@
     """Client of the server at `address` (IP:PORT), over a few connections that are kept."""
 
     def __init__(
-        self, address: str, most_connections: int, kept_seconds: float, connect_seconds: float
+        self, address: str, max_connections: int, keepalive_seconds: float, connect_seconds: float
     ) -> None:
         self._host = address
         self._connect_seconds = connect_seconds
         self._pool = httpcore.AsyncConnectionPool(
-            max_connections=most_connections, keepalive_expiry=kept_seconds
+            max_connections=max_connections, keepalive_expiry=keepalive_seconds
         )
         self.calls = 0
         """Calls made so far."""
@@ -58,7 +58,7 @@
         method: str,
         path: str,
         content: Any = None,
-        patience: float = 2.0,
+        timeout_seconds: float = 2.0,
         headers: Iterable[Header] = (),
     ) -> JsonAnswer:
         """Make one call and return its answer; raise NoAnswerError if none comes in `patience`."""
@@ -70,7 +70,7 @@
             sent += [("content-type", "application/json"), ("content-length", str(len(body)))]
         timeout = {
             "connect": self._connect_seconds,
-            "read": patience,
+            "read": timeout_seconds,
             "write": _WRITE_SECONDS,
             "pool": _WRITE_SECONDS,
         }
--- a/src/lotushill/links/load_records.py
+++ b/src/lotushill/links/load_records.py
@@ -48,7 +48,7 @@
     return xxhash.xxh64_intdigest(upstream_id)
 
 
-def pack(load: Load) -> bytes:
+def pack_load(load: Load) -> bytes:
     """Return a load as records."""
     sender = load.sender.encode()
     head = _HEAD.pack(
@@ -69,7 +69,7 @@
     return b"".join(records)
 
 
-def unpack(data: bytes, upstream_id: UpstreamId) -> list[Load]:
+def unpack_loads(data: bytes, upstream_id: UpstreamId) -> list[Load]:
     """Return the loads of records; raise MalformedFrameError for anything else.
 
     `upstream_id` finds the id of an upstream by its number; requests on unknown ones are left out.
--- a/src/lotushill/links/pace_records.py
+++ b/src/lotushill/links/pace_records.py
@@ -19,7 +19,7 @@
 
 _RECORD = struct.Struct("<Qff")
 """Upstream; times slower than its like in steps, and beside these in reading."""
-MOST_PACES = 2_000
+MAX_PACES_PER_PAGE = 2_000
 """Told on one page: 32 kB."""
 _LEAST = 0.05
 _MOST = 20.0
@@ -29,7 +29,7 @@
     """Return paces as records, as many as are told."""
     return b"".join(
         _RECORD.pack(upstream_number(item.upstream), item.step_slowness, item.read_slowness)
-        for item in paces[:MOST_PACES]
+        for item in paces[:MAX_PACES_PER_PAGE]
     )
 
 
@@ -38,7 +38,7 @@
 
     `upstream_id` finds the id of an upstream by its number; unknown ones are left out.
     """
-    if len(data) % _RECORD.size or len(data) > MOST_PACES * _RECORD.size:
+    if len(data) % _RECORD.size or len(data) > MAX_PACES_PER_PAGE * _RECORD.size:
         raise MalformedFrameError("paces are cut off, or too many")
     found = []
     for number, steps, reading in _RECORD.iter_unpack(data):
--- a/src/lotushill/links/packed_text.py
+++ b/src/lotushill/links/packed_text.py
@@ -16,12 +16,12 @@
 """Of a text that is taken, so that few bytes cannot fill the memory."""
 
 
-def pack(text: str) -> bytes:
+def compress_text(text: str) -> bytes:
     """Return a text compressed."""
     return zlib.compress(text.encode(), _LEVEL)
 
 
-def unpack(data: bytes) -> str:
+def decompress_text(data: bytes) -> str:
     """Return the text of packed bytes; raise MalformedFrameError for anything else."""
     reader = zlib.decompressobj()
     try:
--- a/src/lotushill/links/return_messages.py
+++ b/src/lotushill/links/return_messages.py
@@ -6,7 +6,7 @@
 
 from lotushill.returns.promise import PromiseState  # noqa: TC001 - the codec reads the types
 
-MOST_PROMISES = 30
+MAX_PROMISES_PER_DATAGRAM = 30
 """Told in one datagram."""
 
 
--- a/src/lotushill/load/limits/emulated_members.py
+++ b/src/lotushill/load/limits/emulated_members.py
@@ -17,7 +17,7 @@
     def __init__(self, own: MemberState, others: list[MemberState]) -> None:
         self._own = own
         self._others = {item.name: item for item in others}
-        self.composition = 0
+        self.composition_version = 0
         """Rises with each change."""
 
     @property
@@ -41,10 +41,10 @@
     def hear(self, state: MemberState) -> None:
         """Hold a member for alive."""
         self._others[state.name] = state
-        self.composition += 1
+        self.composition_version += 1
 
     def lose(self, name: str) -> None:
         """Hold a member for lost."""
         if name in self._others:
             self._others[name] = replace(self._others[name], phase=MemberPhase.LOST)
-            self.composition += 1
+            self.composition_version += 1
--- a/src/lotushill/load/slopes.py
+++ b/src/lotushill/load/slopes.py
@@ -12,8 +12,8 @@
 from lotushill.links.codec import encode
 from lotushill.links.datagram import from_datagram
 from lotushill.links.datagram import to_datagram
-from lotushill.links.load_records import pack
-from lotushill.links.load_records import unpack
+from lotushill.links.load_records import pack_load
+from lotushill.links.load_records import unpack_loads
 from lotushill.links.load_records import upstream_number
 from lotushill.links.messages import LoadBatch
 from lotushill.links.messages import LoadNews
@@ -96,16 +96,16 @@
     )
 
     def tell() -> bytes:
-        return seal.sign(to_datagram(LoadNews(pack(loads[0]))))
+        return seal.sign(to_datagram(LoadNews(pack_load(loads[0]))))
 
     data = tell()
-    records = b"".join(pack(loads[index % len(loads)]) for index in range(_BATCHED))
+    records = b"".join(pack_load(loads[index % len(loads)]) for index in range(_BATCHED))
     batch = seal.sign(to_datagram(LoadBatch(_SENDER, records)))
 
     def hear(packet: bytes) -> list[Load]:
         message = from_datagram(seal.open(packet))
         assert isinstance(message, LoadNews | LoadBatch)
-        return unpack(message.records, known.get)
+        return unpack_loads(message.records, known.get)
 
     fleet = Fleet("h")
     heard = hear(batch)
--- a/src/lotushill/membership/news.py
+++ b/src/lotushill/membership/gossip_buffer.py
@@ -4,10 +4,10 @@
 
 _REPEATS = 6
 """Times that each item is passed on."""
-PER_PACKET = 12
+MAX_STATES_PER_PACKET = 12
 
 
-class News:
+class GossipBuffer:
     """Names of members whose states are news, the freshest first."""
 
     def __init__(self) -> None:
@@ -17,9 +17,9 @@
         """Note that a member's state changed."""
         self._left[name] = _REPEATS
 
-    def take(self) -> list[str]:
+    def next_batch(self) -> list[str]:
         """Return the names for one packet; each is returned a few times in all."""
-        names = sorted(self._left, key=lambda name: -self._left[name])[:PER_PACKET]
+        names = sorted(self._left, key=lambda name: -self._left[name])[:MAX_STATES_PER_PACKET]
         for name in names:
             self._left[name] -= 1
             if not self._left[name]:
--- a/src/lotushill/membership/member_claim.py
+++ b/src/lotushill/membership/member_claim.py
@@ -18,7 +18,7 @@
 """Which of two claims about one incarnation wins."""
 
 
-def beats(new: MemberState, old: MemberState) -> bool:
+def supersedes(new: MemberState, old: MemberState) -> bool:
     """Return whether one claim about a member overrules another."""
     if new.incarnation != old.incarnation:
         return new.incarnation > old.incarnation
--- a/src/lotushill/membership/members.py
+++ b/src/lotushill/membership/members.py
@@ -19,7 +19,7 @@
         """Return the own state."""
 
     @property
-    def composition(self) -> int:
+    def composition_version(self) -> int:
         """Return a number that rises when a member comes, goes or changes its phase."""
 
     def find(self, name: str) -> MemberState | None:
--- a/src/lotushill/membership/membership.py
+++ b/src/lotushill/membership/membership.py
@@ -19,8 +19,8 @@
 from lotushill.links.messages import Pong
 from lotushill.links.messages import RosterPage
 from lotushill.links.messages import RosterPull
-from lotushill.membership.news import PER_PACKET
-from lotushill.membership.news import News
+from lotushill.membership.gossip_buffer import MAX_STATES_PER_PACKET
+from lotushill.membership.gossip_buffer import GossipBuffer
 from lotushill.membership.roster import Roster
 from lotushill.membership.roster_sync import RosterSync
 
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Outgoing:
+class OutgoingPacket:
     """A packet to send."""
 
     address: str
@@ -81,7 +81,7 @@
         self._sync = RosterSync(self._roster, options)
         self._seeds = [seed for seed in seeds if seed != own.address]
         self._rng = rng
-        self._news = News()
+        self._news = GossipBuffer()
         self._round: list[str] = []
         self._rechecks: deque[str] = deque(maxlen=_MOST_RECHECKS)
         """Members held for lost here that another one holds for alive."""
@@ -106,14 +106,14 @@
         return self._roster.version
 
     @property
-    def composition(self) -> int:
+    def composition_version(self) -> int:
         """Return a number that rises when a member comes, goes or changes its phase."""
-        return self._roster.composition
+        return self._roster.composition_version
 
     @property
-    def taken_for_lost(self) -> int:
+    def times_declared_lost(self) -> int:
         """Return how often this member heard that others had taken it for lost."""
-        return self._roster.taken_for_lost
+        return self._roster.times_declared_lost
 
     def live(self) -> tuple[MemberState, ...]:
         """Return oneself and all members not taken for lost or leaving."""
@@ -160,7 +160,7 @@
         self._roster.set_own(state)
         return True
 
-    def announce(self) -> list[Outgoing]:
+    def announce(self) -> list[OutgoingPacket]:
         """Tell every live member of the own hall at once what is held here."""
         near = [state for state in self.live() if state.hall == self.own.hall]
         return [self._ping(state.address) for state in near if state.name != self.own.name]
@@ -170,7 +170,7 @@
         known = {self.own.address, *self._seeds}
         self._seeds += [address for address in addresses if address not in known]
 
-    def leave(self) -> list[Outgoing]:
+    def leave(self) -> list[OutgoingPacket]:
         """Tell the own hall and some others that this member takes no more work.
 
         They tell the rest: told by itself, everybody in a large fleet would answer it.
@@ -178,23 +178,23 @@
         self._roster.set_own(replace(self.own, phase=MemberPhase.LEAVING))
         near = [state for state in self.live() if state.hall == self.own.hall]
         far = [state for state in self.live() if state.hall != self.own.hall]
-        told = near + self._rng.sample(far, min(self.options.leave_tells, len(far)))
+        told = near + self._rng.sample(far, min(self.options.leave_notifications, len(far)))
         return [self._ping(state.address) for state in told]
 
     # Events
 
-    def tick(self, now: float) -> list[Outgoing]:
+    def tick(self, now: float) -> list[OutgoingPacket]:
         """Do what is due; call several times a period."""
         out = self._follow_probe(now)
         for name in self._roster.expire(now):
             self._news.add(name)
         out += self._recheck()
         if now >= self._next_ping:
-            self._next_ping = now + self.options.period
+            self._next_ping = now + self.options.ping_interval
             out += self._start_round(now)
         return out
 
-    def receive(self, message: Packet, source: str, now: float) -> list[Outgoing]:
+    def receive(self, message: Packet, source: str, now: float) -> list[OutgoingPacket]:
         """Take in one authentic packet that came from address `source`."""
         if message.sender == self.own.name:
             self.dropped += 1
@@ -223,12 +223,12 @@
             elif self._roster.contradicts_loss(state) and state.name not in self._rechecks:
                 self._rechecks.append(state.name)
 
-    def _take_ping(self, message: Ping, source: str, now: float) -> list[Outgoing]:
+    def _take_ping(self, message: Ping, source: str, now: float) -> list[OutgoingPacket]:
         if message.target:
             return self._probe_for(message, now)
         return [self._pong(source, message.sequence, "")]
 
-    def _take_pong(self, message: Pong) -> list[Outgoing]:
+    def _take_pong(self, message: Pong) -> list[OutgoingPacket]:
         probe = self._probe
         if probe and message.sequence == probe.sequence:
             self._probe = None
@@ -238,7 +238,7 @@
             return []
         return [self._pong(asker.address, relay.asker_sequence, relay.target)]
 
-    def _probe_for(self, message: Ping, now: float) -> list[Outgoing]:
+    def _probe_for(self, message: Ping, now: float) -> list[OutgoingPacket]:
         target = self.find(message.target)
         if target is None or target.name == self.own.name:
             return []
@@ -250,17 +250,17 @@
 
     # Probing
 
-    def _start_round(self, now: float) -> list[Outgoing]:
+    def _start_round(self, now: float) -> list[OutgoingPacket]:
         target = self._next_target()
         if target is None:
-            few = min(self.options.first_seeds, len(self._seeds))
+            few = min(self.options.seeds_per_ping_round, len(self._seeds))
             return [self._ping(seed) for seed in self._rng.sample(self._seeds, few)]
         ping = self._ping(target.address)
         if target.phase in (MemberPhase.ALIVE, MemberPhase.SUSPECT) and self._probe is None:
             self._probe = _Probe(target.name, self._sequence, now)
         return [ping, *self._greet_stranger()]
 
-    def _greet_stranger(self) -> list[Outgoing]:
+    def _greet_stranger(self) -> list[OutgoingPacket]:
         """Return a ping to a seed that is no member yet: groups that formed apart come together."""
         known = {state.address for state in self._roster.others()}
         strangers = [seed for seed in self._seeds if seed not in known]
@@ -280,25 +280,25 @@
             return None
         return self._roster.find(self._round.pop()) if self._round else None
 
-    def _recheck(self) -> list[Outgoing]:
+    def _recheck(self) -> list[OutgoingPacket]:
         """Ping members that were lost here: they hear so, and refute it if they are there.
 
         Without it a hall of a large fleet that was cut off would come back member by member, as
         the rare probes of lost ones reach them.
         """
         out = []
-        for _ in range(min(self.options.rechecks_a_tick, len(self._rechecks))):
+        for _ in range(min(self.options.rechecks_per_tick, len(self._rechecks))):
             state = self._roster.find(self._rechecks.popleft())
             if state is not None and state.phase is MemberPhase.LOST:
                 out.append(self._ping(state.address))
         return out
 
-    def _follow_probe(self, now: float) -> list[Outgoing]:
+    def _follow_probe(self, now: float) -> list[OutgoingPacket]:
         probe = self._probe
         if probe is None:
             return []
         waited = now - probe.sent
-        if waited >= self.options.suspect_after:
+        if waited >= self.options.suspect_timeout:
             self._probe = None
             self._suspect(probe.target, now)
             return []
@@ -308,7 +308,7 @@
         helpers = [
             state for state in self.live() if state.name not in (probe.target, self.own.name)
         ]
-        chosen = self._rng.sample(helpers, min(self.options.helpers, len(helpers)))
+        chosen = self._rng.sample(helpers, min(self.options.probe_helpers, len(helpers)))
         return [self._ping(state.address, probe.target, probe.sequence) for state in chosen]
 
     def _suspect(self, name: str, now: float) -> None:
@@ -317,19 +317,21 @@
 
     # Rosters
 
-    def _pull(self, message: Ping | Pong, source: str, now: float) -> list[Outgoing]:
+    def _pull(self, message: Ping | Pong, source: str, now: float) -> list[OutgoingPacket]:
         """Return the question for what the sender knows and this member does not, if it is due."""
-        if not message.known or not self._sync.wants(message.digest, message.known, now):
+        if not message.known or not self._sync.should_pull(message.digest, message.known, now):
             return []
-        return [Outgoing(source, RosterPull(self.own.name, self._roster.digests()))]
+        return [OutgoingPacket(source, RosterPull(self.own.name, self._roster.digests()))]
 
-    def _serve_roster(self, pull: RosterPull, address: str, now: float) -> list[Outgoing]:
-        if not self._sync.serves(now):
+    def _serve_roster(self, pull: RosterPull, address: str, now: float) -> list[OutgoingPacket]:
+        if not self._sync.admit_pull(now):
             return []
-        states = self._roster.differing(pull.digests, pull.sender)
+        states = self._roster.differing_members(pull.digests, pull.sender)
         return [
-            Outgoing(address, RosterPage(self.own.name, tuple(states[at : at + PER_PACKET])))
-            for at in range(0, len(states), PER_PACKET)
+            OutgoingPacket(
+                address, RosterPage(self.own.name, tuple(states[at : at + MAX_STATES_PER_PACKET]))
+            )
+            for at in range(0, len(states), MAX_STATES_PER_PACKET)
         ]
 
     def _repeated(self, message: Ping | Pong) -> bool:
@@ -348,24 +350,24 @@
 
     # Packets
 
-    def _ping(self, address: str, target: str = "", sequence: int = 0) -> Outgoing:
+    def _ping(self, address: str, target: str = "", sequence: int = 0) -> OutgoingPacket:
         own_sequence = self._next_sequence()
         gossip = self._gossip(address)
         used = sequence or own_sequence
         digest, known = self._roster.digest(), len(self.live())
-        return Outgoing(address, Ping(self.own.name, used, target, gossip, digest, known))
+        return OutgoingPacket(address, Ping(self.own.name, used, target, gossip, digest, known))
 
-    def _pong(self, address: str, sequence: int, target: str) -> Outgoing:
+    def _pong(self, address: str, sequence: int, target: str) -> OutgoingPacket:
         gossip = self._gossip(address)
         digest, known = self._roster.digest(), len(self.live())
-        return Outgoing(address, Pong(self.own.name, sequence, target, gossip, digest, known))
+        return OutgoingPacket(address, Pong(self.own.name, sequence, target, gossip, digest, known))
 
     def _gossip(self, address: str) -> tuple[MemberState, ...]:
         """Return the own state, any doubt held of the receiver, and the freshest news."""
         passed: dict[str, MemberState] = {self.own.name: self.own}
-        for state in self._roster.doubted_at(address):
+        for state in self._roster.not_alive_at(address):
             passed[state.name] = state
-        for name in self._news.take():
+        for name in self._news.next_batch():
             held = self._roster.find(name)
             if held is not None:
                 passed[name] = held
--- a/src/lotushill/membership/membership_options.py
+++ b/src/lotushill/membership/membership_options.py
@@ -9,32 +9,32 @@
 class MembershipOptions:
     """Timing, in seconds."""
 
-    period: float = 0.2
+    ping_interval: float = 0.2
     """Between two pings of one member."""
     probe_timeout: float = 0.1
     """Without an answer for so long, others are asked to probe."""
-    suspect_after: float = 0.25
+    suspect_timeout: float = 0.25
     """Without any answer for so long, a member is suspected."""
-    lost_after: float = 0.5
+    lost_timeout: float = 0.5
     """A member suspected for so long is taken for lost."""
-    left_after: float = 30.0
+    leaving_timeout: float = 30.0
     """A member that said it leaves is taken for lost after so long: its grace time is over."""
-    forget_after: float = 600.0
+    lost_retention: float = 600.0
     """A lost member is probed now and then for so long, so that a healed cut is noticed."""
-    helpers: int = 2
+    probe_helpers: int = 2
     """Members asked to probe on one's behalf."""
-    first_seeds: int = 3
+    seeds_per_ping_round: int = 3
     """Members that one which knows nobody pings at a time: each answers with many states, so that
     all of a large fleet would be a flood where many come at once."""
-    pull_first: float = 0.2
+    initial_pull_interval: float = 0.2
     """Between two pulls of a roster by one that knows less than half of what others know."""
-    pull_again: float = 1.0
+    pull_interval: float = 1.0
     """Between two pulls by others, and how long gossip has to settle a difference without one."""
-    pull_latest: float = 1.5
+    max_difference_age: float = 1.5
     """A difference this old is pulled for also while members still come and go."""
-    rosters_a_second: float = 8.0
+    max_rosters_per_second: float = 8.0
     """Served at most by one member, so that what many newcomers ask costs it a bounded time."""
-    leave_tells: int = 8
+    leave_notifications: int = 8
     """Members of other halls that one which leaves tells itself."""
-    rechecks_a_tick: int = 1
+    rechecks_per_tick: int = 1
     """Members held for lost here, and alive by another, that are pinged in one tick."""
--- a/src/lotushill/membership/readers.py
+++ b/src/lotushill/membership/readers.py
@@ -16,7 +16,7 @@
 
     from lotushill.links.messages import MemberState
 
-READERS = 2
+READERS_PER_HALL = 2
 """In each of a few halls: one may fail without a gap."""
 _MANY_HALLS = 4
 """From so many live halls on one reader each is enough: while that of a hall fails, heartbeats tell
@@ -28,29 +28,29 @@
 _ALL = 1_000_000
 
 
-def readers_of_a_hall(own: MemberState, members: Iterable[MemberState]) -> int:
+def readers_per_hall(own: MemberState, members: Iterable[MemberState]) -> int:
     """Return how many members of the own hall read while the store serves them."""
     known = [own, *members]
     if all(item.configuration < 0 for item in known if item.hall == own.hall):
         return _FIRST_READERS
     halls = {item.hall for item in known}
-    return 1 if len(halls) >= _MANY_HALLS else READERS
+    return 1 if len(halls) >= _MANY_HALLS else READERS_PER_HALL
 
 
-def readers_before(own: MemberState, members: Iterable[MemberState]) -> int:
+def readers_ahead(own: MemberState, members: Iterable[MemberState]) -> int:
     """Return how many members of the own hall come first, those that the store serves alone."""
     return sum(member.contact is not StoreContact.AWAY for member in _ahead(own, members))
 
 
-def reads(own: MemberState, members: Iterable[MemberState]) -> bool:
+def is_reader(own: MemberState, members: Iterable[MemberState]) -> bool:
     """Return whether a member reads the store itself, beside the live `members`."""
-    return readers_before(own, members) < readers_of_a_hall(own, members)
+    return readers_ahead(own, members) < readers_per_hall(own, members)
 
 
-def stands_in(own: MemberState, members: Iterable[MemberState]) -> bool:
+def is_substitute_reader(own: MemberState, members: Iterable[MemberState]) -> bool:
     """Return whether a member reads only since others are turned away by the store."""
     ahead = len(_ahead(own, members))
-    return reads(own, members) and ahead >= readers_of_a_hall(own, members)
+    return is_reader(own, members) and ahead >= readers_per_hall(own, members)
 
 
 def _ahead(own: MemberState, members: Iterable[MemberState]) -> list[MemberState]:
--- a/src/lotushill/membership/roster.py
+++ b/src/lotushill/membership/roster.py
@@ -10,14 +10,14 @@
 
 from lotushill.links.messages import MemberPhase
 from lotushill.links.messages import MemberState
-from lotushill.membership.member_claim import beats
+from lotushill.membership.member_claim import supersedes
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from lotushill.membership.membership_options import MembershipOptions
 
-DIGESTS = 64
+DIGEST_GROUPS = 64
 """Groups of names that are compared on their own, so that two rosters which differ in a few members
 exchange some of their states and not all. Told as 8 bytes each, these fit one datagram."""
 _SURE_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
@@ -54,11 +54,11 @@
         self._changes: list[MemberChange] = []
         self.version = 0
         """Rises with every change of what is held of any member, oneself included."""
-        self.composition = 0
+        self.composition_version = 0
         """Rises when a member comes, goes or changes its phase, oneself included."""
         self.changed_at = float("-inf")
         """When a member last came, went or was doubted."""
-        self.taken_for_lost = 0
+        self.times_declared_lost = 0
         """Times that this member heard that others had taken it for lost."""
 
     # Views
@@ -82,7 +82,7 @@
         """Return what is held of every other member."""
         return [entry.state for entry in self._entries.values()]
 
-    def doubted_at(self, address: str) -> list[MemberState]:
+    def not_alive_at(self, address: str) -> list[MemberState]:
         """Return the members of an address that are not held for alive."""
         fading = (self._entries[name].state for name in self._fading)
         return [state for state in fading if state.address == address]
@@ -102,10 +102,10 @@
     def digests(self) -> tuple[int, ...]:
         """Return a number for each group of names: equal where the same members are live."""
         if self._digests is None:
-            found = [0] * DIGESTS
+            found = [0] * DIGEST_GROUPS
             for state in self.live():
                 hashed = xxhash.xxh64_intdigest(state.name)
-                found[hashed % DIGESTS] ^= hashed
+                found[hashed % DIGEST_GROUPS] ^= hashed
             self._digests = tuple(found)
         return self._digests
 
@@ -116,7 +116,7 @@
             folded ^= number
         return folded
 
-    def differing(self, digests: Sequence[int], asker: str) -> list[MemberState]:
+    def differing_members(self, digests: Sequence[int], asker: str) -> list[MemberState]:
         """Return the members to tell `asker`, which holds other digests.
 
         Who is doubted or lost is told in the own hall only, which a cut leaves whole: elsewhere the
@@ -135,7 +135,7 @@
 
     @staticmethod
     def _differs(name: str, own: Sequence[int], other: Sequence[int]) -> bool:
-        group = xxhash.xxh64_intdigest(name) % DIGESTS
+        group = xxhash.xxh64_intdigest(name) % DIGEST_GROUPS
         return own[group] != other[group]
 
     # Changes
@@ -164,7 +164,7 @@
             self._entries[state.name] = _Entry(state, now)
             self._note(state, None, now)
             return True
-        if not beats(state, entry.state):
+        if not supersedes(state, entry.state):
             return False
         former = entry.state
         self._set(entry, state, now)
@@ -191,7 +191,7 @@
             entry = self._entries[name]
             held = now - entry.since
             phase = entry.state.phase
-            if phase is MemberPhase.LOST and held >= self._options.forget_after:
+            if phase is MemberPhase.LOST and held >= self._options.lost_retention:
                 del self._entries[name]
                 self._fading.discard(name)
                 self._touch()
@@ -203,14 +203,14 @@
 
     def _time_of(self, phase: MemberPhase) -> float:
         if phase is MemberPhase.LEAVING:
-            return self._options.left_after
-        return self._options.lost_after
+            return self._options.leaving_timeout
+        return self._options.lost_timeout
 
     def _refute(self, state: MemberState) -> None:
         newer = state.incarnation > self.own.incarnation
         wrong = state.incarnation == self.own.incarnation and state.phase is not self.own.phase
         if state.phase is MemberPhase.LOST and (newer or wrong):
-            self.taken_for_lost += 1
+            self.times_declared_lost += 1
         if newer or wrong:
             self.own = replace(self.own, incarnation=state.incarnation + 1)
             self._touch()
@@ -238,5 +238,5 @@
         self._live = None
 
     def _recompose(self) -> None:
-        self.composition += 1
+        self.composition_version += 1
         self._digests = None
--- a/src/lotushill/membership/roster_sync.py
+++ b/src/lotushill/membership/roster_sync.py
@@ -21,10 +21,10 @@
         self._options = options
         self._pulled_at = float("-inf")
         self._differs_since: float | None = None
-        self._credit = options.rosters_a_second
+        self._credit = options.max_rosters_per_second
         self._credit_at = 0.0
 
-    def wants(self, digest: int, known: int, now: float) -> bool:
+    def should_pull(self, digest: int, known: int, now: float) -> bool:
         """Return whether to pull from a member that holds `known` live members with a digest."""
         if digest == self._roster.digest():
             self._differs_since = None
@@ -36,9 +36,9 @@
         self._pulled_at = now
         return True
 
-    def serves(self, now: float) -> bool:
+    def admit_pull(self, now: float) -> bool:
         """Return whether to answer a pull now; one that is passed over asks somebody else."""
-        rate = self._options.rosters_a_second
+        rate = self._options.max_rosters_per_second
         self._credit = min(rate, self._credit + rate * max(0.0, now - self._credit_at))
         self._credit_at = now
         if self._credit < 1.0:
@@ -50,9 +50,9 @@
         options = self._options
         since_pull = now - self._pulled_at
         if 2 * len(self._roster.live()) <= known:
-            return since_pull >= options.pull_first
+            return since_pull >= options.initial_pull_interval
         assert self._differs_since is not None
-        settled = now - self._roster.changed_at >= options.pull_again
-        settled = settled and now - self._differs_since >= options.pull_again
-        old = now - self._differs_since >= options.pull_latest
-        return (settled or old) and since_pull >= options.pull_again
+        settled = now - self._roster.changed_at >= options.pull_interval
+        settled = settled and now - self._differs_since >= options.pull_interval
+        old = now - self._differs_since >= options.max_difference_age
+        return (settled or old) and since_pull >= options.pull_interval
--- a/src/lotushill/membership/schedulers.py
+++ b/src/lotushill/membership/schedulers.py
@@ -17,10 +17,10 @@
     from lotushill.links.messages import MemberState
     from lotushill.membership.members import Members
 
-SMALL_FLEET = 16
+MAX_SMALL_FLEET_GATEWAYS = 16
 """Gateways up to which everybody schedules: hearing some 100 requests a second is then cheaper than
 asking for each of ten that a gateway has itself."""
-SCHEDULERS = 2
+SCHEDULERS_PER_HALL = 2
 """In each hall: they share its requests, and one goes on should the other fail."""
 _SILENT_SECONDS = 0.7
 """A scheduler that did not answer is asked last for so long: by then a lost one is suspected."""
@@ -40,12 +40,12 @@
         self._silent: dict[str, float] = {}
         """Schedulers that did not answer, by when they are asked again."""
 
-    def schedules(self) -> bool:
+    def is_scheduler(self) -> bool:
         """Return whether this gateway places by itself, for all others or for its hall."""
         self._look()
         return self._own
 
-    def small_fleet(self) -> bool:
+    def is_small_fleet(self) -> bool:
         """Return whether everybody schedules."""
         self._look()
         return self._small
@@ -63,7 +63,7 @@
         """Note that a scheduler answers."""
         self._silent.pop(name, None)
 
-    def in_order(self, now: float, turn: int = 0) -> list[MemberState]:
+    def query_order(self, now: float, turn: int = 0) -> list[MemberState]:
         """Return whom this gateway asks: its hall's, then the first of other halls.
 
         `turn`, the number of a request, spreads them over the schedulers of the hall: one that
@@ -79,7 +79,7 @@
         order = sorted((*near, *far), key=lambda name: self._silent.get(name, now) > now)
         return self._found(order)
 
-    def halls(self) -> dict[str, tuple[str, ...]]:
+    def names_by_hall(self) -> dict[str, tuple[str, ...]]:
         """Return the names of the schedulers of each hall."""
         self._look()
         return self._halls
@@ -89,12 +89,12 @@
         return [state for state in states if state is not None]
 
     def _look(self) -> None:
-        if self._membership.composition == self._looked_at:
+        if self._membership.composition_version == self._looked_at:
             return
-        self._looked_at = self._membership.composition
+        self._looked_at = self._membership.composition_version
         members = self._membership.live()
-        self._small = len(members) <= SMALL_FLEET
-        count = len(members) if self._small else SCHEDULERS
+        self._small = len(members) <= MAX_SMALL_FLEET_GATEWAYS
+        count = len(members) if self._small else SCHEDULERS_PER_HALL
         halls: dict[str, list[str]] = {}
         for member in members:
             halls.setdefault(member.hall, []).append(member.name)
--- a/src/lotushill/peering/group_keeper.py
+++ b/src/lotushill/peering/group_gossip.py
@@ -24,14 +24,14 @@
 _MOST_IN_DATAGRAM = 8
 
 
-class GroupKeeper:
+class GroupGossip:
     """Stands between the request path, the peers and the groups that are kept apart."""
 
     def __init__(
         self,
         name: str,
         isolation: Isolation,
-        tell: Callable[[GroupNews], None],
+        broadcast: Callable[[GroupNews], None],
         log: EventLog,
         rng: random.Random,
         clock: Callable[[], float],
@@ -39,7 +39,7 @@
         """Tell as the gateway `name`; `tell` sends to all other gateways."""
         self._name = name
         self._isolation = isolation
-        self._tell = tell
+        self._tell = broadcast
         self._log = log
         self._rng = rng
         self._clock = clock
@@ -50,15 +50,15 @@
 
     # The request path
 
-    def isolates(self, groups: Iterable[Group]) -> bool:
+    def is_isolated(self, groups: Iterable[Group]) -> bool:
         """Return whether a request of these groups is kept apart."""
         return not self._isolation.is_empty and self._isolation.is_isolated(groups, self._clock())
 
-    def note_whole(self, groups: Iterable[Group]) -> None:
+    def record_completion(self, groups: Iterable[Group]) -> None:
         """Note a whole answer."""
         self._isolation.record_completion(groups, self._clock())
 
-    def note_end(self, groups: Iterable[Group], upstream: str) -> None:
+    def record_upstream_failure(self, groups: Iterable[Group], upstream: str) -> None:
         """Note that an upstream ended before a request of these groups had its first event."""
         now = self._clock()
         for group in groups:
@@ -125,7 +125,7 @@
             return math.inf
         return min(self._ends.next_due(), self._proofs.next_due(), self._timer.next_due)
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Send what is due."""
         ends = [*self._ends.pop_due(self._clock()), *self._due_proofs()]
         for start in range(0, len(ends), _MOST_IN_DATAGRAM):
--- a/src/lotushill/peering/leaving_keeper.py
+++ b/src/lotushill/peering/leaving_gossip.py
@@ -15,7 +15,7 @@
     from lotushill.views.upstream_view import UpstreamView
 
 
-class LeavingKeeper:
+class LeavingGossip:
     """Passes on what upstreams say in answers, for as long as their entries do not say it.
 
     The entry of an upstream that leaves is late in an outage of the store, and silent where the
@@ -27,7 +27,7 @@
         self,
         name: str,
         upstreams: UpstreamView,
-        tell: Callable[[LeavingNews], None],
+        broadcast: Callable[[LeavingNews], None],
         log: EventLog,
         rng: random.Random,
         clock: Callable[[], float],
@@ -35,12 +35,12 @@
         """Tell as the gateway `name`; `tell` sends to all other gateways."""
         self._name = name
         self._upstreams = upstreams
-        self._tell = tell
+        self._tell = broadcast
         self._log = log
         self._clock = clock
         self._telling = AnnouncementSchedule(rng)
 
-    def note(self, upstream_id: str) -> None:
+    def note_answer(self, upstream_id: str) -> None:
         """Note that an upstream has said in an answer that it leaves."""
         self._take(upstream_id, "answer")
 
@@ -48,7 +48,7 @@
         """Take what another gateway was told."""
         for upstream_id in news.upstreams:
             self._take(upstream_id, news.sender)
-        missing = set(self._upstreams.leaving_by_word) - set(news.upstreams)
+        missing = set(self._upstreams.announced_leaving) - set(news.upstreams)
         lacks = news.complete and bool(missing)
         self._telling.note_received(news.upstreams, news.complete, lacks, self._clock())
 
@@ -57,9 +57,9 @@
             self._log.note("upstream.leaving", upstream=upstream_id, source=source)
             self._telling.note(upstream_id, self._clock())
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Tell the others, if that is due."""
-        leaving = self._upstreams.leaving_by_word
+        leaving = self._upstreams.announced_leaving
         told = self._telling.due_names(leaving, self._clock())
         if told:
             self._tell(LeavingNews(self._name, tuple(told), len(told) == len(leaving)))
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -20,8 +20,8 @@
 from lotushill.links.limit_messages import LimitNews
 from lotushill.links.limit_messages import PermitAnswer
 from lotushill.links.limit_messages import PermitAsk
-from lotushill.links.load_records import pack
-from lotushill.links.load_records import unpack
+from lotushill.links.load_records import pack_load
+from lotushill.links.load_records import unpack_loads
 from lotushill.links.messages import LeavingNews
 from lotushill.links.messages import LoadBatch
 from lotushill.links.messages import LoadNews
@@ -71,7 +71,7 @@
     from lotushill.event_log import EventLog
     from lotushill.links.codec import Message
     from lotushill.links.datagram import Datagram
-    from lotushill.membership.membership import Outgoing
+    from lotushill.membership.membership import OutgoingPacket
     from lotushill.placement.engine_pace import LongTermPace
     from lotushill.placement.messages import Load
     from lotushill.process.settings import GatewaySettings
@@ -90,21 +90,21 @@
     """Revision and JSON text of a view."""
     on_view: Callable[[ViewKind, int, str], None]
     """Takes a peer's view; raises MalformedViewError."""
-    contact: Callable[[], StoreContact]
+    store_contact: Callable[[], StoreContact]
     upstream_id: Callable[[int], str | None]
     """Finds an upstream by the number that stands for it between gateways."""
     on_load: Callable[[Load], None]
-    everything: Callable[[], list[Load]]
+    all_running: Callable[[], list[Load]]
     """All that is held to run."""
     paces: Callable[[], list[LongTermPace]]
     """What is known of the pace of upstreams."""
     on_paces: Callable[[list[LongTermPace]], None]
     """Hears what another scheduler knows of it."""
-    on_gone: Callable[[str], None]
+    on_gateway_gone: Callable[[str], None]
     """Hears of a gateway that left or was lost."""
-    answer: Callable[[PlacementAsk, float], PlacementAnswer]
+    answer_placement: Callable[[PlacementAsk, float], PlacementAnswer]
     """Places a request for another gateway."""
-    on_late: Callable[[int], None]
+    on_late_placement: Callable[[int], None]
     """Hears of a request that was placed too late to be sent."""
     on_work_pull: Callable[[WorkPull], Iterable[WorkPage]]
     """Tells what this gateway counted."""
@@ -123,7 +123,7 @@
     """Hears of callers that were told when to come back."""
     on_tick: Callable[[], None]
     """Called some twenty times a second."""
-    on_waiting: Callable[[WaitingNews], None] = lambda _: None
+    on_queue_counts: Callable[[WaitingNews], None] = lambda _: None
     """Hears how many requests wait at another scheduler."""
 
 
@@ -159,7 +159,9 @@
             settings.name, self._seal, self._address_of, self._on_message, lambda _: None
         )
         self.schedulers = Schedulers(self.membership)
-        self.client = PlacementClient(self.schedulers, self.send_message, hooks.on_late, clock)
+        self.client = PlacementClient(
+            self.schedulers, self.send_message, hooks.on_late_placement, clock
+        )
         self.model_sync = ModelSync(self.schedulers)
         self._hall_contact = HallContact(self.schedulers)
         self._views = ViewExchange(self.membership, self.links, rng, hooks.view_text, hooks.on_view)
@@ -206,7 +208,7 @@
             self._cut_off = {item.hall for item in known} - heard
         return hall in self._cut_off or self._hall_contact.is_silent(hall, self._clock())
 
-    def is_near(self, name: str) -> bool:
+    def is_same_hall(self, name: str) -> bool:
         """Return whether a gateway stands in the own hall."""
         member = self.membership.find(name)
         return member is not None and member.hall == self.membership.own.hall
@@ -215,18 +217,18 @@
         """Tell the others that this gateway stops."""
         self._send_all(self.membership.leave())
 
-    def tell_load(self, load: Load) -> None:
+    def publish_load(self, load: Load) -> None:
         """Tell the schedulers of requests placed and ended."""
-        self._relay.publish(pack(load), load.number, self._clock())
+        self._relay.publish(pack_load(load), load.number, self._clock())
 
-    def tell_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Send a message to every other gateway that is heard."""
         data = self._seal.sign(to_datagram(message), _CONTEXT)
         for member in self.membership.live():
             if member.name != self.membership.own.name:
                 self._send(data, member.address)
 
-    def tell_schedulers(self, message: Message) -> None:
+    def send_to_schedulers(self, message: Message) -> None:
         """Send a message to every scheduler but this gateway."""
         for scheduler in self.schedulers.others():
             self.send_message(message, scheduler.address)
@@ -239,7 +241,7 @@
 
     def _take_records(self, records: bytes) -> None:
         try:
-            loads = unpack(records, self._hooks.upstream_id)
+            loads = unpack_loads(records, self._hooks.upstream_id)
         except MalformedFrameError:
             self.malformed += 1
             return
@@ -270,12 +272,12 @@
             self._take_records(message.records)
             self._relay.collect(message.records, now)
         elif isinstance(message, PlacementAsk):
-            answer = self._hooks.answer(message, now)
+            answer = self._hooks.answer_placement(message, now)
             self.send_message(answer, f"{addr[0]}:{addr[1]}")
         elif isinstance(message, PlacementAnswer):
             self.client.receive(message)
         elif isinstance(message, WaitingNews):
-            self._hooks.on_waiting(message)
+            self._hooks.on_queue_counts(message)
         elif isinstance(message, WorkPull):
             for page in self._hooks.on_work_pull(message):
                 self.send_message(page, f"{addr[0]}:{addr[1]}")
@@ -301,7 +303,7 @@
     def error_received(self, exc: Exception) -> None:
         """Pass over the news that an earlier datagram did not arrive."""
 
-    def _send_all(self, packets: Iterable[Outgoing]) -> None:
+    def _send_all(self, packets: Iterable[OutgoingPacket]) -> None:
         for packet in packets:
             self.send_message(packet.message, packet.address)
 
@@ -322,9 +324,9 @@
         if isinstance(message, ViewPull):
             self._views.answer(peer, message)
         elif isinstance(message, ViewPage):
-            self.malformed += not self._views.take(message)
+            self.malformed += not self._views.receive(message)
         elif isinstance(message, ModelPull):
-            records = b"".join(pack(load) for load in self._hooks.everything())
+            records = b"".join(pack_load(load) for load in self._hooks.all_running())
             self.links.post(peer, ModelPage(records, pack_paces(self._hooks.paces())))
         elif isinstance(message, ModelPage):
             self._take_paces(message.paces)
@@ -336,7 +338,7 @@
     def _tick(self, now: float) -> None:
         self._hooks.on_tick()
         revisions = {kind: self._hooks.view_revision(kind) for kind in ViewKind}
-        contact = self._hooks.contact()
+        contact = self._hooks.store_contact()
         changed = self.membership.set_views(
             revisions[ViewKind.CONFIGURATION],
             revisions[ViewKind.UPSTREAMS],
@@ -348,7 +350,7 @@
             self._send_all(self.membership.announce())
         self._send_all(self.membership.tick(now))
         self._follow_changes(now)
-        self._views.look(revisions, now)
+        self._views.pull_newer(revisions, now)
         self._hall_contact.update_listening(now)
         self._relay.send_keepalive(now)
         if min(revisions[ViewKind.CONFIGURATION], revisions[ViewKind.UPSTREAMS]) >= 0:
@@ -367,7 +369,7 @@
                 continue
             self._member_log.note(change, now)
             if member.phase in (MemberPhase.LOST, MemberPhase.LEAVING):
-                self._hooks.on_gone(member.name)
+                self._hooks.on_gateway_gone(member.name)
 
     def _address_of(self, name: str) -> str | None:
         member = self.membership.find(name)
--- a/src/lotushill/peering/quarantine_keeper.py
+++ b/src/lotushill/peering/quarantine_gossip.py
@@ -24,7 +24,7 @@
     from typing import Any
 
     from lotushill.event_log import EventLog
-    from lotushill.peering.group_keeper import GroupKeeper
+    from lotushill.peering.group_gossip import GroupGossip
     from lotushill.quarantine.quarantine import Quarantine
     from lotushill.quarantine.stored_hold import StoredHold
     from lotushill.routing.upstream import Upstream
@@ -41,17 +41,17 @@
 """Told with a suspect; more than hold it need not be known elsewhere."""
 
 
-class QuarantineKeeper:
+class QuarantineGossip:
     """Stands between the request path, the peers and the quarantine."""
 
     def __init__(
         self,
         name: str,
         quarantine: Quarantine,
-        groups: GroupKeeper,
+        groups: GroupGossip,
         upstreams: UpstreamView,
-        has_ended: Callable[[Upstream], Coroutine[Any, Any, bool | None]],
-        tell: Callable[[SuspectNews | ClearedNews], None],
+        has_failed: Callable[[Upstream], Coroutine[Any, Any, bool | None]],
+        broadcast: Callable[[SuspectNews | ClearedNews], None],
         log: EventLog,
         rng: random.Random,
         clock: Clock,
@@ -61,8 +61,8 @@
         self._quarantine = quarantine
         self._groups = groups
         self._upstreams = upstreams
-        self._has_ended = has_ended
-        self._tell = tell
+        self._has_ended = has_failed
+        self._tell = broadcast
         self._log = log
         self._clock = clock
         self._plan = UpdateSchedule(rng)
@@ -71,22 +71,22 @@
         """Questions under way, by upstream."""
         self._notes: set[asyncio.Task[None]] = set()
         self._wake = anyio.Event()
-        self.upstream_ends = 0
+        self.upstream_failures = 0
         """Ends of upstreams under requests of this gateway, once for each request."""
-        self.held = 0
+        self.held_count = 0
         """Requests that were kept from upstreams."""
 
     # The request path
 
-    def holds(self, request: Request) -> bool:
+    def is_held(self, request: Request) -> bool:
         """Return whether a request is to reach no upstream."""
         if self._quarantine.is_empty:
             return False
         return self._quarantine.is_held(request.identity, self._clock())
 
-    def may_be_sent_on(self, request: Request) -> bool:
+    def may_retry(self, request: Request) -> bool:
         """Return whether an arrival that was cut may go to a further upstream."""
-        if self._groups.isolates(request.groups):
+        if self._groups.is_isolated(request.groups):
             return False
         if self._quarantine.is_empty:
             return True
@@ -94,9 +94,9 @@
             return False
         return not self._quarantine.is_held(request.identity, self._clock())
 
-    def note_held(self, request: Request) -> None:
+    def record_held(self, request: Request) -> None:
         """Note that a request was kept from upstreams."""
-        self.held += 1
+        self.held_count += 1
         self._log.note(
             "quarantine.kept_back",
             request=request.demand.request_id,
@@ -104,20 +104,22 @@
             team=request.team,
         )
 
-    def note_whole(self, request: Request) -> None:
+    def record_completion(self, request: Request) -> None:
         """Note a whole answer."""
-        self._groups.note_whole(request.groups)
+        self._groups.record_completion(request.groups)
         if self._quarantine.record_completion(request.identity, self._clock()):
             self._plan.schedule_cleared(request.identity)
             self._wake.set()
 
-    def note_cut(self, request: Request, upstream: Upstream, begun: bool) -> asyncio.Task[None]:
+    def record_interruption(
+        self, request: Request, upstream: Upstream, answer_started: bool
+    ) -> asyncio.Task[None]:
         """Find out whether a request that lost its connection ended its upstream.
 
         `begun` says that some of its answer had come.
         """
         path = request.target.partition(b"?")[0].decode("latin-1")[:_MOST_PATH]
-        groups = () if begun else request.groups
+        groups = () if answer_started else request.groups
         cut = InterruptedRequest(request.identity, request.team, path, upstream.id, groups)
         task = asyncio.create_task(self._check(cut, upstream))
         self._notes.add(task)
@@ -147,13 +149,13 @@
     def _note_end(self, cut: InterruptedRequest) -> None:
         now = self._clock()
         if cut.groups:
-            self._groups.note_end(cut.groups, cut.upstream)
+            self._groups.record_upstream_failure(cut.groups, cut.upstream)
             self._wake.set()
         if not self._quarantine.record_upstream_failure(
             cut.identity, cut.team, cut.path, cut.upstream, now
         ):
             return
-        self.upstream_ends += 1
+        self.upstream_failures += 1
         self._log.note(
             "quarantine.end",
             identity=cut.identity.hex(),
@@ -206,14 +208,14 @@
         self._tell_proof(state.identity, now)
         self._wake.set()
 
-    def take_stored(self, holds: dict[bytes, StoredHold]) -> None:
+    def replace_stored(self, holds: dict[bytes, StoredHold]) -> None:
         """Take what the store has."""
         for identity in self._quarantine.replace_stored(holds):
             self._log.note("quarantine.released", identity=identity.hex())
 
     # What is due
 
-    def look(self) -> None:
+    def process_pending(self) -> None:
         """Find upstreams that are gone since, and go on telling what the store has not got."""
         now = self._clock()
         self._quarantine.expire(now)
@@ -232,13 +234,13 @@
                 with anyio.move_on_after(wait if wait < math.inf else None):
                     await self._wake.wait()
             self._wake = anyio.Event()
-            self.tell_due()
+            self.send_due()
 
     def next_due(self) -> float:
         """Return when something is to be told."""
         return min(self._plan.next_due(), self._groups.next_due())
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Send what is due."""
         due = self._plan.pop_due(self._clock())
         states = [state for item in due.suspects if (state := self._state(item)) is not None]
@@ -247,7 +249,7 @@
             self._tell(SuspectNews(self._name, group))
         if due.cleared_since or due.cleared_before:
             self._tell(ClearedNews(self._name, due.cleared_since, due.cleared_before))
-        self._groups.tell_due()
+        self._groups.send_due()
 
     def _state(self, identity: bytes) -> SuspectState | None:
         suspect = self._quarantine.find(identity)
--- a/src/lotushill/peering/reader_role.py
+++ b/src/lotushill/peering/reader_role.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from lotushill.links.messages import StoreContact
-from lotushill.membership.readers import reads
-from lotushill.membership.readers import stands_in
+from lotushill.membership.readers import is_reader
+from lotushill.membership.readers import is_substitute_reader
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -30,7 +30,7 @@
         self._due = float("-inf")
         self._reads = False
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return whether this gateway reads the store now."""
         now = self._clock()
         if now >= self._due:
@@ -42,13 +42,13 @@
         members = self._membership().live()
         if len(members) < 2 and now - self._started < _FIND_SECONDS:
             return False
-        return reads(self._membership().own, members)
+        return is_reader(self._membership().own, members)
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         """Return whether it reads only since others are turned away by the store."""
-        return stands_in(self._membership().own, self._membership().live())
+        return is_substitute_reader(self._membership().own, self._membership().live())
 
-    def told_by_others(self, configuration: int) -> bool:
+    def has_current_reader(self, configuration: int) -> bool:
         """Return whether another one reads the store and has no newer configuration."""
         membership = self._membership()
         return any(
--- a/src/lotushill/peering/registration.py
+++ b/src/lotushill/peering/registration.py
@@ -49,7 +49,7 @@
         self._peers = peers
         self._log = log
         self._rng = rng
-        self.listed = 0
+        self.registered_count = 0
         """How many gateways were registered at the last look, 0 before the first."""
 
     async def run(self) -> None:
@@ -97,7 +97,7 @@
         except StoreError:
             return False
         specs = {item.name: item.spec for item in listed.objects if isinstance(item.spec, dict)}
-        self.listed = len(specs)
+        self.registered_count = len(specs)
         addresses = [spec.get("peers") for spec in specs.values()]
         self._peers.membership.add_seeds(item for item in addresses if isinstance(item, str))
         return specs.get(self._settings.name) == self._spec()
--- a/src/lotushill/peering/return_keeper.py
+++ b/src/lotushill/peering/return_gossip.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.links.return_messages import MOST_PROMISES
+from lotushill.links.return_messages import MAX_PROMISES_PER_DATAGRAM
 from lotushill.links.return_messages import ReturnNews
 
 if TYPE_CHECKING:
@@ -14,7 +14,7 @@
     from lotushill.returns.promises import ReturnPromises
 
 
-class ReturnKeeper:
+class ReturnGossip:
     """Tells the other schedulers of promises made here, and takes theirs.
 
     News that are lost cost a caller its place and nothing else: it is then a newcomer.
@@ -40,10 +40,10 @@
         if news.sender != self._name:
             self._returns.merge(news.promises, self._clock())
 
-    def tell_due(self) -> None:
+    def send_due(self) -> None:
         """Tell the other schedulers, if something is due."""
         told = self._returns.due_states(self._clock())
-        for start in range(0, len(told), MOST_PROMISES):
-            news = ReturnNews(self._name, tuple(told[start : start + MOST_PROMISES]))
+        for start in range(0, len(told), MAX_PROMISES_PER_DATAGRAM):
+            news = ReturnNews(self._name, tuple(told[start : start + MAX_PROMISES_PER_DATAGRAM]))
             for scheduler in self._schedulers.others():
                 self._send(news, scheduler.address)
--- a/src/lotushill/peering/view_exchange.py
+++ b/src/lotushill/peering/view_exchange.py
@@ -9,8 +9,8 @@
 from lotushill.links.messages import ViewKind
 from lotushill.links.messages import ViewPage
 from lotushill.links.messages import ViewPull
-from lotushill.links.packed_text import pack
-from lotushill.links.packed_text import unpack
+from lotushill.links.packed_text import compress_text
+from lotushill.links.packed_text import decompress_text
 from lotushill.views.exceptions import MalformedViewError
 
 if TYPE_CHECKING:
@@ -50,16 +50,16 @@
         self._looked_at = -1
         """Version of the membership when the views of others were last held against the own."""
 
-    def look(self, revisions: dict[ViewKind, int], now: float) -> None:
+    def pull_newer(self, revisions: dict[ViewKind, int], now: float) -> None:
         """Pull the views that others hold at a higher revision than the own ones."""
         if self._membership.version == self._looked_at and not self._behind:
             return
         self._looked_at = self._membership.version
         members = self._membership.live()
         for kind in ViewKind:
-            self.catch_up(kind, revisions[kind], members, now)
+            self.pull_if_behind(kind, revisions[kind], members, now)
 
-    def catch_up(
+    def pull_if_behind(
         self, kind: ViewKind, revision: int, members: Sequence[MemberState], now: float
     ) -> None:
         """Pull one view from a member that is ahead, one of the own hall first."""
@@ -91,10 +91,10 @@
             packed = self._pack(pull.kind, text)
             self._links.post(peer, ViewPage(pull.kind, revision, packed=packed))
 
-    def take(self, page: ViewPage) -> bool:
+    def receive(self, page: ViewPage) -> bool:
         """Take a peer's view; return whether it could be read."""
         try:
-            text = unpack(page.packed) if page.packed else page.text
+            text = decompress_text(page.packed) if page.packed else page.text
             self._on_view(page.kind, page.revision, text)
         except (MalformedFrameError, MalformedViewError):
             return False
@@ -104,7 +104,7 @@
         """Return a view packed, once for all peers that pull it."""
         former, packed = self._packed.get(kind, ("", b""))
         if text != former:
-            packed = pack(text)
+            packed = compress_text(text)
             self._packed[kind] = (text, packed)
         return packed
 
--- a/src/lotushill/platform/duty_api.py
+++ b/src/lotushill/platform/duty_api.py
@@ -23,7 +23,7 @@
 _REFUSED = 409
 
 
-class CallEnd(Enum):
+class CallOutcome(Enum):
     """Outcome of a call."""
 
     DONE = "done"
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Signature:
+class LeaseCredentials:
     """Lease holder and fencing token on whose behalf a call is made."""
 
     holder: str
@@ -66,13 +66,13 @@
         return self._client.calls
 
     async def report_usage(
-        self, window: int, counts: Mapping[str, int], signature: Signature
-    ) -> CallEnd:
+        self, window: int, counts: Mapping[str, int], signature: LeaseCredentials
+    ) -> CallOutcome:
         """Report how many requests of each team began in a usage window."""
         content = {"windowId": window, "counts": dict(counts)}
         return await self._call(names.USAGE_PATH, content, signature)
 
-    async def order(self, order: EngineOrder, signature: Signature) -> CallEnd:
+    async def order(self, order: EngineOrder, signature: LeaseCredentials) -> CallOutcome:
         """Set the desired number of engines; surplus engines are removed once they have drained."""
         content: dict[str, Any] = {
             "service": order.service,
@@ -83,7 +83,7 @@
             content["spot"] = True
         return await self._call(names.ORDER_PATH, content, signature)
 
-    async def _call(self, path: str, content: Any, signature: Signature) -> CallEnd:
+    async def _call(self, path: str, content: Any, signature: LeaseCredentials) -> CallOutcome:
         headers = (
             (names.LEASE_HOLDER, signature.holder),
             (names.FENCING_TOKEN, str(signature.token)),
@@ -91,7 +91,7 @@
         try:
             answer = await self._client.call("POST", path, content, _ANSWER_SECONDS, headers)
         except NoAnswerError:
-            return CallEnd.UNANSWERED
+            return CallOutcome.UNANSWERED
         if answer.status == _OK:
-            return CallEnd.DONE
-        return CallEnd.REFUSED if answer.status == _REFUSED else CallEnd.NOT_NOW
+            return CallOutcome.DONE
+        return CallOutcome.REFUSED if answer.status == _REFUSED else CallOutcome.NOT_NOW
--- a/src/lotushill/platform/memory_calls.py
+++ b/src/lotushill/platform/memory_calls.py
@@ -20,12 +20,12 @@
 _REASONS = {404: NoCopyReason.UNKNOWN_RUN, 409: NoCopyReason.BUSY, 503: NoCopyReason.NO_ROOM}
 
 
-def move_content(run: str, target: str, last: bool) -> dict[str, Any]:
+def move_request_body(run: str, target: str, last: bool) -> dict[str, Any]:
     """Return the request for a copy of a run at `target` (IP:PORT), after its end if `last`."""
     return {"id": run, "targetVersion": target, "last": last}
 
 
-def read_move(answer: JsonAnswer) -> Copied | NotCopied:
+def parse_move_answer(answer: JsonAnswer) -> Copied | NotCopied:
     """Parse an engine's answer to a move; raise NoAnswerError if it is not a valid answer."""
     said = answer.read()
     handle = said.get("handle") if isinstance(said, dict) else None
--- a/src/lotushill/platform/object_store.py
+++ b/src/lotushill/platform/object_store.py
@@ -15,7 +15,7 @@
 from lotushill.views.exceptions import RevisionConflictError
 from lotushill.views.exceptions import StoreUnavailableError
 from lotushill.views.fields import Fields
-from lotushill.views.fields import readable
+from lotushill.views.fields import parse_readable
 from lotushill.views.stored_object import Change
 from lotushill.views.stored_object import ObjectList
 from lotushill.views.stored_object import StoredObject
@@ -127,20 +127,20 @@
 
 def _page(body: Any) -> ObjectList:
     fields = Fields(body)
-    objects = readable(_stored, fields.all_of("items"))
-    return ObjectList(tuple(objects), fields.whole("at", 0, _MOST_REVISION))
+    objects = parse_readable(_stored, fields.array("items"))
+    return ObjectList(tuple(objects), fields.integer("at", 0, _MOST_REVISION))
 
 
 def _events(body: Any) -> tuple[list[Change], int]:
     fields = Fields(body)
-    changes = readable(_change, fields.all_of("events"))
-    return changes, fields.whole("at", 0, _MOST_REVISION)
+    changes = parse_readable(_change, fields.array("events"))
+    return changes, fields.integer("at", 0, _MOST_REVISION)
 
 
 def _stored(item: Any) -> StoredObject:
     fields = Fields(item)
-    metadata = fields.inner("metadata")
-    revision = metadata.whole("revision", 0, _MOST_REVISION)
+    metadata = fields.nested("metadata")
+    revision = metadata.integer("revision", 0, _MOST_REVISION)
     return StoredObject(metadata.text("name"), revision, fields.raw("spec"))
 
 
--- a/src/lotushill/platform/request_head.py
+++ b/src/lotushill/platform/request_head.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.links.hop_headers import one_connection
+from lotushill.links.hop_headers import hop_by_hop_headers
 from lotushill.placement.memory_copies import NO_COPIES
 from lotushill.placement.memory_copies import MemoryCopies
 from lotushill.platform import names
@@ -58,10 +58,10 @@
     )
 
 
-def forwarded(headers: Headers, body: bytes | None) -> Headers:
+def forwarded_headers(headers: Headers, body: bytes | None) -> Headers:
     """Return the client's headers that are forwarded, with the length of the body."""
     named = dict(headers)
-    dropped = _OWN | one_connection(named.get(b"connection", b""))
+    dropped = _OWN | hop_by_hop_headers(named.get(b"connection", b""))
     kept = [(name, value) for name, value in headers if name not in dropped]
     if body is not None:
         kept.append((b"content-length", str(len(body)).encode()))
@@ -107,17 +107,17 @@
     return [item for item in headers if item[0] != names.LAST_EVENT_ID.encode()]
 
 
-def answered_id(headers: Headers) -> str:
+def answer_request_id(headers: Headers) -> str:
     """Return the id of the request to which an answer belongs."""
     return _value(headers, names.REQUEST_ID)
 
 
-def retry_after(seconds: float) -> tuple[bytes, bytes]:
+def retry_after_header(seconds: float) -> tuple[bytes, bytes]:
     """Return the Retry-After header, the seconds after which a client may retry."""
     return names.RETRY_AFTER.encode(), f"{seconds:.2f}".encode()
 
 
-def own_answer_headers(request_id: str) -> Headers:
+def local_answer_headers(request_id: str) -> Headers:
     """Return the headers of an answer that the gateway itself generates."""
     return [(names.REQUEST_ID.encode(), request_id.encode("latin-1"))] if request_id else []
 
--- a/src/lotushill/platform/upstreams.py
+++ b/src/lotushill/platform/upstreams.py
@@ -29,17 +29,17 @@
     if not is_header_text(name) or _BORN in name:
         raise MalformedEntryError("name", "is not valid in a header")
     fields.text("version")
-    fields.whole(names.SEQUENCE, 0, _MOST_WHOLE)
+    fields.integer(names.SEQUENCE, 0, _MOST_WHOLE)
     return Upstream(
         id=_life(name, fields),
         instance=name,
         service=fields.text("service"),
         address=fields.address("address"),
         hall=fields.text("zone"),
-        slots=fields.whole("slots", 1, _MOST_SLOTS),
+        slots=fields.integer("slots", 1, _MOST_SLOTS),
         draining=fields.choice("state", names.STATES) == names.DRAINING,
         slow_seconds=fields.number(names.COLD_MS, 0.0, _MOST_MS) / _MS,
-        leaves_seconds=fields.number_if_any(names.LEAVES_MS, 0.0, _MOST_MS, _MS),
+        leaves_seconds=fields.optional_number(names.LEAVES_MS, 0.0, _MOST_MS, _MS),
     )
 
 
@@ -47,4 +47,4 @@
     """Return the id of an incarnation: a restarted instance has lost its earlier state."""
     if not fields.has("born"):
         return name
-    return f"{name}{_BORN}{fields.whole('born', 0, _MOST_WHOLE)}"
+    return f"{name}{_BORN}{fields.integer('born', 0, _MOST_WHOLE)}"
--- a/src/lotushill/process/metrics.py
+++ b/src/lotushill/process/metrics.py
@@ -115,36 +115,36 @@
         )
         self._gauges: list[_Gauge] = []
 
-    def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
         """Serve a figure that is read when asked for."""
         self._gauges.append(_Gauge(f"lotushill_{name}", text, read))
 
-    def note_request(self, service: str, outcome: str, seconds: float) -> None:
+    def record_request(self, service: str, outcome: str, seconds: float) -> None:
         """Note the end of a request."""
         self._requests.values[service, outcome.partition(":")[0]] += 1
         self._seconds.observe((service,), seconds)
 
-    def note_turned_away(self, status: int) -> None:
+    def record_rejection(self, status: int) -> None:
         """Note a request that was answered without a service."""
         self._turned_away.values[(str(status),)] += 1
 
-    def note_attempt(self, service: str, tier: int, end: str) -> None:
+    def record_attempt(self, service: str, tier: int, end: str) -> None:
         """Note the end of an attempt."""
         self._attempts.values[service, str(tier), end] += 1
 
-    def note_move(self, cause: str, end: str) -> None:
+    def record_handover(self, cause: str, end: str) -> None:
         """Note the end of a handover."""
         self._moves.values[cause, end] += 1
 
-    def note_moved_run(self, end: str) -> None:
+    def record_moved_run(self, end: str) -> None:
         """Note that a run went on from moved memory, or was cut."""
         self._moved_runs.values[(end,)] += 1
 
-    def note_refused(self, service: str, tier: int, reason: str) -> None:
+    def record_refusal(self, service: str, tier: int, reason: str) -> None:
         """Note a request for which no upstream was chosen."""
         self._refused.values[service, str(tier), reason] += 1
 
-    def note_first(self, service: str, seconds: float, predicted: float) -> None:
+    def record_first_event(self, service: str, seconds: float, predicted: float) -> None:
         """Note the time to the first event, beside what was predicted."""
         self._first_seconds.observe((service,), seconds)
         self._prediction.observe((service,), seconds / max(_LEAST_PREDICTED, predicted))
--- a/src/lotushill/process/side_tasks.py
+++ b/src/lotushill/process/side_tasks.py
@@ -26,7 +26,7 @@
     def __init__(self, log: EventLog, rng: random.Random) -> None:
         self._log = log
         self._rng = rng
-        self.faults = 0
+        self.failure_count = 0
         """Faults of all tasks so far."""
 
     async def run(self, name: str, task: Callable[[], Awaitable[None]]) -> None:
@@ -37,7 +37,7 @@
                 await task()
                 return
             except Exception as error:
-                self.faults += 1
+                self.failure_count += 1
                 trace = "".join(traceback.format_exception(error))[-_MOST_TRACE:]
                 self._log.note("task.failed", task=name, again_in=round(pause, 2), trace=trace)
             await anyio.sleep(pause * self._rng.uniform(0.7, 1.3))
--- a/src/lotushill/process/suspension.py
+++ b/src/lotushill/process/suspension.py
@@ -23,7 +23,7 @@
         self,
         clock: Callable[[], float],
         steady: Callable[[], float],
-        on_woke: Callable[[float], None],
+        on_suspension: Callable[[float], None],
         is_confirmed: Callable[[float], bool],
     ) -> None:
         """Tell `on_woke` for how many seconds the host was suspended.
@@ -32,32 +32,32 @@
         """
         self._clock = clock
         self._steady = steady
-        self._on_woke = on_woke
+        self._on_woke = on_suspension
         self._is_confirmed = is_confirmed
         self._apart = clock() - steady()
         self._woke_at = float("-inf")
-        self.wakes = 0
+        self.suspension_count = 0
         """How often the host was suspended so far."""
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Notice a suspension since the last look; cheap enough to be called at each step."""
         apart = self._clock() - self._steady()
         gap = apart - self._apart
         self._apart = apart
         if gap >= _LEAST_SECONDS:
-            self.wakes += 1
+            self.suspension_count += 1
             self._woke_at = self._clock()
             self._on_woke(gap)
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Return whether what is believed is no older than the last suspension."""
         waited = self._clock() - self._woke_at
         return waited >= _SETTLE_SECONDS or self._is_confirmed(self._woke_at)
 
-    async def settle(self) -> None:
+    async def wait_until_settled(self) -> None:
         """Wait until what is believed has been confirmed, for a bounded time."""
-        self.look()
-        while not self.settled:
+        self.check()
+        while not self.is_settled:
             await anyio.sleep(_POLL_SECONDS)
-            self.look()
+            self.check()
--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -57,7 +57,7 @@
         self._news = news
         self._permit = permit
         self._clock = parts.clock
-        self._wakes = parts.suspension.wakes
+        self._wakes = parts.suspension.suspension_count
         self.sent_at = 0.0
         self._head_at = 0.0
         self.first_event_at = 0.0
@@ -131,8 +131,8 @@
 
     def _was_suspended(self) -> bool:
         """Return whether the host was, since the upstream was chosen: it may have left."""
-        self._parts.suspension.look()
-        return self._parts.suspension.wakes != self._wakes
+        self._parts.suspension.check()
+        return self._parts.suspension.suspension_count != self._wakes
 
     async def _exchange(self, connection: UpstreamConnection) -> AttemptEnd:
         self.sent_at = self._clock()
@@ -274,7 +274,7 @@
     def _note_first(self, now: float) -> None:
         taken = now - self.sent_at
         self._news.report_first_event(taken)
-        self._parts.metrics.note_first(
+        self._parts.metrics.record_first_event(
             self._request.service.name, taken, self._choice.first_event_seconds
         )
 
--- a/src/lotushill/requests/client_answer.py
+++ b/src/lotushill/requests/client_answer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from lotushill.links.hop_headers import relayed
+from lotushill.links.hop_headers import end_to_end_headers
 from lotushill.platform import request_head
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     async def start(self, status: int, headers: Headers) -> None:
         """Send the head of an upstream's answer."""
         self.started = True
-        out = relayed(list(headers))
+        out = end_to_end_headers(list(headers))
         if self.close_after:
             out.append((b"connection", b"close"))
         await self._send({"type": "http.response.start", "status": status, "headers": out})
@@ -55,11 +55,11 @@
             return
         self.started = True
         body = _REASONS.get(status, b"failed")
-        headers = request_head.own_answer_headers(self._request_id)
+        headers = request_head.local_answer_headers(self._request_id)
         headers.append((b"content-length", str(len(body)).encode()))
         headers.append((b"content-type", b"text/plain"))
         if retry_after is not None:
-            headers.append(request_head.retry_after(min(_LATEST_RETRY, retry_after)))
+            headers.append(request_head.retry_after_header(min(_LATEST_RETRY, retry_after)))
         if self.close_after:
             headers.append((b"connection", b"close"))
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
--- a/src/lotushill/requests/client_application.py
+++ b/src/lotushill/requests/client_application.py
@@ -10,9 +10,9 @@
 
 import anyio
 
+from lotushill.links.asgi import BodyTimeoutError
 from lotushill.links.asgi import BodyTooLargeError
-from lotushill.links.asgi import CallerGoneError
-from lotushill.links.asgi import SlowSenderError
+from lotushill.links.asgi import ClientDisconnectedError
 from lotushill.links.asgi import read_body
 from lotushill.placement.need import Need
 from lotushill.platform import request_head
@@ -97,17 +97,17 @@
             self.in_progress -= 1
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        self._parts.suspension.look()
+        self._parts.suspension.check()
         arrived = self._parts.clock()
         demand = request_head.read_demand(scope["headers"])
         answer = ClientAnswer(send, demand.request_id)
         answer.close_after = self.closes_connections
         try:
             request = await self._check(scope, receive, demand, arrived)
-        except CallerGoneError:
+        except ClientDisconnectedError:
             return
         except _TurnedAwayError as error:
-            self._parts.metrics.note_turned_away(error.status)
+            self._parts.metrics.record_rejection(error.status)
             self._parts.log.note(
                 "request.turned_away",
                 request=demand.request_id,
@@ -150,7 +150,7 @@
                 await exchange.time_out()
         took = clock() - request.arrived
         self._parts.work.decrement_running(request.service.name)
-        self._parts.metrics.note_request(request.service.name, exchange.outcome, took)
+        self._parts.metrics.record_request(request.service.name, exchange.outcome, took)
         self._parts.log.note(
             "request.ended",
             request=request.demand.request_id,
@@ -189,7 +189,7 @@
             demand=demand,
             method=str(scope["method"]).encode(),
             target=scope[TARGET],
-            headers=request_head.forwarded(headers, body if has_body else None),
+            headers=request_head.forwarded_headers(headers, body if has_body else None),
             body=body,
             route=route,
             service=service,
@@ -242,7 +242,7 @@
         return await read_body(receive, table.limits.body_bytes, _BODY_SECONDS)
     except BodyTooLargeError as error:
         raise _TurnedAwayError(413) from error
-    except SlowSenderError as error:
+    except BodyTimeoutError as error:
         raise _TurnedAwayError(400) from error
 
 
--- a/src/lotushill/requests/continuation.py
+++ b/src/lotushill/requests/continuation.py
@@ -110,9 +110,9 @@
         """Return how the run has ended: as it was cut, where it did not go on."""
         goes_on = end is not None and (end.kind is EndKind.WHOLE or end.handover is not None)
         if end is not None and goes_on:
-            self._parts.metrics.note_moved_run("went on")
+            self._parts.metrics.record_moved_run("went on")
             return end
-        self._parts.metrics.note_moved_run("cut")
+        self._parts.metrics.record_moved_run("cut")
         return replace(cut, kind=EndKind.BROKEN, handover=None)
 
     # Both
--- a/src/lotushill/requests/engine_memory_client.py
+++ b/src/lotushill/requests/engine_memory_client.py
@@ -31,16 +31,16 @@
 
         Raise NoAnswerError without an answer within `patience` seconds: it may have been done.
         """
-        content = memory_calls.move_content(run, target, last)
+        content = memory_calls.move_request_body(run, target, last)
         client = self._client(source)
         answer = await client.call("POST", memory_calls.MOVE_PATH, content, timeout_seconds)
-        return memory_calls.read_move(answer)
+        return memory_calls.parse_move_answer(answer)
 
     async def free(self, source: str, handle: str) -> None:
         """Free what is held under a handle at both ends; unheard, it is freed when it is old."""
         try:
             await self._client(source).call(
-                "DELETE", memory_calls.FREE_PATH + handle, patience=_FREE_SECONDS
+                "DELETE", memory_calls.FREE_PATH + handle, timeout_seconds=_FREE_SECONDS
             )
         except NoAnswerError:
             return
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -66,9 +66,9 @@
         request = self._request
         self._parts.budgets.note_request(request.service.name, self._clock())
         while True:
-            if self._parts.quarantine.holds(request):
+            if self._parts.quarantine.is_held(request):
                 return await self._keep_back()
-            await self._parts.suspension.settle()
+            await self._parts.suspension.wait_until_settled()
             placement = await self._search.find()
             if not isinstance(placement, Placement):
                 self._retry_after = placement.retry_after
@@ -85,7 +85,7 @@
             end = await self._go_on(choice, end, check)
             if end.kind is EndKind.WHOLE:
                 self.outcome = "whole"
-                self._parts.quarantine.note_whole(request)
+                self._parts.quarantine.record_completion(request)
                 return None
             if not await self._may_repeat(end, check):
                 return await self._give_up(end.detail, end)
@@ -103,8 +103,8 @@
     async def _keep_back(self) -> None:
         """Answer a request under which upstreams end, without sending it to one more."""
         request = self._request
-        self._parts.quarantine.note_held(request)
-        self._parts.metrics.note_refused(request.service.name, request.need.tier, "quarantined")
+        self._parts.quarantine.record_held(request)
+        self._parts.metrics.record_refusal(request.service.name, request.need.tier, "quarantined")
         self._retry_after = _HELD_RETRY_SECONDS
         await self._give_up("quarantined", None)
 
@@ -115,7 +115,7 @@
         if not end.connection_lost:
             return None
         begun = end.answer_started or self._splitter.event_count > 0
-        return self._parts.quarantine.note_cut(self._request, upstream, begun)
+        return self._parts.quarantine.record_interruption(self._request, upstream, begun)
 
     async def _may_go_on(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
         """Return whether a cut request may reach a further upstream, as far as is known now.
@@ -126,7 +126,7 @@
             return False
         if check is not None:
             await asyncio.wait((check,), timeout=_CHECK_SECONDS)
-        return self._parts.quarantine.may_be_sent_on(self._request)
+        return self._parts.quarantine.may_retry(self._request)
 
     async def _go_on(
         self, choice: Choice, end: AttemptEnd, check: asyncio.Task[None] | None
@@ -177,7 +177,7 @@
             ran = self._clock() - attempt.sent_at if attempt.sent_at else 0.0
             news.report_end(kind, ran)
             self.first_ms = round((attempt.first_event_at - attempt.sent_at) * 1000, 1)
-        self._parts.metrics.note_attempt(
+        self._parts.metrics.record_attempt(
             self._request.service.name, self._request.need.tier, end.kind.value
         )
         if end.kind in _RAN_NOTHING:
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -27,7 +27,7 @@
     from collections.abc import Coroutine
 
     from lotushill.event_log import EventLog
-    from lotushill.peering.quarantine_keeper import QuarantineKeeper
+    from lotushill.peering.quarantine_gossip import QuarantineGossip
     from lotushill.placement.choice import Choice
     from lotushill.placement.messages import Placed
     from lotushill.process.metrics import Metrics
@@ -60,7 +60,7 @@
         shared_load: SharedLoad,
         upstreams: UpstreamView,
         ward: IsolationPolicy,
-        quarantine: QuarantineKeeper,
+        quarantine: QuarantineGossip,
         budgets: RetryBudgets,
         rate: Callable[[str], float],
         metrics: Metrics,
@@ -178,7 +178,7 @@
         stalled = now >= self._sound_at and run.is_stalled(now, patience)
         usual = self.stalls.usual_pause(service)
         move = plan_move(run.state(now, usual, leaves_in, stalled), engine)
-        if move is None or not self._quarantine.may_be_sent_on(run.request):
+        if move is None or not self._quarantine.may_retry(run.request):
             return None
         return move
 
@@ -274,7 +274,7 @@
         return room and self._ward.admits(request, choice)
 
     def _note(self, run: MovableRun, move: Move, why: str, began: float) -> None:
-        self._metrics.note_move(move.cause.value, why.partition(":")[0])
+        self._metrics.record_handover(move.cause.value, why.partition(":")[0])
         self._log.note(
             "run.moved" if why == Phase.STOPPED.value else "run.not_moved",
             request=run.request.demand.request_id,
--- a/src/lotushill/requests/parts.py
+++ b/src/lotushill/requests/parts.py
@@ -14,7 +14,7 @@
     from lotushill.event_log import EventLog
     from lotushill.limits.fleet_limits import FleetLimits
     from lotushill.limits.team_limits import TeamLimits
-    from lotushill.peering.quarantine_keeper import QuarantineKeeper
+    from lotushill.peering.quarantine_gossip import QuarantineGossip
     from lotushill.placement.fleet import Fleet
     from lotushill.process.metrics import Metrics
     from lotushill.process.suspension import SuspensionWatch
@@ -47,7 +47,7 @@
     isolation_policy: IsolationPolicy
     mover: Mover
     budgets: RetryBudgets
-    quarantine: QuarantineKeeper
+    quarantine: QuarantineGossip
     work: RequestCounter
     log: EventLog
     metrics: Metrics
--- a/src/lotushill/requests/upstream_connection.py
+++ b/src/lotushill/requests/upstream_connection.py
@@ -50,9 +50,9 @@
 class UpstreamConnection(asyncio.Protocol):
     """Carries one request at a time."""
 
-    def __init__(self, answered_id: Callable[[Headers], str]) -> None:
+    def __init__(self, answer_request_id: Callable[[Headers], str]) -> None:
         """Make a protocol; `answered_id` tells which request an answer belongs to."""
-        self._answered_id = answered_id
+        self._answered_id = answer_request_id
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._waiter: asyncio.Future[None] | None = None
--- a/src/lotushill/requests/upstream_pool.py
+++ b/src/lotushill/requests/upstream_pool.py
@@ -26,12 +26,12 @@
 
     def __init__(
         self,
-        answered_id: Callable[[Headers], str],
+        answer_request_id: Callable[[Headers], str],
         most_idle: Callable[[Upstream], int] = lambda _: _MOST_IDLE,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
         """Make an empty pool; `most_idle` bounds the connections that rest at an upstream."""
-        self._answered_id = answered_id
+        self._answered_id = answer_request_id
         self._most_idle = most_idle
         self._clock = clock
         self._idle: dict[str, list[UpstreamConnection]] = {}
--- a/src/lotushill/requests/upstream_search.py
+++ b/src/lotushill/requests/upstream_search.py
@@ -120,7 +120,7 @@
 
     def _note_refusal(self, found: NoChoice) -> None:
         request = self._request
-        self._parts.metrics.note_refused(
+        self._parts.metrics.record_refusal(
             request.service.name, request.need.tier, found.refusal.value
         )
         self._parts.log.note(
--- a/src/lotushill/scheduling/hall_contact.py
+++ b/src/lotushill/scheduling/hall_contact.py
@@ -26,7 +26,7 @@
 
     def update_listening(self, now: float) -> None:
         """Note whether this gateway is told batches at all."""
-        told = self._schedulers.schedules() and not self._schedulers.small_fleet()
+        told = self._schedulers.is_scheduler() and not self._schedulers.is_small_fleet()
         if not told:
             self._listens_since = None
         elif self._listens_since is None:
@@ -37,7 +37,7 @@
         since = self._listens_since
         if since is None or now - since < SILENCE_TIMEOUT_SECONDS:
             return False
-        names = self._schedulers.halls().get(hall, ())
+        names = self._schedulers.names_by_hall().get(hall, ())
         return bool(names) and all(
             now - self._heard.get(name, since) >= SILENCE_TIMEOUT_SECONDS for name in names
         )
--- a/src/lotushill/scheduling/load_relay.py
+++ b/src/lotushill/scheduling/load_relay.py
@@ -56,10 +56,10 @@
 
         `turn` is the number of the request: its news go to the scheduler that was asked for it.
         """
-        if self._schedulers.schedules():
+        if self._schedulers.is_scheduler():
             self.collect(records, now)
             return
-        order = self._schedulers.in_order(now, turn)
+        order = self._schedulers.query_order(now, turn)
         if order:
             self._send(LoadNews(records), order[0].address)
 
@@ -80,7 +80,7 @@
     def send_keepalive(self, now: float) -> None:
         """Send an empty batch if this gateway schedules for a hall and has long told nothing."""
         schedulers = self._schedulers
-        if schedulers.small_fleet() or not schedulers.schedules():
+        if schedulers.is_small_fleet() or not schedulers.is_scheduler():
             return
         if now - self._flushed_at >= _STILL_SECONDS:
             self._flush(now)
@@ -90,7 +90,7 @@
         self._held = []
         self._held_bytes = 0
         self._something.clear()
-        small = self._schedulers.small_fleet()
+        small = self._schedulers.is_small_fleet()
         self._next_flush = now + (BATCH_INTERVAL_SECONDS if small else _LARGE_BATCH_SECONDS)
         self._flushed_at = now
         for scheduler in self._schedulers.others():
--- a/src/lotushill/scheduling/model_sync.py
+++ b/src/lotushill/scheduling/model_sync.py
@@ -28,18 +28,18 @@
 
     def is_ready(self) -> bool:
         """Return whether this gateway may place for others."""
-        return self._filled and self._schedulers.schedules()
+        return self._filled and self._schedulers.is_scheduler()
 
     def next_source(self, now: float) -> str | None:
         """Return the scheduler to pull the model from now, None if there is no need."""
-        if not self._schedulers.schedules():
+        if not self._schedulers.is_scheduler():
             self._had_role = self._filled = False
             return None
         if not self._had_role:
             self._had_role = True
             self._pulls = 0
             self._pulled_at = float("-inf")
-        others = self._schedulers.in_order(now)
+        others = self._schedulers.query_order(now)
         if self._filled or not others or now - self._pulled_at < _AGAIN_SECONDS:
             return None
         if self._pulls >= _MOST_PULLS:
--- a/src/lotushill/scheduling/placement_client.py
+++ b/src/lotushill/scheduling/placement_client.py
@@ -60,7 +60,7 @@
         that a scheduler loses is brought to the next with the time that it has waited.
         """
         ask = make()
-        for scheduler in self._schedulers.in_order(self._clock(), ask.request)[
+        for scheduler in self._schedulers.query_order(self._clock(), ask.request)[
             :MAX_SCHEDULERS_ASKED
         ]:
             answer = await self._ask_one(ask, make, scheduler)
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -100,7 +100,7 @@
 
     def has_full_model(self) -> bool:
         """Return whether this gateway hears of what all others run."""
-        return self._schedulers is None or self._schedulers.schedules()
+        return self._schedulers is None or self._schedulers.is_scheduler()
 
     async def place(
         self, request: Request, excluded: frozenset[str], again: bool, waits: bool = True
--- a/src/lotushill/standin/engine_app.py
+++ b/src/lotushill/standin/engine_app.py
@@ -41,10 +41,10 @@
         self._batch = Batch(settings.slots, settings.prefill_per_step)
         self._kept = PrefixCacheModel()
         self._jobs: dict[str, _Job] = {}
-        self.read_tokens = 0
+        self.prefilled_tokens = 0
         """Number of prompt tokens that were prefilled, without those found in the prefix cache."""
 
-    async def step_for_ever(self) -> None:
+    async def run_steps(self) -> None:
         """Run steps of the batch until cancelled."""
         while True:
             await asyncio.sleep(self._settings.step)
@@ -82,7 +82,7 @@
     def _let_in(self, demand: Demand, headers: dict[str, str], length: int) -> None:
         unread = max(0, demand.prompt_tokens - self._kept.matched_tokens(demand.parts))
         self._kept.touch(demand.parts, self._settings.memory_tokens)
-        self.read_tokens += unread
+        self.prefilled_tokens += unread
         priority = int(headers.get(names.PRIORITY, _USUAL_PRIORITY))
         done = min(length, int(demand.last_event_id or 0) * self._settings.tokens_per_event)
         self._batch.add(demand.request_id, priority, unread, length, done)
--- a/src/lotushill/standin/metadata_app.py
+++ b/src/lotushill/standin/metadata_app.py
@@ -26,7 +26,7 @@
 _MS = 1000.0
 
 
-class Trouble(Enum):
+class StoreFault(Enum):
     """Injected fault of the store."""
 
     NONE = "none"
@@ -41,12 +41,12 @@
 
 
 class MetadataApp:
-    """ASGI application that serves a store; `trouble` may be changed at any time."""
+    """ASGI application that serves a store; `fault` may be changed at any time."""
 
     def __init__(self, store: MetadataStore) -> None:
         self.store = store
-        self.trouble = Trouble.NONE
-        self.busy_kind = ""
+        self.fault = StoreFault.NONE
+        self.rejected_kind = ""
         """The only object kind whose calls are answered with 503; empty for none."""
         self.calls: list[str] = []
         """Every call so far, as method, path and query."""
@@ -55,8 +55,8 @@
         """Serve one call."""
         query = scope["query_string"].decode("latin-1")
         self.calls.append(f"{scope['method']} {scope['path']}?{query}")
-        busy = self.trouble is Trouble.BUSY or self._is_of_busy_kind(str(scope["path"]))
-        if busy or self.trouble is Trouble.MANY:
+        busy = self.fault is StoreFault.BUSY or self._is_of_busy_kind(str(scope["path"]))
+        if busy or self.fault is StoreFault.MANY:
             await send_json(send, 503 if busy else 429, {})
             return
         try:
@@ -69,15 +69,15 @@
     async def _answer_in_trouble(
         self, scope: Scope, receive: Receive, query: str
     ) -> tuple[int, Any]:
-        if self.trouble is Trouble.SILENT:
+        if self.fault is StoreFault.SILENT:
             await asyncio.Event().wait()
         answer = await self._answer(scope, receive, query)
-        if self.trouble is Trouble.LOST:
+        if self.fault is StoreFault.LOST:
             await asyncio.Event().wait()
         return answer
 
     def _is_of_busy_kind(self, path: str) -> bool:
-        return bool(self.busy_kind) and path.split("/")[2:3] == [self.busy_kind]
+        return bool(self.rejected_kind) and path.split("/")[2:3] == [self.rejected_kind]
 
     async def _answer(self, scope: Scope, receive: Receive, query: str) -> tuple[int, Any]:
         text = await read_body(receive, _MAX_BODY, _BODY_SECONDS)
--- a/src/lotushill/standin/registration.py
+++ b/src/lotushill/standin/registration.py
@@ -25,13 +25,13 @@
         self._store = ObjectStore(settings.store)
         self._born = time.time_ns() // 1_000_000
 
-    async def keep(self) -> None:
+    async def run_heartbeats(self) -> None:
         """Write the entry at every heartbeat until cancelled."""
         while True:
             await self._write("ready")
             await asyncio.sleep(_HEARTBEAT_SECONDS)
 
-    async def leave(self) -> None:
+    async def mark_draining(self) -> None:
         """Mark the upstream as draining, so that it gets no new requests."""
         await self._write(names.DRAINING)
 
--- a/src/lotushill/standin/service_app.py
+++ b/src/lotushill/standin/service_app.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from lotushill.links.asgi import send_whole
+from lotushill.links.asgi import send_response
 from lotushill.platform import names
 from lotushill.standin.upstream_app import Fault
 from lotushill.standin.upstream_app import UpstreamApp
@@ -31,4 +31,4 @@
             await asyncio.Event().wait()
         request = headers[names.REQUEST_ID]
         status = 500 if self.fault is Fault.ERRORS else 200
-        await send_whole(send, status, self.answer_headers(request), f"done {request}".encode())
+        await send_response(send, status, self.answer_headers(request), f"done {request}".encode())
--- a/src/lotushill/standin/upstream_app.py
+++ b/src/lotushill/standin/upstream_app.py
@@ -8,7 +8,7 @@
 
 from lotushill.links.asgi import read_body
 from lotushill.links.asgi import send_json
-from lotushill.links.asgi import send_whole
+from lotushill.links.asgi import send_response
 from lotushill.platform import names
 
 if TYPE_CHECKING:
@@ -72,9 +72,9 @@
         }
         if path.startswith(_FAULTS_PATH):
             self.fault = Fault(path.removeprefix(_FAULTS_PATH))
-            await send_whole(send, 200, (), b"")
+            await send_response(send, 200, (), b"")
         elif path == names.HEALTH_PATH:
-            await send_whole(send, 200, ((names.INSTANCE_ID.encode(), self.name.encode()),), b"")
+            await send_response(send, 200, ((names.INSTANCE_ID.encode(), self.name.encode()),), b"")
         elif path == names.REPORT_PATH:
             await send_json(send, 200, self.report())
         else:
@@ -111,7 +111,7 @@
             (names.REQUEST_ID.encode(), request.encode("latin-1")),
             (names.NOT_EXECUTED.encode(), b"1"),
         ]
-        await send_whole(send, status, told, b"")
+        await send_response(send, status, told, b"")
 
     def answer_headers(self, request: str) -> list[tuple[bytes, bytes]]:
         """Return the headers of the answer to a request that was run."""
--- a/src/lotushill/views/configuration_view.py
+++ b/src/lotushill/views/configuration_view.py
@@ -16,7 +16,7 @@
         """Revision of the configuration object; below 0 while there is none."""
         self.table: RoutingTable | None = None
 
-    def take(self, table: RoutingTable, revision: int) -> bool:
+    def replace(self, table: RoutingTable, revision: int) -> bool:
         """Put a table in force if it is newer; return whether it was."""
         if revision <= self.revision:
             return False
--- a/src/lotushill/views/entry_faults.py
+++ b/src/lotushill/views/entry_faults.py
@@ -19,15 +19,15 @@
     def __init__(self, kind: str, log: EventLog) -> None:
         self._kind = kind
         self._log = log
-        self.held: Mapping[str, str] = {}
-        self.counted = 0
+        self.current: Mapping[str, str] = {}
+        self.total_count = 0
         """Faults that were found so far, one that stands counted once."""
 
     def replace(self, faults: Mapping[str, str], revision: int) -> None:
         """Take all faults as of a revision."""
-        news = {name: why for name, why in faults.items() if self.held.get(name) != why}
-        self.held = dict(faults)
-        self.counted += len(news)
+        news = {name: why for name, why in faults.items() if self.current.get(name) != why}
+        self.current = dict(faults)
+        self.total_count += len(news)
         for name, why in list(news.items())[:_MOST_LINES]:
             self._log.note(
                 "entry.ignored", kind=self._kind, object=name, error=why, revision=revision
--- a/src/lotushill/views/fields.py
+++ b/src/lotushill/views/fields.py
@@ -36,14 +36,14 @@
         """Return whether there is a field."""
         return name in self._values
 
-    def all_of(self, name: str) -> list[Any]:
+    def array(self, name: str) -> list[Any]:
         """Return a list, whatever stands in it."""
         value = self._value(name)
         if not isinstance(value, list):
             raise MalformedEntryError(name, "is no list")
         return value
 
-    def inner(self, name: str) -> Fields:
+    def nested(self, name: str) -> Fields:
         """Return the fields of an object within."""
         return Fields(self._value(name))
 
@@ -58,7 +58,7 @@
             raise MalformedEntryError(name, "is no text")
         return value
 
-    def whole(self, name: str, least: int, most: int) -> int:
+    def integer(self, name: str, least: int, most: int) -> int:
         """Return a whole number within bounds."""
         value = self._value(name)
         if type(value) is not int or not least <= value <= most:
@@ -76,7 +76,7 @@
             raise MalformedEntryError(name, f"is no number from {least} to {most}")
         return float(value)
 
-    def number_if_any(self, name: str, least: float, most: float, unit: float) -> float | None:
+    def optional_number(self, name: str, least: float, most: float, unit: float) -> float | None:
         """Return a number in units of `unit`, None where it is missing or cannot be read."""
         try:
             return self.number(name, least, most) / unit
@@ -112,7 +112,7 @@
     return _HEADER_TEXT.fullmatch(text) is not None
 
 
-def readable(read: Callable[[Any], Item], items: list[Any]) -> list[Item]:
+def parse_readable(read: Callable[[Any], Item], items: list[Any]) -> list[Item]:
     """Return what can be read of a list: an item that cannot must not cost those beside it."""
     found = []
     for item in items:
--- a/src/lotushill/views/upstream_view.py
+++ b/src/lotushill/views/upstream_view.py
@@ -44,7 +44,7 @@
         return dict(self._lapsed)
 
     @property
-    def known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Return whether anything was ever read."""
         return self.revision >= 0
 
@@ -53,7 +53,7 @@
         return self._by_service.get(service, [])
 
     @property
-    def leaving_by_word(self) -> tuple[str, ...]:
+    def announced_leaving(self) -> tuple[str, ...]:
         """Return the lives that said that they leave, and whose entries do not say it."""
         return tuple(sorted(self._leaving_by_word)) if self._leaving_by_word else ()
 
@@ -61,7 +61,7 @@
         """Return an upstream by its id."""
         return self._upstreams.get(upstream_id)
 
-    def id_of(self, number: int) -> str | None:
+    def id_by_number(self, number: int) -> str | None:
         """Return the id of the upstream that a number stands for between gateways."""
         return self._by_number.get(number)
 
@@ -73,7 +73,7 @@
         self,
         upstreams: Iterable[Upstream],
         revision: int,
-        keep: Mapping[str, float] = NOTHING_KEPT,
+        keep_until: Mapping[str, float] = NOTHING_KEPT,
         unreadable: frozenset[str] = frozenset(),
     ) -> bool:
         """Take a whole list; return whether it was newer than what is held.
@@ -89,7 +89,7 @@
         self._leaving_by_word = {
             item.id for item in entries if item.id in self._leaving and not item.draining
         }
-        wanted = {**keep, **self._lapsed}
+        wanted = {**keep_until, **self._lapsed}
         replaced = unreadable | {item.name for item in listed.values()}
         missing = {
             name: item
--- a/src/lotushill/views/watcher.py
+++ b/src/lotushill/views/watcher.py
@@ -47,26 +47,26 @@
         ...
 
 
-class Reading(Protocol):
+class ReadPolicy(Protocol):
     """Who reads the store; the others hear of changes from those who do."""
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return whether this gateway reads the store now."""
         ...
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         """Return whether it does so only since others are turned away."""
         ...
 
 
-class AlwaysReading:
+class AlwaysReader:
     """Reads whatever others do."""
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return True."""
         return True
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         """Return False."""
         return False
 
@@ -78,11 +78,11 @@
     name: str
     on_list: Callable[[ObjectList], None]
     on_changes: Callable[[list[Change], int], None]
-    held: Callable[[], int]
+    held_revision: Callable[[], int]
     """Revision of the view, which may have come from others; below 0 for none."""
     interval: float
     """At least, from one watch to the next."""
-    wait: float = _WATCH_SECONDS
+    max_watch_seconds: float = _WATCH_SECONDS
     """How long one watch waits for a change, at most."""
     may_start: Callable[[], bool] = lambda: True
     """Whether what has to be known before this kind is known."""
@@ -97,7 +97,7 @@
         kind: WatchedKind,
         rng: random.Random,
         log: EventLog,
-        reading: Reading | None = None,
+        reading: ReadPolicy | None = None,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
         """Follow `kind` while `reading` says that this gateway reads."""
@@ -105,7 +105,7 @@
         self._kind = kind
         self._rng = rng
         self._log = log
-        self._reading = reading or AlwaysReading()
+        self._reading = reading or AlwaysReader()
         self._clock = clock
         self._revision = -1
         self._history_gone = False
@@ -113,7 +113,7 @@
         self._asked_at = 0.0
         self._away_at: float | None = None
         self._step_scope: anyio.CancelScope | None = None
-        self.confirmed_from = float("-inf")
+        self.last_list_sent_at = float("-inf")
         """When the last list was asked for that has come."""
         self.active = False
         """Whether this gateway reads the kind itself."""
@@ -123,7 +123,7 @@
         """Since when each call was answered, None while the last one was not."""
 
     @property
-    def away_at(self) -> float | None:
+    def last_failure_at(self) -> float | None:
         """Return when the last call began that the store did not answer, None without any.
 
         Not when the failure was noticed, nor when the store answered again: both may be seconds
@@ -131,7 +131,7 @@
         """
         return self._away_at
 
-    def doubt(self) -> None:
+    def relist(self) -> None:
         """List again at once: what was told may be old, and the watch under way may have died."""
         self._history_gone = True
         if self._step_scope is not None:
@@ -140,7 +140,7 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            self.active = self._reading.reads()
+            self.active = self._reading.is_reader()
             if not self.active:
                 self._rest()
                 await anyio.sleep(self._jitter(_PASSIVE_SECONDS))
@@ -172,7 +172,7 @@
     async def _step(self) -> None:
         kind = self._kind
         # What others brought need not be asked for again: its history may be gone by now.
-        self._revision = max(self._revision, kind.held())
+        self._revision = max(self._revision, kind.held_revision())
         if self._revision < 0 or self._history_gone:
             await self._list()
         else:
@@ -185,13 +185,13 @@
         self._note_answer()
         self._history_gone = False
         self._revision = listed.revision
-        self.confirmed_from = self._asked_at
+        self.last_list_sent_at = self._asked_at
         self._kind.on_list(listed)
 
     async def _watch(self) -> None:
         kind = self._kind
         self._asked_at = self._clock()
-        wait = kind.wait * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)
+        wait = kind.max_watch_seconds * self._rng.uniform(_SHORTEST_WATCH_SHARE, 1.0)
         changes, revision = await self._store.watch(kind.name, self._revision, wait)
         self._note_answer()
         if changes:
@@ -214,7 +214,11 @@
         if not self.failing:
             self.failing = True
             self._log.note("dependency.lost", name="store", kind=self._kind.name, error=repr(error))
-        longest = _STAND_IN_PAUSE_SECONDS if self._reading.stands_in() else _LONGEST_PAUSE_SECONDS
+        longest = (
+            _STAND_IN_PAUSE_SECONDS
+            if self._reading.is_substitute_reader()
+            else _LONGEST_PAUSE_SECONDS
+        )
         await anyio.sleep(self._jitter(min(longest, self._pause)))
         self._pause = min(longest, self._pause * 2)
 
--- a/tests/contracts/test_editor.py
+++ b/tests/contracts/test_editor.py
@@ -11,10 +11,10 @@
 
 from lotushill.contracts.editor import Editor
 from lotushill.contracts.exceptions import EditConflictError
-from lotushill.contracts.exceptions import EndlessRaceError
-from lotushill.contracts.exceptions import UnknownEffectError
+from lotushill.contracts.exceptions import EditRetriesExhaustedError
+from lotushill.contracts.exceptions import UnknownOutcomeError
 from lotushill.contracts.merge import merge
-from lotushill.contracts.names import KIND
+from lotushill.contracts.names import SETTINGS_KIND
 from lotushill.contracts.paths import put
 from lotushill.views.exceptions import RevisionConflictError
 from lotushill.views.exceptions import StoreUnavailableError
@@ -44,8 +44,8 @@
     @given(TREES, TREES, TREES)
     def test_order_of_the_sides_does_not_matter(self, base: Any, ours: Any, theirs: Any) -> None:
         one, other = merge(base, ours, theirs), merge(base, theirs, ours)
-        paths = {clash.path for clash in one.clashes}
-        self.assertEqual(paths, {clash.path for clash in other.clashes})
+        paths = {clash.path for clash in one.conflicts}
+        self.assertEqual(paths, {clash.path for clash in other.conflicts})
         if not paths:
             self.assertEqual(one.data, other.data)
 
@@ -66,7 +66,7 @@
         return ObjectList(tuple(self.objects.values()), self.revision)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        assert kind == KIND
+        assert kind == SETTINGS_KIND
         return self.objects.get(name)
 
     async def create(self, kind: str, name: str, spec: Any) -> None:
@@ -108,7 +108,7 @@
         base = document()
         with self.assertRaises(EditConflictError) as caught:
             anyio.run(Editor(store).apply, NAME, put(base, "policy.deadline", 9.0), base)
-        (clash,) = caught.exception.clashes
+        (clash,) = caught.exception.conflicts
         self.assertEqual((clash.path, clash.ours, clash.theirs), ("policy.deadline", 9.0, 5.0))
         self.assertEqual(self.held(store)["policy"], {"deadline": 5.0})
 
@@ -129,12 +129,12 @@
         store = FakeStore()
         store.lost = [False]
         wanted = put(document(), "policy.deadline", 9.0)
-        with self.assertRaises(UnknownEffectError):
+        with self.assertRaises(UnknownOutcomeError):
             anyio.run(Editor(store).apply, NAME, wanted, None)
         self.assertEqual(store.revision, 1)
 
     def test_a_race_without_an_end_is_given_up(self) -> None:
         others = [document(policy={"max_attempts": number}) for number in range(1, 9)]
         store = FakeStore(others)
-        with self.assertRaises(EndlessRaceError):
+        with self.assertRaises(EditRetriesExhaustedError):
             anyio.run(Editor(store).edit, NAME, lambda data: put(data, "policy.deadline", 9.0))
--- a/tests/duties/virtual_duties.py
+++ b/tests/duties/virtual_duties.py
@@ -24,9 +24,9 @@
 from lotushill.links.messages import StoreContact
 from lotushill.links.messages import WorkPage
 from lotushill.links.messages import WorkPull
-from lotushill.platform.duty_api import CallEnd
+from lotushill.platform.duty_api import CallOutcome
 from lotushill.platform.duty_api import EngineOrder
-from lotushill.platform.duty_api import Signature
+from lotushill.platform.duty_api import LeaseCredentials
 from lotushill.process.settings import DutySettings
 from lotushill.routing.service import EngineProfile
 from lotushill.routing.service import ScalingProfile
@@ -267,46 +267,46 @@
         self._node = node
 
     async def report_usage(
-        self, window: int, counts: Mapping[str, int], signature: Signature
-    ) -> CallEnd:
+        self, window: int, counts: Mapping[str, int], signature: LeaseCredentials
+    ) -> CallOutcome:
         """Report a window."""
         platform, told = self._node.world.platform, dict(counts)
 
-        def act() -> CallEnd:
+        def act() -> CallOutcome:
             if not platform.carry_out(self._node.name, "usage", signature.token):
-                return CallEnd.REFUSED
+                return CallOutcome.REFUSED
             platform.take_report(window, told)
-            return CallEnd.DONE
+            return CallOutcome.DONE
 
         return await self._call(act)
 
-    async def order(self, order: EngineOrder, signature: Signature) -> CallEnd:
+    async def order(self, order: EngineOrder, signature: LeaseCredentials) -> CallOutcome:
         """Order engines."""
         platform = self._node.world.platform
 
-        def act() -> CallEnd:
+        def act() -> CallOutcome:
             subject = f"{order.service}/{order.hall}"
             if not platform.carry_out(self._node.name, subject, signature.token):
-                return CallEnd.REFUSED
+                return CallOutcome.REFUSED
             if order.reclaimable and order.hall in platform.none_reclaimable:
-                return CallEnd.REFUSED
+                return CallOutcome.REFUSED
             platform.engines[order.hall, order.reclaimable] = order.engines
-            return CallEnd.DONE
+            return CallOutcome.DONE
 
         return await self._call(act)
 
-    async def _call(self, act: Any) -> CallEnd:
+    async def _call(self, act: Any) -> CallOutcome:
         node, platform = self._node, self._node.world.platform
         await node.thawed.wait()
         if platform.down or node.api_cut:
             await asyncio.sleep(1.5)
-            return CallEnd.UNANSWERED
+            return CallOutcome.UNANSWERED
         await asyncio.sleep(TRAVEL)
         if platform.rng.random() < platform.late_share:
             asyncio.get_running_loop().call_later(platform.rng.uniform(2.0, 12.0), act)
             await asyncio.sleep(1.5)
-            return CallEnd.UNANSWERED
-        end: CallEnd = act()
+            return CallOutcome.UNANSWERED
+        end: CallOutcome = act()
         await asyncio.sleep(TRAVEL)
         await node.thawed.wait()
         return end
--- a/tests/links/test_load_records.py
+++ b/tests/links/test_load_records.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from lotushill.links.exceptions import MalformedFrameError
-from lotushill.links.load_records import pack
-from lotushill.links.load_records import unpack
+from lotushill.links.load_records import pack_load
+from lotushill.links.load_records import unpack_loads
 from lotushill.links.load_records import upstream_number
 from lotushill.placement.messages import Began
 from lotushill.placement.messages import Ended
@@ -66,24 +66,24 @@
 class TestLoadRecords(unittest.TestCase):
     @given(st.lists(LOADS, max_size=4))
     def test_what_goes_in_comes_out(self, loads: list[Load]) -> None:
-        data = b"".join(pack(load) for load in loads)
-        self.assertEqual(loads, unpack(data, KNOWN.get))
+        data = b"".join(pack_load(load) for load in loads)
+        self.assertEqual(loads, unpack_loads(data, KNOWN.get))
 
     @given(LOADS)
     def test_requests_on_unknown_upstreams_are_left_out(self, load: Load) -> None:
-        (found,) = unpack(pack(load), lambda number: None)
+        (found,) = unpack_loads(pack_load(load), lambda number: None)
         self.assertEqual(replace(load, placed=()), found)
 
     @given(LOADS, st.data())
     def test_cut_records_are_malformed(self, load: Load, data: st.DataObject) -> None:
-        packed = pack(load)
+        packed = pack_load(load)
         cut = data.draw(st.integers(1, len(packed) - 1))
         with self.assertRaises(MalformedFrameError):
-            unpack(packed[:cut], KNOWN.get)
+            unpack_loads(packed[:cut], KNOWN.get)
 
     @given(st.binary(max_size=200))
     def test_other_bytes_are_malformed_or_another_load(self, data: bytes) -> None:
         try:
-            unpack(data, KNOWN.get)
+            unpack_loads(data, KNOWN.get)
         except MalformedFrameError:
             pass
--- a/tests/membership/network.py
+++ b/tests/membership/network.py
@@ -9,7 +9,7 @@
 from lotushill.links.messages import MemberState
 from lotushill.links.messages import RosterPull
 from lotushill.membership.membership import Membership
-from lotushill.membership.membership import Outgoing
+from lotushill.membership.membership import OutgoingPacket
 from lotushill.membership.membership_options import MembershipOptions
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
                 if name not in self.down:
                     self.send(name, member.tick(self.now))
 
-    def send(self, sender: str, packets: Iterable[Outgoing]) -> None:
+    def send(self, sender: str, packets: Iterable[OutgoingPacket]) -> None:
         """Deliver packets and the answers to them."""
         for packet in packets:
             self.packets += 1
