--- a/tests/membership/test_readers.py
+++ b/tests/membership/test_readers.py
@@ -11,9 +11,9 @@
 from lotushill.links.messages import MemberPhase
 from lotushill.links.messages import MemberState
 from lotushill.links.messages import StoreContact
-from lotushill.membership.readers import READERS
-from lotushill.membership.readers import reads
-from lotushill.membership.readers import stands_in
+from lotushill.membership.readers import READERS_PER_HALL
+from lotushill.membership.readers import is_reader
+from lotushill.membership.readers import is_substitute_reader
 
 
 def member(index: int, hall: str, contact: StoreContact) -> MemberState:
@@ -37,8 +37,8 @@
         for hall in {item.hall for item in fleet}:
             near = [item for item in fleet if item.hall == hall]
             healthy = [item for item in near if item.contact is not StoreContact.AWAY]
-            reading = [item for item in healthy if reads(item, fleet)]
-            wanted = READERS if len({item.hall for item in fleet}) < 4 else 1
+            reading = [item for item in healthy if is_reader(item, fleet)]
+            wanted = READERS_PER_HALL if len({item.hall for item in fleet}) < 4 else 1
             self.assertEqual(min(wanted, len(healthy)), len(reading))
 
     @given(FLEETS)
@@ -46,12 +46,12 @@
         self, fleet: list[MemberState]
     ) -> None:
         for item in fleet:
-            self.assertEqual(reads(item, fleet), reads(item, list(reversed(fleet))))
+            self.assertEqual(is_reader(item, fleet), is_reader(item, list(reversed(fleet))))
 
     @given(FLEETS)
     def test_without_anybody_turned_away_nobody_stands_in(self, fleet: list[MemberState]) -> None:
         calm = [member(index, item.hall, StoreContact.READING) for index, item in enumerate(fleet)]
-        self.assertFalse(any(stands_in(item, calm) for item in calm))
+        self.assertFalse(any(is_substitute_reader(item, calm) for item in calm))
 
     @given(FLEETS)
     def test_several_read_while_nobody_of_a_hall_holds_a_configuration(
@@ -61,9 +61,9 @@
         for hall in {item.hall for item in new}:
             near = [item for item in new if item.hall == hall]
             healthy = [item for item in near if item.contact is not StoreContact.AWAY]
-            reading = [item for item in healthy if reads(item, new)]
+            reading = [item for item in healthy if is_reader(item, new)]
             self.assertEqual(min(3, len(healthy)), len(reading))
 
     def test_one_that_is_alone_reads(self) -> None:
         alone = member(1, "z", StoreContact.PASSIVE)
-        self.assertTrue(reads(alone, []))
+        self.assertTrue(is_reader(alone, []))
--- a/tests/peering/test_leaving_keeper.py
+++ b/tests/peering/test_leaving_gossip.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from lotushill.event_log import EventLog
-from lotushill.peering.leaving_keeper import LeavingKeeper
+from lotushill.peering.leaving_gossip import LeavingGossip
 from lotushill.routing.upstream import Upstream
 from lotushill.views.upstream_view import UpstreamView
 
@@ -32,7 +32,7 @@
     """One gateway: its view, its keeper, and when it last looked."""
 
     view: UpstreamView
-    keeper: LeavingKeeper
+    keeper: LeavingGossip
     ticks_at: float
 
 
@@ -62,7 +62,7 @@
     def _make(self, number: int) -> Gateway:
         view = UpstreamView()
         view.replace(self.entries, 1)
-        keeper = LeavingKeeper(
+        keeper = LeavingGossip(
             f"gw-{number}",
             view,
             lambda news: self._tell(number, news),
@@ -98,7 +98,7 @@
             for gateway in self.gateways:
                 if self.now >= gateway.ticks_at:
                     gateway.ticks_at += TICK
-                    gateway.keeper.tell_due()
+                    gateway.keeper.send_due()
 
     def knowing(self, upstream_id: str) -> int:
         """Return how many gateways send an upstream nothing new."""
@@ -106,12 +106,12 @@
         return sum(item is not None and item.draining for item in found)
 
 
-class TestLeavingKeeper(unittest.TestCase):
+class TestLeavingGossip(unittest.TestCase):
     def test_all_know_within_a_heartbeat_whoever_was_answered(self) -> None:
         for count in (2, 9, 81, 360):
             with self.subTest(count=count):
                 fleet = Gateways(count)
-                fleet.gateways[0].keeper.note("u3")
+                fleet.gateways[0].keeper.note_answer("u3")
                 fleet.run(HEARTBEAT)
                 self.assertEqual(count, fleet.knowing("u3"))
                 self.assertEqual(0, fleet.knowing("u4"))
@@ -121,7 +121,7 @@
             with self.subTest(count=count):
                 fleet = Gateways(count)
                 for gateway in fleet.gateways:
-                    gateway.keeper.note("u3")
+                    gateway.keeper.note_answer("u3")
                 fleet.run(4.0)
                 # Each telling is a datagram to each other one. Some speak together in each of the
                 # five intervals; if all did, it would be 360 tellings in each.
@@ -130,7 +130,7 @@
     def test_many_that_leave_together_are_all_told(self) -> None:
         fleet = Gateways(81)
         for upstream in SERVING:
-            fleet.gateways[0].keeper.note(upstream.id)
+            fleet.gateways[0].keeper.note_answer(upstream.id)
         fleet.run(2 * HEARTBEAT)
         self.assertEqual([81] * len(SERVING), [fleet.knowing(item.id) for item in SERVING])
 
@@ -138,18 +138,18 @@
         fleet = Gateways(81, upstreams=150)
         for gateway in fleet.gateways:
             for number in range(149):
-                gateway.keeper.note(f"u{number}")
+                gateway.keeper.note_answer(f"u{number}")
         fleet.run(20.0)
         before = fleet.datagrams
         fleet.run(20.0)
         self.assertLess((fleet.datagrams - before) / 20.0, 4 * 81)
-        fleet.gateways[3].keeper.note("u149")
+        fleet.gateways[3].keeper.note_answer("u149")
         fleet.run(2 * HEARTBEAT)
         self.assertEqual(81, fleet.knowing("u149"))
 
     def test_one_that_joins_later_hears_of_it(self) -> None:
         fleet = Gateways(9, loss=0.0)
-        fleet.gateways[0].keeper.note("u3")
+        fleet.gateways[0].keeper.note_answer("u3")
         fleet.run(20.0)
         fleet.join()
         fleet.run(6.4)
@@ -157,8 +157,8 @@
 
     def test_halls_that_were_cut_off_from_each_other_learn_from_each_other(self) -> None:
         fleet = Gateways(9, loss=1.0)
-        fleet.gateways[0].keeper.note("u3")
-        fleet.gateways[8].keeper.note("u5")
+        fleet.gateways[0].keeper.note_answer("u3")
+        fleet.gateways[8].keeper.note_answer("u5")
         fleet.run(10.0)
         self.assertEqual((1, 1), (fleet.knowing("u3"), fleet.knowing("u5")))
         fleet.loss = LOSS
@@ -167,7 +167,7 @@
 
     def test_nothing_is_told_once_the_entry_says_it(self) -> None:
         fleet = Gateways(9)
-        fleet.gateways[0].keeper.note("u3")
+        fleet.gateways[0].keeper.note_answer("u3")
         fleet.run(HEARTBEAT)
         draining = [replace(item, draining=item.id == "u3") for item in SERVING]
         for gateway in fleet.gateways:
@@ -180,7 +180,7 @@
         fleet = Gateways(2, loss=0.0)
         late = replace(SERVING[0], id="late")
         fleet.gateways[0].view.replace([*SERVING, late], 2)
-        fleet.gateways[0].keeper.note("late")
+        fleet.gateways[0].keeper.note_answer("late")
         fleet.run(HEARTBEAT)
         fleet.gateways[1].view.replace([*SERVING, late], 2)
         self.assertEqual(2, fleet.knowing("late"))
--- a/tests/peering/test_peers.py
+++ b/tests/peering/test_peers.py
@@ -15,7 +15,7 @@
 from lotushill.links.messages import PlacementAnswer
 from lotushill.links.messages import StoreContact
 from lotushill.links.messages import ViewKind
-from lotushill.membership.schedulers import SCHEDULERS
+from lotushill.membership.schedulers import SCHEDULERS_PER_HALL
 from lotushill.peering.peers import PeerHooks
 from lotushill.peering.peers import Peers
 from lotushill.placement.engine_pace import LongTermPace
@@ -78,10 +78,10 @@
             view_revision=lambda kind: 1,
             view_text=lambda kind: (1, ""),
             on_view=lambda kind, revision, text: None,
-            contact=lambda: StoreContact.PASSIVE,
+            store_contact=lambda: StoreContact.PASSIVE,
             upstream_id={upstream_number("e1"): "e1"}.get,
             on_load=received.append,
-            everything=lambda: [Load(name, False, ended=(Ended(7),))],
+            all_running=lambda: [Load(name, False, ended=(Ended(7),))],
             paces=lambda: [LongTermPace("e1", 2.0, 1.0)],
             on_paces=self.paces.setdefault(name, []).extend,
             on_work_pull=lambda pull: [],
@@ -93,9 +93,9 @@
             on_permit_answer=lambda _: None,
             on_returns=lambda _: None,
             on_tick=lambda: None,
-            on_gone=lambda name: None,
-            answer=lambda ask, now: PlacementAnswer(name, ask.request, refusal=UNREADY),
-            on_late=lambda request: None,
+            on_gateway_gone=lambda name: None,
+            answer_placement=lambda ask, now: PlacementAnswer(name, ask.request, refusal=UNREADY),
+            on_late_placement=lambda request: None,
         )
         peers = Peers(
             settings,
@@ -152,7 +152,7 @@
 
     async def test_each_gateway_is_told_once(self) -> None:
         self.assertEqual(12, self.sender.count())
-        self.sender.tell_load(LOAD)
+        self.sender.publish_load(LOAD)
         told = self.received()
         self.assertEqual(0, told.pop("gw-0"))
         self.assertEqual({1}, set(told.values()))
@@ -160,7 +160,7 @@
     async def test_what_comes_quickly_is_told_in_batches(self) -> None:
         self.network.datagrams = 0
         for number in range(20):
-            self.sender.tell_load(Load("gw-0", False, ended=(Ended(number),)))
+            self.sender.publish_load(Load("gw-0", False, ended=(Ended(number),)))
         self.network.flush()
         late = self.received()
         self.assertEqual({20}, {count for name, count in late.items() if name != "gw-0"})
@@ -169,7 +169,7 @@
     async def test_one_that_is_gone_keeps_nobody_in_the_dark(self) -> None:
         self.network.down = {"gw-1"}
         for number in range(40):
-            self.sender.tell_load(Load("gw-0", False, ended=(Ended(number),)))
+            self.sender.publish_load(Load("gw-0", False, ended=(Ended(number),)))
         self.network.flush()
         told = self.received()
         self.assertEqual({40}, {told[name] for name in told if name not in ("gw-0", "gw-1")})
@@ -210,17 +210,17 @@
         self.network = Network(30)
         self.network.join()
         everybody = self.network.all()
-        self.schedulers = [item for item in everybody if item.schedulers.schedules()]
-        self.others = [item for item in everybody if not item.schedulers.schedules()]
+        self.schedulers = [item for item in everybody if item.schedulers.is_scheduler()]
+        self.others = [item for item in everybody if not item.schedulers.is_scheduler()]
 
     def received(self) -> dict[str, int]:
         return {name: len(loads) for name, loads in self.network.loads.items() if loads}
 
     async def test_each_hall_has_as_many_schedulers_and_all_agree_on_them(self) -> None:
         names = sorted(item.membership.own.name for item in self.schedulers)
-        self.assertEqual(len(HALLS) * SCHEDULERS, len(names))
+        self.assertEqual(len(HALLS) * SCHEDULERS_PER_HALL, len(names))
         for peers in self.network.all():
-            held = [name for order in peers.schedulers.halls().values() for name in order]
+            held = [name for order in peers.schedulers.names_by_hall().values() for name in order]
             self.assertEqual(names, sorted(held))
 
     async def test_schedulers_hear_once_of_what_any_gateway_tells_and_others_do_not(self) -> None:
@@ -229,7 +229,7 @@
                 loads.clear()
             own = sender.membership.own.name
             self.network.now += 1.0
-            sender.tell_load(Load(own, False, ended=(Ended(1),)))
+            sender.publish_load(Load(own, False, ended=(Ended(1),)))
             self.network.flush()
             expected = {item.membership.own.name: 1 for item in self.schedulers}
             expected.pop(own, None)
@@ -238,17 +238,17 @@
     async def test_telling_costs_one_that_does_not_schedule_one_datagram(self) -> None:
         self.network.now += 1.0
         self.network.datagrams = 0
-        self.others[0].tell_load(LOAD)
+        self.others[0].publish_load(LOAD)
         self.network.flush()
         self.assertEqual(1 + len(self.schedulers) - 1, self.network.datagrams)
 
     async def test_a_silent_scheduler_is_passed_over(self) -> None:
         asker = self.others[0]
-        first, second, *_ = asker.schedulers.in_order(self.network.now)
+        first, second, *_ = asker.schedulers.query_order(self.network.now)
         asker.schedulers.note_silent(first.name, self.network.now)
-        self.assertEqual(second, asker.schedulers.in_order(self.network.now)[0])
+        self.assertEqual(second, asker.schedulers.query_order(self.network.now)[0])
         asker.schedulers.note_answer(first.name)
-        self.assertEqual(first, asker.schedulers.in_order(self.network.now)[0])
+        self.assertEqual(first, asker.schedulers.query_order(self.network.now)[0])
 
     async def test_a_hall_whose_schedulers_are_all_silent_is_cut_off(self) -> None:
         scheduler = self.schedulers[0]
@@ -275,11 +275,11 @@
         now = network.now + 100
         ahead.membership.set_views(5, 1, 1, StoreContact.READING)
         ahead._send_all(ahead.membership.announce())
-        behind._views.catch_up(ViewKind.CONFIGURATION, 1, behind.membership.live(), now)
+        behind._views.pull_if_behind(ViewKind.CONFIGURATION, 1, behind.membership.live(), now)
         self.assertEqual(["gw-0"], posted)
         behind.membership.set_views(1, 1, 1, StoreContact.READING)
         behind._views._behind.clear()
-        behind._views.catch_up(ViewKind.CONFIGURATION, 1, behind.membership.live(), now + 10)
+        behind._views.pull_if_behind(ViewKind.CONFIGURATION, 1, behind.membership.live(), now + 10)
         self.assertEqual(["gw-0"], posted)
-        behind._views.catch_up(ViewKind.CONFIGURATION, 1, behind.membership.live(), now + 11)
+        behind._views.pull_if_behind(ViewKind.CONFIGURATION, 1, behind.membership.live(), now + 11)
         self.assertEqual(["gw-0", "gw-0"], posted)
--- a/tests/peering/test_return_keeper.py
+++ b/tests/peering/test_return_gossip.py
@@ -13,7 +13,7 @@
 from dataclasses import field
 from typing import TYPE_CHECKING
 
-from lotushill.peering.return_keeper import ReturnKeeper
+from lotushill.peering.return_gossip import ReturnGossip
 from lotushill.returns.promise import Requester
 from lotushill.returns.promises import ReturnPromises
 from lotushill.returns.schedule import RESERVED_FRACTION
@@ -54,7 +54,7 @@
     def __post_init__(self) -> None:
         self.returns = [ReturnPromises() for _ in range(self.count)]
         self.keepers = [
-            ReturnKeeper(f"s{n}", self.returns[n], self._others(n), self._send(n), self._clock)  # type: ignore[arg-type]
+            ReturnGossip(f"s{n}", self.returns[n], self._others(n), self._send(n), self._clock)  # type: ignore[arg-type]
             for n in range(self.count)
         ]
         for item in self.returns:
@@ -93,7 +93,7 @@
                 item.start_rate.note("llm", 1, self.now)
                 for _ in range(int(ROOM * TICK) - 1):
                     item.start_rate.note("llm", 1, self.now)
-                keeper.tell_due()
+                keeper.send_due()
 
     def refuse_burst(self) -> dict[int, tuple[float, int]]:
         """Refuse some at schedulers by turns; return when each is due, and who promised."""
@@ -122,7 +122,7 @@
         return found
 
 
-class TestReturnKeeper(unittest.TestCase):
+class TestReturnGossip(unittest.TestCase):
     def test_nearly_all_find_their_place_at_another_scheduler(self) -> None:
         for count in (1, 2, 8, 20):
             for loss in (0.0, 0.1):
--- a/tests/peering/test_view_exchange.py
+++ b/tests/peering/test_view_exchange.py
@@ -21,8 +21,8 @@
 from lotushill.links.messages import ViewKind
 from lotushill.links.messages import ViewPage
 from lotushill.links.messages import ViewPull
-from lotushill.links.packed_text import pack
-from lotushill.links.packed_text import unpack
+from lotushill.links.packed_text import compress_text
+from lotushill.links.packed_text import decompress_text
 from lotushill.membership.membership import Membership
 from lotushill.membership.membership_options import MembershipOptions
 from lotushill.peering.view_exchange import ViewExchange
@@ -88,29 +88,29 @@
 
     def test_what_is_sent_is_what_is_taken(self) -> None:
         self.exchange.answer("m", ViewPull(ViewKind.CONFIGURATION, 11))
-        self.assertTrue(self.exchange.take(self.links.posted[0]))
+        self.assertTrue(self.exchange.receive(self.links.posted[0]))
         self.assertEqual([TEXT], self.taken)
 
     def test_a_page_of_an_older_process_is_taken(self) -> None:
-        self.assertTrue(self.exchange.take(ViewPage(ViewKind.CONFIGURATION, 15, "{}")))
+        self.assertTrue(self.exchange.receive(ViewPage(ViewKind.CONFIGURATION, 15, "{}")))
         self.assertEqual(["{}"], self.taken)
 
     def test_bytes_that_are_no_text_are_not(self) -> None:
-        for packed in (b"x", pack(TEXT)[:-9], pack("a" * 17_000_000)):
+        for packed in (b"x", compress_text(TEXT)[:-9], compress_text("a" * 17_000_000)):
             page = ViewPage(ViewKind.CONFIGURATION, 15, packed=packed)
-            self.assertFalse(self.exchange.take(page))
+            self.assertFalse(self.exchange.receive(page))
         self.assertEqual([], self.taken)
 
 
 class TestPackedText(unittest.TestCase):
     @given(st.text())
     def test_every_text_comes_back(self, text: str) -> None:
-        self.assertEqual(text, unpack(pack(text)))
+        self.assertEqual(text, decompress_text(compress_text(text)))
 
     @given(st.binary(max_size=64))
     def test_other_bytes_raise_the_one_error(self, data: bytes) -> None:
         try:
-            unpack(data)
+            decompress_text(data)
         except MalformedFrameError:
             return
 
--- a/tests/platform/test_memory_calls.py
+++ b/tests/platform/test_memory_calls.py
@@ -9,8 +9,8 @@
 from lotushill.moves.memory_copy import Copied
 from lotushill.moves.memory_copy import NoCopyReason
 from lotushill.moves.memory_copy import NotCopied
-from lotushill.platform.memory_calls import move_content
-from lotushill.platform.memory_calls import read_move
+from lotushill.platform.memory_calls import move_request_body
+from lotushill.platform.memory_calls import parse_move_answer
 
 
 def answer(status: int, said: Any) -> JsonAnswer:
@@ -20,26 +20,28 @@
 class TestMemoryCalls(unittest.TestCase):
     def test_what_is_asked(self) -> None:
         wanted = {"id": "9c41", "targetVersion": "10.0.0.2:80", "last": True}
-        self.assertEqual(wanted, move_content("9c41", "10.0.0.2:80", last=True))
+        self.assertEqual(wanted, move_request_body("9c41", "10.0.0.2:80", last=True))
 
     def test_what_is_answered(self) -> None:
         said = {"handle": "h-7", "made": 12}
-        self.assertEqual(Copied("h-7", 12), read_move(answer(200, said)))
+        self.assertEqual(Copied("h-7", 12), parse_move_answer(answer(200, said)))
         for status, reason in (
             (404, NoCopyReason.UNKNOWN_RUN),
             (409, NoCopyReason.BUSY),
             (503, NoCopyReason.NO_ROOM),
         ):
-            self.assertEqual(NotCopied(reason), read_move(answer(status, {})))
-        self.assertEqual(NotCopied(NoCopyReason.NO_ROOM, "h-7"), read_move(answer(503, said)))
+            self.assertEqual(NotCopied(reason), parse_move_answer(answer(status, {})))
+        self.assertEqual(
+            NotCopied(NoCopyReason.NO_ROOM, "h-7"), parse_move_answer(answer(503, said))
+        )
 
     def test_what_cannot_stand_in_a_path_or_a_header_is_no_handle(self) -> None:
         odd = ("", "a b", "a/b", "a?b", "a\r\nx: y", "x" * 300, "é", 7, None, ["h"])
         for handle in odd:
             with self.subTest(handle=handle), self.assertRaises(NoAnswerError):
-                read_move(answer(200, {"handle": handle}))
+                parse_move_answer(answer(200, {"handle": handle}))
 
     def test_any_other_answer_is_none(self) -> None:
         for status, said in ((500, {}), (200, []), (200, {}), (302, {"handle": "h"})):
             with self.subTest(status=status), self.assertRaises(NoAnswerError):
-                read_move(answer(status, said))
+                parse_move_answer(answer(status, said))
--- a/tests/platform/test_object_store.py
+++ b/tests/platform/test_object_store.py
@@ -14,7 +14,7 @@
 from lotushill.links.messages import ViewKind
 from lotushill.platform.object_store import ObjectStore
 from lotushill.standin.metadata_app import MetadataApp
-from lotushill.standin.metadata_app import Trouble
+from lotushill.standin.metadata_app import StoreFault
 from lotushill.standin.metadata_store import MetadataStore
 from lotushill.views.exceptions import HistoryGoneError
 from lotushill.views.exceptions import MalformedViewError
@@ -65,8 +65,8 @@
         self.store.compact()
         with self.assertRaises(HistoryGoneError):
             await self.client.watch("k", 0, 0.1)
-        for trouble in (Trouble.BUSY, Trouble.MANY):
-            self.app.trouble = trouble
+        for trouble in (StoreFault.BUSY, StoreFault.MANY):
+            self.app.fault = trouble
             with self.assertRaises(StoreUnavailableError):
                 await self.client.list_kind("k")
 
@@ -95,7 +95,7 @@
 
     async def follow(self, *conditions: Any) -> None:
         """Run the views until each condition has held, one after the other."""
-        tasks = self.views.tasks()
+        tasks = self.views.start_tasks()
         try:
             async with asyncio.timeout(10):
                 for condition in conditions:
@@ -115,7 +115,7 @@
         self.store.create("servers", "i-1", UPSTREAM)
 
         def known() -> bool:
-            return self.version() == 1 and self.views.upstreams.known
+            return self.version() == 1 and self.views.upstreams.is_loaded
 
         def change() -> bool:
             self.put_version(2)
@@ -144,23 +144,23 @@
         self.put_version(1)
 
         def fail() -> bool:
-            self.app.trouble = Trouble.BUSY
+            self.app.fault = StoreFault.BUSY
             self.store.put("config", "other", {})
             return True
 
         def recover() -> bool:
             self.put_version(2)
-            self.app.trouble = Trouble.NONE
+            self.app.fault = StoreFault.NONE
             return True
 
         await self.follow(
             lambda: self.version() == 1,
             fail,
-            lambda: not self.views.fresh(),
+            lambda: not self.views.is_fresh(),
             lambda: self.version() == 1,
             recover,
             lambda: self.version() == 2,
-            lambda: self.views.fresh(),
+            lambda: self.views.is_fresh(),
         )
         lost = [line for line in self.lines if b"dependency.lost" in line and b'"config"' in line]
         self.assertEqual(1, len(lost))
@@ -181,7 +181,7 @@
 
     async def test_a_peers_view_is_taken_only_if_it_is_newer(self) -> None:
         def take(kind: ViewKind, revision: int, value: Any) -> None:
-            self.views.take_from_peer(kind, revision, json.dumps(value))
+            self.views.receive_from_peer(kind, revision, json.dumps(value))
 
         take(ViewKind.CONFIGURATION, 5, {**SPEC, "version": 5})
         take(ViewKind.CONFIGURATION, 4, {**SPEC, "version": 6})
@@ -196,18 +196,18 @@
         for kind in ViewKind:
             for text in texts:
                 try:
-                    self.views.take_from_peer(kind, 5, text)
+                    self.views.receive_from_peer(kind, 5, text)
                 except MalformedViewError:
                     continue
         self.assertEqual(0, self.version())
-        self.assertFalse(self.views.upstreams.known)
+        self.assertFalse(self.views.upstreams.is_loaded)
 
     async def test_upstreams_missing_after_an_outage_are_kept_for_a_while(self) -> None:
         self.store.put("servers", "i-1", UPSTREAM)
         self.store.put("servers", "i-2", {**UPSTREAM, "state": "draining"})
 
         def fail() -> bool:
-            self.app.trouble = Trouble.BUSY
+            self.app.fault = StoreFault.BUSY
             self.store.put("servers", "i-3", UPSTREAM)
             return True
 
@@ -217,7 +217,7 @@
             return True
 
         def recover() -> bool:
-            self.app.trouble = Trouble.NONE
+            self.app.fault = StoreFault.NONE
             return True
 
         await self.follow(
@@ -274,18 +274,18 @@
 
     async def test_a_store_that_comes_back_late_is_asked_for_the_holds_first(self) -> None:
         self.store.put("config", "main", SPEC)
-        self.app.trouble = Trouble.BUSY
+        self.app.fault = StoreFault.BUSY
         views = self.follow_from_start()
         while not any(b"dependency.lost" in line for line in self.lines):
             await asyncio.sleep(0.005)
         self.now += 10.0
-        self.app.busy_kind = "lotushill-quarantine"
-        self.app.trouble = Trouble.NONE
-        while not views.upstreams.known:
+        self.app.rejected_kind = "lotushill-quarantine"
+        self.app.fault = StoreFault.NONE
+        while not views.upstreams.is_loaded:
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.2)
         before = views.configuration.table
-        self.app.busy_kind = ""
+        self.app.rejected_kind = ""
         while views.configuration.table is None:
             await asyncio.sleep(0.005)
         await self.stop_following()
@@ -294,9 +294,9 @@
 
     async def test_where_the_holds_alone_cannot_be_read_it_serves_after_two_seconds(self) -> None:
         self.store.put("config", "main", SPEC)
-        self.app.busy_kind = "lotushill-quarantine"
+        self.app.rejected_kind = "lotushill-quarantine"
         views = self.follow_from_start()
-        while not views.upstreams.known:
+        while not views.upstreams.is_loaded:
             await asyncio.sleep(0.005)
         self.assertFalse(views.knows_holds())
         self.now += 2.1
@@ -310,7 +310,7 @@
         self.now = 1000.0
         log = EventLog("gw", self.lines.append)
         views = StoreViews(self.client, random.Random(1), log, lambda: None, clock=lambda: self.now)
-        self.tasks = views.tasks()
+        self.tasks = views.start_tasks()
         return views
 
     async def stop_following(self) -> None:
@@ -324,7 +324,7 @@
         views = StoreViews(
             self.client, random.Random(1), EventLog("gw", lambda _: None), lambda: None
         )
-        tasks = views.tasks()
+        tasks = views.start_tasks()
         while views.configuration.table is None:
             await asyncio.sleep(0.005)
         for task in tasks:
--- a/tests/platform/test_readers_fuzz.py
+++ b/tests/platform/test_readers_fuzz.py
@@ -16,7 +16,7 @@
 from lotushill.links.exceptions import MalformedFrameError
 from lotushill.links.exceptions import NoAnswerError
 from lotushill.links.json_client import JsonAnswer
-from lotushill.links.load_records import unpack
+from lotushill.links.load_records import unpack_loads
 from lotushill.platform import object_store
 from lotushill.platform.configuration import parse_table
 from lotushill.quarantine.hold_view import HoldView
@@ -136,6 +136,6 @@
     @settings(max_examples=300)
     def test_records_of_load(self, data: bytes) -> None:
         try:
-            unpack(data, lambda _: "u")
+            unpack_loads(data, lambda _: "u")
         except MalformedFrameError:
             pass
--- a/tests/platform/test_request_head.py
+++ b/tests/platform/test_request_head.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lotushill.links.hop_headers import relayed
+from lotushill.links.hop_headers import end_to_end_headers
 from lotushill.placement.memory_copies import MemoryCopies
 from lotushill.platform import request_head
 from lotushill.routing.demand import PromptPart
@@ -49,7 +49,7 @@
 
 class TestForwarded(unittest.TestCase):
     def test_the_key_the_forged_team_and_the_hop_stay_here(self) -> None:
-        kept = dict(request_head.forwarded(HEADERS, b"body"))
+        kept = dict(request_head.forwarded_headers(HEADERS, b"body"))
         for name in (b"authorization", b"tenant", b"x-hop", b"connection", b"deadline-ms"):
             self.assertNotIn(name, kept)
         self.assertEqual(
@@ -77,7 +77,7 @@
 
 class TestAnswers(unittest.TestCase):
     def test_the_signature_travels_and_the_hop_does_not(self) -> None:
-        kept = relayed(
+        kept = end_to_end_headers(
             [(b"response-signature", b"s"), (b"connection", b"close"), (b"keep-alive", b"x")]
         )
         self.assertEqual([(b"response-signature", b"s")], kept)
--- a/tests/platform/test_upstreams.py
+++ b/tests/platform/test_upstreams.py
@@ -111,7 +111,7 @@
             self.put(a=GOOD, b={**GOOD, "state": "?", "seqNo": number})
         self.put(a=GOOD, b={**GOOD, "address": 5})
         self.assertEqual(["b", "b"], self.ignored())
-        self.assertEqual(2, self.views.upstream_faults.counted)
+        self.assertEqual(2, self.views.upstream_faults.total_count)
 
     def test_an_upstream_whose_entry_is_spoilt_gets_nothing_more_even_after_an_outage(self) -> None:
         self.put(a=GOOD, b=GOOD)
@@ -141,6 +141,6 @@
     ) -> None:
         shown = text.decode("latin-1") if isinstance(text, bytes) else text
         try:
-            self.views.take_from_peer(kind, 10**6, shown)
+            self.views.receive_from_peer(kind, 10**6, shown)
         except MalformedViewError:
             pass
--- a/tests/process/test_metrics.py
+++ b/tests/process/test_metrics.py
@@ -8,12 +8,12 @@
 class TestMetrics(unittest.TestCase):
     def test_ends_times_and_predictions_are_told(self) -> None:
         metrics = Metrics()
-        metrics.gauge("members", "Gateways that are heard", lambda: 3)
-        metrics.note_request("llm", "given-up:reset", 0.3)
-        metrics.note_attempt("llm", 1, "broken")
-        metrics.note_refused("llm", 0, "overload")
-        metrics.note_turned_away(404)
-        metrics.note_first("llm", 0.3, 0.2)
+        metrics.add_gauge("members", "Gateways that are heard", lambda: 3)
+        metrics.record_request("llm", "given-up:reset", 0.3)
+        metrics.record_attempt("llm", 1, "broken")
+        metrics.record_refusal("llm", 0, "overload")
+        metrics.record_rejection(404)
+        metrics.record_first_event("llm", 0.3, 0.2)
         text = metrics.text().decode()
         for line in (
             'lotushill_requests_total{outcome="given-up",service="llm"} 1.0',
--- a/tests/process/test_side_tasks.py
+++ b/tests/process/test_side_tasks.py
@@ -27,7 +27,7 @@
             tasks = SideTasks(EventLog("gw", lines.append), random.Random(1))
             async with anyio.create_task_group() as group:
                 group.start_soon(tasks.run, "broken", fails_three_times)
-            self.assertEqual(tasks.faults, 3)
+            self.assertEqual(tasks.failure_count, 3)
 
         run_virtual(main())
         self.assertEqual(sum(b"task.failed" in line for line in lines), 3)
--- a/tests/quarantine/virtual_fleet.py
+++ b/tests/quarantine/virtual_fleet.py
@@ -13,8 +13,8 @@
 from typing import cast
 
 from lotushill.event_log import EventLog
-from lotushill.peering.group_keeper import GroupKeeper
-from lotushill.peering.quarantine_keeper import QuarantineKeeper
+from lotushill.peering.group_gossip import GroupGossip
+from lotushill.peering.quarantine_gossip import QuarantineGossip
 from lotushill.placement.choice import Choice
 from lotushill.quarantine.group import Group
 from lotushill.quarantine.group import groups_of
@@ -101,7 +101,7 @@
         self.wards = [
             IsolationPolicy(item, self._view, lambda: self.now) for item in self.isolations
         ]
-        self.keepers = [self._keeper(number) for number in range(gateways)]
+        self.gossips = [self._keeper(number) for number in range(gateways)]
         self.alive = set(range(gateways))
         self.outcomes: Counter[tuple[bytes, str]] = Counter()
         """Of arrivals, by identity (or "other") and outcome."""
@@ -112,16 +112,16 @@
             self._start_upstream()
         self._list_upstreams()
 
-    def _keeper(self, number: int) -> QuarantineKeeper:
+    def _keeper(self, number: int) -> QuarantineGossip:
         log, rng = EventLog("gw", lambda _: None), random.Random(number)
 
         def tell(news: SuspectNews | ClearedNews | GroupNews) -> None:
             self._tell(number, news)
 
-        return QuarantineKeeper(
+        return QuarantineGossip(
             f"gw-{number}",
             self.quarantines[number],
-            GroupKeeper(f"gw-{number}", self.isolations[number], tell, log, rng, lambda: self.now),
+            GroupGossip(f"gw-{number}", self.isolations[number], tell, log, rng, lambda: self.now),
             self._view,
             self._has_ended,
             tell,
@@ -135,7 +135,7 @@
         self.quarantines[number] = Quarantine()
         self.isolations[number] = Isolation()
         self.wards[number] = IsolationPolicy(self.isolations[number], self._view, lambda: self.now)
-        self.keepers[number] = self._keeper(number)
+        self.gossips[number] = self._keeper(number)
 
     async def _has_ended(self, upstream: Upstream) -> bool:
         return upstream.id not in self._running
@@ -144,7 +144,7 @@
         for number in self.alive - {sender}:
             self.datagrams += 1
             if self.rng.random() >= self._loss:
-                self.keepers[number].receive(news)
+                self.gossips[number].receive(news)
 
     # Upstreams
 
@@ -182,8 +182,8 @@
         await self._send(Arrival(identity, gateway, seconds, team, b"/" + kind))
 
     async def _send(self, arrival: Arrival) -> None:
-        keeper = self.keepers[arrival.gateway]
-        if keeper.holds(arrival.as_request()):
+        keeper = self.gossips[arrival.gateway]
+        if keeper.is_held(arrival.as_request()):
             return self._note(arrival, "held")
         if not self._running:
             return self._note(arrival, "none")
@@ -212,14 +212,14 @@
         return name if ward.admits(request, choice) else None
 
     async def _cut(self, arrival: Arrival, upstream: str) -> None:
-        keeper = self.keepers[arrival.gateway]
+        keeper = self.gossips[arrival.gateway]
         found = self._view.find(upstream)
         if arrival.gateway not in self.alive or found is None:
             return
         begun = self.now - arrival.sent_at >= _FIRST_EVENT_SECONDS
-        await asyncio.wait((keeper.note_cut(arrival.as_request(), found, begun),))
-        keeper.tell_due()
-        if arrival.sent < 2 and keeper.may_be_sent_on(arrival.as_request()):
+        await asyncio.wait((keeper.record_interruption(arrival.as_request(), found, begun),))
+        keeper.send_due()
+        if arrival.sent < 2 and keeper.may_retry(arrival.as_request()):
             arrival.ends = 0.5
             await self._send(arrival)
         else:
@@ -247,8 +247,8 @@
         for name in list(self._running):
             await self._finish_at(name)
         for number in self.alive:
-            if self.keepers[number].next_due() <= self.now:
-                self.keepers[number].tell_due()
+            if self.gossips[number].next_due() <= self.now:
+                self.gossips[number].send_due()
 
     async def _finish_at(self, name: str) -> None:
         done = [item for item in self._running.get(name, []) if item.ends <= self.now]
@@ -259,7 +259,7 @@
             return
         for arrival in done:
             self._running[name].remove(arrival)
-            self.keepers[arrival.gateway].note_whole(arrival.as_request())
+            self.gossips[arrival.gateway].record_completion(arrival.as_request())
             self._note(arrival, "whole")
 
     def share_whole(self, kind: bytes) -> float:
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -30,9 +30,9 @@
 from lotushill.membership.membership import Membership
 from lotushill.membership.membership_options import MembershipOptions
 from lotushill.membership.schedulers import Schedulers
-from lotushill.peering.group_keeper import GroupKeeper
-from lotushill.peering.leaving_keeper import LeavingKeeper
-from lotushill.peering.quarantine_keeper import QuarantineKeeper
+from lotushill.peering.group_gossip import GroupGossip
+from lotushill.peering.leaving_gossip import LeavingGossip
+from lotushill.peering.quarantine_gossip import QuarantineGossip
 from lotushill.placement.fleet import Fleet
 from lotushill.platform import request_head
 from lotushill.process.metrics import Metrics
@@ -287,7 +287,7 @@
             1,
         )
         shared_load = SharedLoad("gw", fleet, self.clock, lambda _: self.service, lambda _: None)
-        pool = UpstreamPool(request_head.answered_id, clock=self.clock)
+        pool = UpstreamPool(request_head.answer_request_id, clock=self.clock)
         self.suspension = SuspensionWatch(
             self.clock, time.monotonic, self._on_woke, lambda _: self.confirmed
         )
@@ -306,13 +306,13 @@
             random.Random(7),
             self.clock,
         )
-        self.leaving = LeavingKeeper(
+        self.leaving = LeavingGossip(
             "gw", self.view, self.sent_leaving_messages.append, log, random.Random(5), self.clock
         )
-        groups = GroupKeeper(
+        groups = GroupGossip(
             "gw", self.isolation, self.sent_messages.append, log, random.Random(6), self.clock
         )
-        self.keeper = QuarantineKeeper(
+        self.quarantine_gossip = QuarantineGossip(
             "gw", self.quarantine, groups, self.view, pool.has_ended, self.sent_messages.append,
             log, random.Random(3), self.clock,
         )  # fmt: skip
@@ -330,7 +330,7 @@
         metrics = Metrics()
         ward = IsolationPolicy(self.isolation, self.view, self.clock)
         self.mover = Mover(
-            EngineMemoryClient(), placer, shared_load, self.view, ward, self.keeper, budgets,
+            EngineMemoryClient(), placer, shared_load, self.view, ward, self.quarantine_gossip, budgets,
             stated.rate, metrics, log, self.clock,
         )  # fmt: skip
         self.parts = GatewayParts(
@@ -344,10 +344,12 @@
             pool=pool,
             isolation_policy=ward,
             mover=self.mover,
-            gate=UpstreamGate(self.view, rests, self.limits, self.leaving.note, log, self.clock),
+            gate=UpstreamGate(
+                self.view, rests, self.limits, self.leaving.note_answer, log, self.clock
+            ),
             limits=self.limits,
             team_limits=TeamLimits(counting, self.limits.client, random.Random(8), self.clock),
-            quarantine=self.keeper,
+            quarantine=self.quarantine_gossip,
             budgets=budgets,
             work=RequestCounter("gw", 5.0, TrueTime(time.time, self.clock), self.clock),
             log=log,
@@ -370,7 +372,7 @@
         table = RoutingTable(
             version, [self.route] if routes else [], [self.service], teams, ClientLimits()
         )
-        self.configuration.take(table, version)
+        self.configuration.replace(table, version)
 
     async def __aexit__(self, *_: object) -> None:
         """Stop everything."""
--- a/tests/requests/test_client_protocol.py
+++ b/tests/requests/test_client_protocol.py
@@ -9,7 +9,7 @@
 from lotushill.links.asgi import Receive
 from lotushill.links.asgi import Scope
 from lotushill.links.asgi import Send
-from lotushill.links.asgi import send_whole
+from lotushill.links.asgi import send_response
 from lotushill.links.http_server import HttpServer
 from lotushill.requests.client_protocol import ClientProtocol
 from lotushill.routing.limits import ClientLimits
@@ -19,7 +19,7 @@
 
 async def answer(scope: Scope, receive: Receive, send: Send) -> None:
     del scope, receive
-    await send_whole(send, 200, (), b"done")
+    await send_response(send, 200, (), b"done")
 
 
 class TestClientProtocol(unittest.IsolatedAsyncioTestCase):
--- a/tests/requests/test_quarantine.py
+++ b/tests/requests/test_quarantine.py
@@ -155,14 +155,14 @@
             async def cannot_tell(_: Upstream) -> None:
                 return None
 
-            rig.keeper._has_ended = cannot_tell
+            rig.quarantine_gossip._has_ended = cannot_tell
             got = await rig.call("r1", body=DEADLY)
             self.assertEqual(502, got.status)
-            while rig.keeper._notes:
+            while rig.quarantine_gossip._notes:
                 await asyncio.sleep(0)
             self.assertEqual(0, len(rig.quarantine))
             rig.view.replace([], 2)
-            rig.keeper.look()
+            rig.quarantine_gossip.process_pending()
         self.assertEqual(1, len(rig.quarantine))
 
     async def test_one_that_says_later_that_it_leaves_ended_as_planned(self) -> None:
@@ -171,12 +171,12 @@
 
         async with Rig([ScriptedUpstream([cut])], RouteKind.NON_IDEMPOTENT) as rig:
             await rig.call("r1", body=COMMON)
-            while rig.keeper._notes:
+            while rig.quarantine_gossip._notes:
                 await asyncio.sleep(0)
             rig.view.replace([dataclasses.replace(i, draining=True) for i in rig.view.all()], 2)
-            rig.keeper.look()
+            rig.quarantine_gossip.process_pending()
             rig.view.replace([], 3)
-            rig.keeper.look()
+            rig.quarantine_gossip.process_pending()
         self.assertEqual(0, len(rig.quarantine))
 
 
@@ -224,7 +224,7 @@
             rig.parts.upstreams.of = lambda service: [first, second]  # type: ignore[method-assign]
             got = await other
             await deadly
-            rig.keeper.tell_due()
+            rig.quarantine_gossip.send_due()
         self.assertEqual((200, b"done"), (got.status, got.body))
         cleared = [news for news in rig.sent_messages if isinstance(news, ClearedNews)]
         self.assertEqual(1, len(cleared))
--- a/tests/requests/test_suspension.py
+++ b/tests/requests/test_suspension.py
@@ -56,25 +56,25 @@
         for seconds in SECONDS:
             self.clocks.run(1.0)
             self.clocks.suspend(seconds)
-            self.watch.look()
-            self.watch.look()
+            self.watch.check()
+            self.watch.check()
         self.assertEqual(list(SECONDS), [round(item, 6) for item in self.woke])
 
     def test_a_host_that_only_stood_still_or_was_slow_was_not_suspended(self) -> None:
         self.clocks.run(60.0)
-        self.watch.look()
+        self.watch.check()
         self.assertEqual([], self.woke)
-        self.assertTrue(self.watch.settled)
+        self.assertTrue(self.watch.is_settled)
 
     def test_after_it_what_is_believed_is_old_until_confirmed_or_for_a_bounded_time(self) -> None:
         self.clocks.suspend(3.0)
-        self.watch.look()
-        self.assertFalse(self.watch.settled)
+        self.watch.check()
+        self.assertFalse(self.watch.is_settled)
         self.confirmed = True
-        self.assertTrue(self.watch.settled)
+        self.assertTrue(self.watch.is_settled)
         self.confirmed = False
         self.clocks.run(0.4)
-        self.assertTrue(self.watch.settled)
+        self.assertTrue(self.watch.is_settled)
 
 
 def _record_of_one() -> DutyRecord:
@@ -112,7 +112,7 @@
                 while not upstream.requests:
                     await asyncio.sleep(0.01)
                 rig.suspend(60.0)
-                rig.suspension.look()
+                rig.suspension.check()
                 got = await asyncio.wait_for(call, 5.0)
             self.assertEqual(504, got.status)
 
--- a/tests/scheduling/test_lives.py
+++ b/tests/scheduling/test_lives.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lotushill.links.load_records import pack
-from lotushill.links.load_records import unpack
+from lotushill.links.load_records import pack_load
+from lotushill.links.load_records import unpack_loads
 from lotushill.placement.fleet import Fleet
 from lotushill.placement.messages import Began
 from lotushill.placement.messages import Ended
@@ -51,7 +51,7 @@
         )
 
     def hear(self, load: Load) -> None:
-        for item in unpack(pack(load), self.view.id_of):
+        for item in unpack_loads(pack_load(load), self.view.id_by_number):
             self.shared.receive(item)
 
     def test_what_is_told_late_of_a_former_life_is_not_held_against_the_new_one(self) -> None:
@@ -100,7 +100,7 @@
 
         server = ScriptedUpstream([whole])
         await server.start()
-        pool = UpstreamPool(request_head.answered_id)
+        pool = UpstreamPool(request_head.answer_request_id)
         (first,), (second,) = life(1, server.address), life(2, server.address)
         connection = await pool.acquire(first)
         connection.send("r", b"POST", b"POST / HTTP/1.1\r\nattempt-id: r\r\n\r\n")
--- a/tests/scheduling/test_placement_client.py
+++ b/tests/scheduling/test_placement_client.py
@@ -16,12 +16,12 @@
 from lotushill.links.messages import PlacementAsk
 from lotushill.membership.membership import Membership
 from lotushill.membership.membership_options import MembershipOptions
-from lotushill.membership.schedulers import SMALL_FLEET
+from lotushill.membership.schedulers import MAX_SMALL_FLEET_GATEWAYS
 from lotushill.membership.schedulers import Schedulers
 from lotushill.scheduling.placement_client import PlacementClient
 from tests.membership.network import Network
 
-FLEET = SMALL_FLEET + 14
+FLEET = MAX_SMALL_FLEET_GATEWAYS + 14
 ASK = PlacementAsk(
     "gw", 0, "llm", "r", 0.4, 0.0, 5.0, True, False, False, 100, 50, (1,), (100,), 1, ()
 )
@@ -34,7 +34,7 @@
     for index in range(FLEET):
         network.add(index, seeds=[network.address(item) for item in range(FLEET)])
     network.run(6.0)
-    return next(item for item in network.members.values() if not Schedulers(item).schedules())
+    return next(item for item in network.members.values() if not Schedulers(item).is_scheduler())
 
 
 class TestPlacementClient(unittest.IsolatedAsyncioTestCase):
@@ -64,7 +64,7 @@
     async def test_the_first_scheduler_of_the_own_hall_is_asked(self) -> None:
         answer = await self.client.ask(self.make)
         assert answer is not None
-        first = self.schedulers.in_order(0.0, 1)[0]
+        first = self.schedulers.query_order(0.0, 1)[0]
         self.assertEqual(self.membership.own.hall, first.hall)
         self.assertEqual([(first.name, 1)], self.asked)
         self.assertEqual("b0", answer.upstream)
@@ -75,10 +75,10 @@
         counts = Counter(name for name, _ in self.asked)
         self.assertEqual([5, 5], sorted(counts.values()))
         for name, number in self.asked:
-            self.assertEqual(name, self.schedulers.in_order(0.0, number)[0].name)
+            self.assertEqual(name, self.schedulers.query_order(0.0, number)[0].name)
 
     async def test_a_silent_scheduler_is_passed_over(self) -> None:
-        first, second, *_ = self.schedulers.in_order(0.0, 1)
+        first, second, *_ = self.schedulers.query_order(0.0, 1)
         self.answering = lambda name, ask: (
             None if name == first.name else PlacementAnswer(name, ask.request, "b1")
         )
@@ -89,7 +89,7 @@
         self.assertEqual([first.name, *[second.name] * 3], [name for name, _ in self.asked])
 
     async def test_one_that_cannot_tell_yet_is_passed_over_at_once(self) -> None:
-        first, second, *_ = self.schedulers.in_order(0.0, 1)
+        first, second, *_ = self.schedulers.query_order(0.0, 1)
         self.answering = lambda name, ask: PlacementAnswer(
             name, ask.request, *(("", UNREADY) if name == first.name else ("b1",))
         )
@@ -134,21 +134,21 @@
         own = MemberState("gw", "10.0.0.1:1", "h", "r", 1, MemberPhase.ALIVE)
         membership = Membership(own, (), MembershipOptions(), Network(0).rng)
         schedulers = Schedulers(membership)
-        self.assertTrue(schedulers.schedules())
-        self.assertTrue(schedulers.small_fleet())
-        self.assertEqual([], schedulers.in_order(0.0))
+        self.assertTrue(schedulers.is_scheduler())
+        self.assertTrue(schedulers.is_small_fleet())
+        self.assertEqual([], schedulers.query_order(0.0))
 
     def test_a_scheduler_that_leaves_is_replaced_by_the_next(self) -> None:
         network = Network(0)
         for index in range(FLEET):
             network.add(index, seeds=[network.address(item) for item in range(FLEET)])
         network.run(6.0)
-        before = Schedulers(network.members["entry-0"]).halls()
+        before = Schedulers(network.members["entry-0"]).names_by_hall()
         leaver = before["hall-0"][0]
         network.send(leaver, network.members[leaver].leave())
         network.run(3.0)
         for name, member in network.members.items():
             if name != leaver:
-                after = Schedulers(member).halls()
+                after = Schedulers(member).names_by_hall()
                 self.assertEqual(before["hall-1"], after["hall-1"])
                 self.assertEqual(before["hall-0"][1], after["hall-0"][0])
--- a/tests/scheduling/test_placer.py
+++ b/tests/scheduling/test_placer.py
@@ -47,7 +47,7 @@
 class AskingOnly:
     """Schedulers of which this gateway is none."""
 
-    def schedules(self) -> bool:
+    def is_scheduler(self) -> bool:
         return False
 
 
--- a/tests/scheduling/test_told_paces.py
+++ b/tests/scheduling/test_told_paces.py
@@ -10,7 +10,7 @@
 
 from lotushill.links.exceptions import MalformedFrameError
 from lotushill.links.load_records import upstream_number
-from lotushill.links.pace_records import MOST_PACES
+from lotushill.links.pace_records import MAX_PACES_PER_PAGE
 from lotushill.links.pace_records import pack_paces
 from lotushill.links.pace_records import unpack_paces
 from lotushill.placement.engine_pace import LongTermPace
@@ -78,9 +78,9 @@
         self.assertEqual(told[:1], unpack_paces(pack_paces(told), self.names))
 
     def test_a_page_is_bounded(self) -> None:
-        told = [LongTermPace("e1", 2.0, 1.0)] * (MOST_PACES + 5)
+        told = [LongTermPace("e1", 2.0, 1.0)] * (MAX_PACES_PER_PAGE + 5)
         page = pack_paces(told)
-        self.assertEqual(MOST_PACES, len(unpack_paces(page, self.names)))
+        self.assertEqual(MAX_PACES_PER_PAGE, len(unpack_paces(page, self.names)))
         for wrong in (page + page[:16], page[:-1]):
             with self.assertRaises(MalformedFrameError):
                 unpack_paces(wrong, self.names)
--- a/tests/scheduling/test_waiting_client.py
+++ b/tests/scheduling/test_waiting_client.py
@@ -72,7 +72,7 @@
         self.holders = {
             item.address: Holder(item.name, self.answer) for item in self.membership.live()
         }
-        first, second, *_ = self.schedulers.in_order(0.0, 1)
+        first, second, *_ = self.schedulers.query_order(0.0, 1)
         self.first, self.second = self.holders[first.address], self.holders[second.address]
 
     def send(self, ask: PlacementAsk, address: str) -> None:
--- a/tests/scheduling/virtual_fleet.py
+++ b/tests/scheduling/virtual_fleet.py
@@ -11,8 +11,8 @@
 
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.links.messages import PlacementAsk
-from lotushill.membership.schedulers import SCHEDULERS
-from lotushill.membership.schedulers import SMALL_FLEET
+from lotushill.membership.schedulers import MAX_SMALL_FLEET_GATEWAYS
+from lotushill.membership.schedulers import SCHEDULERS_PER_HALL
 from lotushill.placement.fleet import Fleet
 from lotushill.placement.messages import Outcome
 from lotushill.routing.service import EngineProfile
@@ -77,7 +77,7 @@
         self._order = itertools.count()
         self._numbers = itertools.count(1)
         halls = min(HALLS, gateways)
-        each = gateways // halls if gateways <= SMALL_FLEET else SCHEDULERS
+        each = gateways // halls if gateways <= MAX_SMALL_FLEET_GATEWAYS else SCHEDULERS_PER_HALL
         for hall in range(halls):
             for number in range(each):
                 self._add_scheduler(f"s{hall}-{number}", f"h{hall}")
@@ -125,7 +125,11 @@
         self._later(self.rng.uniform(0.7, 1.3), lambda: self._arrive(index))
         halls = len({item.hall for item in self.schedulers})
         near = [item for item in self.schedulers if item.hall == f"h{index % halls}"]
-        scheduler = near[index // halls % len(near)] if self.gateways <= SMALL_FLEET else near[0]
+        scheduler = (
+            near[index // halls % len(near)]
+            if self.gateways <= MAX_SMALL_FLEET_GATEWAYS
+            else near[0]
+        )
         sender = f"gw{index}@{scheduler.hall}"
         number = next(self._numbers)
         own, shared = self.rng.randrange(10**9), self.rng.randrange(60)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -15,7 +15,7 @@
 
 from lotushill.links.http_server import HttpServer
 from lotushill.standin.metadata_app import MetadataApp
-from lotushill.standin.metadata_app import Trouble
+from lotushill.standin.metadata_app import StoreFault
 from lotushill.standin.metadata_store import MetadataStore
 from tests.console.test_gateway_program import SPEC
 from tests.entries import entry
@@ -55,7 +55,7 @@
     {"coldRemainingMs": -1},
 )
 """Fields of entries that name no engine; the address of each leads to a decoy where it has one."""
-_TROUBLES = (Trouble.BUSY, Trouble.SILENT, Trouble.MANY)
+_TROUBLES = (StoreFault.BUSY, StoreFault.SILENT, StoreFault.MANY)
 
 
 @dataclass(frozen=True)
@@ -251,9 +251,9 @@
             case Deed.LEAVE_BY_WORD:
                 await engine.leave_by_word()
             case Deed.TROUBLE_STORE:
-                self._app.trouble = _TROUBLES[step.pick % len(_TROUBLES)]
+                self._app.fault = _TROUBLES[step.pick % len(_TROUBLES)]
                 await asyncio.sleep(step.seconds)
-                self._app.trouble = Trouble.NONE
+                self._app.fault = StoreFault.NONE
 
     def _put_odd(self, pick: int) -> None:
         odd: dict[str, Any] = _ODD[pick % len(_ODD)]
--- a/tests/starting/test_starting.py
+++ b/tests/starting/test_starting.py
@@ -6,7 +6,7 @@
 import unittest
 from collections import Counter
 
-from lotushill.membership.schedulers import SMALL_FLEET
+from lotushill.membership.schedulers import MAX_SMALL_FLEET_GATEWAYS
 from lotushill.routing.upstream import Upstream
 from lotushill.starting.draw import UpstreamCredit
 from lotushill.starting.draw import draw_upstream
@@ -21,7 +21,7 @@
 
 class TestKnowledge(unittest.TestCase):
     def setUp(self) -> None:
-        self.start = StartupPhase(SMALL_FLEET, 100.0)
+        self.start = StartupPhase(MAX_SMALL_FLEET_GATEWAYS, 100.0)
 
     def test_few_of_many_are_not_taken_for_a_small_fleet(self) -> None:
         self.assertFalse(self.start.knows_fleet(3, 82, False, 100.3))
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -11,20 +11,20 @@
         journal = Journal(requests=2)
         for name in ("a", "b", "a", "c"):
             journal.add(name, {"event": name})
-        self.assertEqual([], journal.of("a"))
-        self.assertEqual([{"event": "b"}], journal.of("b"))
+        self.assertEqual([], journal.events_of("a"))
+        self.assertEqual([{"event": "b"}], journal.events_of("b"))
 
     def test_what_the_log_leaves_out_is_kept_here(self) -> None:
         journal = Journal()
         log = EventLog("gw", lambda _: None, clock=lambda: 1.0, journal=journal)
         for number in range(2000):
             log.note("request.ended", request=f"r{number}")
-        self.assertGreater(log.left_out_in_all, 0)
-        (event,) = journal.of("r1999")
+        self.assertGreater(log.total_left_out, 0)
+        (event,) = journal.events_of("r1999")
         self.assertEqual(("request.ended", "gw"), (event["event"], event["node"]))
 
     def test_one_request_cannot_fill_it(self) -> None:
         journal = Journal()
         for number in range(1000):
             journal.add("r", {"n": number})
-        self.assertLess(len(journal.of("r")), 100)
+        self.assertLess(len(journal.events_of("r")), 100)
--- a/tests/views/test_views.py
+++ b/tests/views/test_views.py
@@ -26,15 +26,15 @@
         view = ConfigurationView()
         held = -1
         for revision in revisions:
-            taken = view.take(table(revision), revision)
+            taken = view.replace(table(revision), revision)
             self.assertEqual(revision > held, taken)
             held = max(held, revision)
             self.assertEqual(held, view.revision)
 
     def test_a_lower_version_at_a_higher_revision_is_not_taken(self) -> None:
         view = ConfigurationView()
-        view.take(table(5), 10)
-        self.assertFalse(view.take(table(4), 11))
+        view.replace(table(5), 10)
+        self.assertFalse(view.replace(table(4), 11))
 
 
 class TestUpstreamView(unittest.TestCase):
@@ -77,4 +77,4 @@
         self.assertEqual((), view.all())
 
     def test_nothing_is_known_before_the_first_list(self) -> None:
-        self.assertFalse(UpstreamView().known)
+        self.assertFalse(UpstreamView().is_loaded)
--- a/tests/views/test_watcher.py
+++ b/tests/views/test_watcher.py
@@ -11,8 +11,8 @@
 from lotushill.views.stored_object import Change
 from lotushill.views.stored_object import ObjectList
 from lotushill.views.stored_object import StoredObject
-from lotushill.views.watcher import AlwaysReading
-from lotushill.views.watcher import Reading
+from lotushill.views.watcher import AlwaysReader
+from lotushill.views.watcher import ReadPolicy
 from lotushill.views.watcher import WatchedKind
 from lotushill.views.watcher import Watcher
 
@@ -61,7 +61,7 @@
         self._test = test
         self._turns = turns
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         if not self._turns:
             return True
         turn = self._turns.pop(0)
@@ -70,14 +70,14 @@
             self._test.held = 30
         return turn
 
-    def stands_in(self) -> bool:
+    def is_substitute_reader(self) -> bool:
         return False
 
 
 class TestWatcher(unittest.IsolatedAsyncioTestCase):
     held = -1
     """Revision of the view, as others have brought it."""
-    reading: Reading = AlwaysReading()
+    reading: ReadPolicy = AlwaysReader()
 
     async def follow(self, store: ScriptedStore) -> list[str]:
         seen: list[str] = []
@@ -128,13 +128,13 @@
         watcher = Watcher(store, kind, random.Random(1), EventLog("gw", lambda _: None))
         task = asyncio.create_task(watcher.run())
         await store.done.wait()
-        self.assertEqual(float("-inf"), watcher.confirmed_from)
+        self.assertEqual(float("-inf"), watcher.last_list_sent_at)
         asked = clocks.now()
-        watcher.doubt()
+        watcher.relist()
         while not store.lists:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
-        self.assertGreaterEqual(watcher.confirmed_from, asked)
+        self.assertGreaterEqual(watcher.last_list_sent_at, asked)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
@@ -195,8 +195,8 @@
         store.seconds_a_watch = 5.0
         await self.follow(store)
         # Noticed at 5 s, answered again at 10 s: what left after the start of the call is bound.
-        self.assertEqual((10.0, 0.0), (store.now, self.watcher.away_at))
+        self.assertEqual((10.0, 0.0), (store.now, self.watcher.last_failure_at))
 
     async def test_without_a_failed_call_no_outage_is_known(self) -> None:
         await self.follow(ScriptedStore(([change("a", 12)], 12), HistoryGoneError()))
-        self.assertIsNone(self.watcher.away_at)
+        self.assertIsNone(self.watcher.last_failure_at)
