--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -98,7 +98,7 @@
     Break(
         "racing edits of one value conflict",
         "contracts/merge.py",
-        "clashes.append(",
+        "conflicts.append(",
         "list().append(",
         "tests.contracts",
     ),
--- a/src/lotushill/contracts/address.py
+++ b/src/lotushill/contracts/address.py
@@ -9,10 +9,10 @@
 from lotushill.links.address import split_address
 
 
-def _checked(value: str) -> str:
+def _validate(value: str) -> str:
     split_address(value)
     return value
 
 
-Address = Annotated[str, AfterValidator(_checked)]
+Address = Annotated[str, AfterValidator(_validate)]
 """An address in a settings file, as `IP:PORT`."""
--- a/src/lotushill/contracts/editor.py
+++ b/src/lotushill/contracts/editor.py
@@ -29,7 +29,7 @@
     from lotushill.views.stored_object import ObjectList
     from lotushill.views.stored_object import StoredObject
 
-_TRIES = 5
+_MAX_WRITE_ATTEMPTS = 5
 ABSENT = -1
 """Revision of an object that does not exist."""
 
@@ -79,8 +79,8 @@
 
     async def names(self) -> list[str]:
         """Return the names of all objects."""
-        listed = await self._store.list_kind(SETTINGS_KIND)
-        return [display_name(item.name) for item in listed.objects]
+        object_list = await self._store.list_kind(SETTINGS_KIND)
+        return [display_name(item.name) for item in object_list.objects]
 
     async def read(self, name: str) -> StoredDocument | None:
         """Return an object, None if it does not exist."""
@@ -99,8 +99,8 @@
         Without a base, the object must still be as this call first read it.
         """
         check_object(name, wanted)
-        first = await self.read(name)
-        origin = base if base is not None else (first.data if first else {})
+        initial = await self.read(name)
+        origin = base if base is not None else (initial.data if initial else {})
 
         def change(data: dict[str, Any]) -> dict[str, Any]:
             return wanted if data == origin else _merge(origin, wanted, data)
@@ -113,17 +113,17 @@
         The function is called again on the data that a concurrent edit wrote, and raises
         MergeConflictError if it cannot be applied to them.
         """
-        for _ in range(_TRIES):
-            held = await self.read(name)
-            data = held.data if held else {}
-            revision = held.revision if held else ABSENT
+        for _ in range(_MAX_WRITE_ATTEMPTS):
+            current = await self.read(name)
+            data = current.data if current else {}
+            revision = current.revision if current else ABSENT
             try:
                 wanted = change(data)
             except MergeConflictError as error:
                 raise EditConflictError(name, revision, error.conflicts) from error
             check_object(name, wanted)
-            if held is not None and wanted == data:
-                return held.revision
+            if current is not None and wanted == data:
+                return current.revision
             written = await self._write(name, wanted, revision)
             if written is not None:
                 return written
@@ -131,7 +131,7 @@
 
     async def _write(self, name: str, data: dict[str, Any], revision: int) -> int | None:
         """Write at a revision and return the new one, None if another edit was written first."""
-        lost: StoreUnavailableError | None = None
+        unanswered: StoreUnavailableError | None = None
         try:
             if revision == ABSENT:
                 await self._store.create(SETTINGS_KIND, stored_name(name), data)
@@ -140,14 +140,14 @@
         except RevisionConflictError:
             return None
         except StoreUnavailableError as error:
-            lost = error
+            unanswered = error
         # The answer of a write does not contain the new revision, and may have been lost.
-        held = await self.read(name)
-        if held is not None and held.data == data:
-            return held.revision
-        if lost is not None and (held.revision if held else ABSENT) == revision:
+        current = await self.read(name)
+        if current is not None and current.data == data:
+            return current.revision
+        if unanswered is not None and (current.revision if current else ABSENT) == revision:
             # Not written yet, but the call may still be in transit: only the operator may decide.
-            raise UnknownOutcomeError(name) from lost
+            raise UnknownOutcomeError(name) from unanswered
         return None
 
 
--- a/src/lotushill/contracts/effective.py
+++ b/src/lotushill/contracts/effective.py
@@ -46,26 +46,26 @@
     root: Root | None, settings: TeamSettings | None, service: str, klass: str
 ) -> tuple[Level, ...]:
     """Return the levels of the tree that apply to a class, in ascending order of precedence."""
-    found: list[Level] = []
+    applicable: list[Level] = []
     if root is not None:
-        found.append(Level("root", root.policy))
-        found += _branch("root", root.services.get(service), service, klass)
+        applicable.append(Level("root", root.policy))
+        applicable += _service_levels("root", root.services.get(service), service, klass)
     if settings is not None:
         name = f"team {settings.team}"
-        found.append(Level(name, settings.policy))
-        found += _branch(name, settings.services.get(service), service, klass)
-    return tuple(found)
+        applicable.append(Level(name, settings.policy))
+        applicable += _service_levels(name, settings.services.get(service), service, klass)
+    return tuple(applicable)
 
 
 def trace(
     root: Root | None, settings: TeamSettings | None, route: Route, team: Team | None, service: str
 ) -> dict[str, Origin]:
     """Return every value in force for a route by its path, with the level that sets it."""
-    found = {path: Origin(path, value, PLATFORM) for path, value in _given(route)}
+    origins = {path: Origin(path, value, PLATFORM) for path, value in _platform_values(route)}
     for level in levels(root, settings, service, route.name):
         for path, value in _set_values(level.policy):
-            found[path] = Origin(path, value, level.name)
-    return found
+            origins[path] = Origin(path, value, level.name)
+    return origins
 
 
 def resolve(
@@ -93,12 +93,12 @@
     )
 
 
-def _branch(above: str, service: Service | None, name: str, klass: str) -> Iterator[Level]:
+def _service_levels(parent: str, service: Service | None, name: str, klass: str) -> Iterator[Level]:
     if service is None:
         return
-    yield Level(f"{above}, service {name}", service.policy)
+    yield Level(f"{parent}, service {name}", service.policy)
     if klass in service.classes:
-        yield Level(f"{above}, service {name}, class {klass}", service.classes[klass].policy)
+        yield Level(f"{parent}, service {name}, class {klass}", service.classes[klass].policy)
 
 
 def _team_rank(team: Team | None) -> int:
@@ -113,7 +113,7 @@
     return RateLimit(f"{name}, {origin.level}", origin.value)
 
 
-def _given(route: Route) -> list[tuple[str, Any]]:
+def _platform_values(route: Route) -> list[tuple[str, Any]]:
     return [
         ("tier", route.urgency.tier),
         ("deadline", route.timeout),
@@ -127,10 +127,10 @@
 
 
 def _set_values(policy: Policy) -> list[tuple[str, Any]]:
-    found: list[tuple[str, Any]] = []
+    values: list[tuple[str, Any]] = []
     for name, value in policy.model_dump(exclude_none=True).items():
         if isinstance(value, dict):
-            found.extend((f"{name}.{inner}", item) for inner, item in value.items())
+            values.extend((f"{name}.{inner}", item) for inner, item in value.items())
         else:
-            found.append((name, value))
-    return found
+            values.append((name, value))
+    return values
--- a/src/lotushill/contracts/exceptions.py
+++ b/src/lotushill/contracts/exceptions.py
@@ -41,19 +41,19 @@
 class MergeConflictError(Exception):
     """A change cannot be applied to the data that another edit wrote."""
 
-    def __init__(self, clashes: tuple[MergeConflict, ...]) -> None:
-        self.conflicts = clashes
-        super().__init__("; ".join(str(clash) for clash in clashes))
+    def __init__(self, conflicts: tuple[MergeConflict, ...]) -> None:
+        self.conflicts = conflicts
+        super().__init__("; ".join(str(conflict) for conflict in conflicts))
 
 
 class EditConflictError(Exception):
     """Another edit changed the same values; the message shows both sides."""
 
-    def __init__(self, name: str, revision: int, clashes: tuple[MergeConflict, ...]) -> None:
+    def __init__(self, name: str, revision: int, conflicts: tuple[MergeConflict, ...]) -> None:
         self.name = name
         self.revision = revision
-        self.conflicts = clashes
-        shown = "; ".join(str(clash) for clash in clashes)
+        self.conflicts = conflicts
+        shown = "; ".join(str(conflict) for conflict in conflicts)
         super().__init__(f"{name} is at revision {revision}: {shown}")
 
 
--- a/src/lotushill/contracts/merge.py
+++ b/src/lotushill/contracts/merge.py
@@ -32,19 +32,26 @@
 
 def merge(base: Any, ours: Any, theirs: Any) -> MergeResult:
     """Merge two edits of the same base."""
-    clashes: list[MergeConflict] = []
-    data = _merge("", base, ours, theirs, clashes)
-    return MergeResult(None if data is _ABSENT else data, tuple(clashes))
+    conflicts: list[MergeConflict] = []
+    data = _merge("", base, ours, theirs, conflicts)
+    return MergeResult(None if data is _ABSENT else data, tuple(conflicts))
 
 
-def _merge(path: str, base: Any, ours: Any, theirs: Any, clashes: list[MergeConflict]) -> Any:
+def _merge(path: str, base: Any, ours: Any, theirs: Any, conflicts: list[MergeConflict]) -> Any:
     if ours in (theirs, base):
         return copy.deepcopy(theirs) if theirs is not _ABSENT else _ABSENT
     if theirs == base:
         return copy.deepcopy(ours) if ours is not _ABSENT else _ABSENT
     if isinstance(ours, dict) and isinstance(theirs, dict):
-        return _merge_levels(path, base if isinstance(base, dict) else {}, ours, theirs, clashes)
-    clashes.append(MergeConflict(path or "(document)", _shown(base), _shown(ours), _shown(theirs)))
+        return _merge_levels(path, base if isinstance(base, dict) else {}, ours, theirs, conflicts)
+    conflicts.append(
+        MergeConflict(
+            path or "(document)",
+            _none_if_absent(base),
+            _none_if_absent(ours),
+            _none_if_absent(theirs),
+        )
+    )
     return theirs
 
 
@@ -53,17 +60,19 @@
     base: dict[str, Any],
     ours: dict[str, Any],
     theirs: dict[str, Any],
-    clashes: list[MergeConflict],
+    conflicts: list[MergeConflict],
 ) -> dict[str, Any]:
     merged: dict[str, Any] = {}
     for key in [*theirs, *(key for key in ours if key not in theirs)]:
-        inner = f"{path}.{key}" if path else key
-        was, mine, other = (side.get(key, _ABSENT) for side in (base, ours, theirs))
-        value = _merge(inner, was, mine, other, clashes)
+        inner_path = f"{path}.{key}" if path else key
+        base_value, our_value, their_value = (
+            side.get(key, _ABSENT) for side in (base, ours, theirs)
+        )
+        value = _merge(inner_path, base_value, our_value, their_value, conflicts)
         if value is not _ABSENT:
             merged[key] = value
     return merged
 
 
-def _shown(value: Any) -> Any:
+def _none_if_absent(value: Any) -> Any:
     return None if value is _ABSENT else value
--- a/src/lotushill/contracts/paths.py
+++ b/src/lotushill/contracts/paths.py
@@ -21,9 +21,9 @@
 def put(data: dict[str, Any], path: str, value: Any) -> dict[str, Any]:
     """Return a copy with the value at a path set; missing levels above it are created."""
     changed = copy.deepcopy(data)
-    *above, last = path.split(".")
+    *parents, last = path.split(".")
     level = changed
-    for part in above:
+    for part in parents:
         inner = level.setdefault(part, {})
         if not isinstance(inner, dict):
             raise UnknownPathError(path)
@@ -36,9 +36,9 @@
     """Return a copy without the value at a path; raise UnknownPathError if it does not exist."""
     find(data, path)
     changed = copy.deepcopy(data)
-    *above, last = path.split(".")
+    *parents, last = path.split(".")
     level = changed
-    for part in above:
+    for part in parents:
         level = level[part]
     del level[last]
     return changed
@@ -48,7 +48,7 @@
     """Return every leaf by its path; an empty level counts as a leaf."""
     if not isinstance(data, dict) or not data:
         return {prefix: data}
-    found: dict[str, Any] = {}
+    leaves: dict[str, Any] = {}
     for key, value in data.items():
-        found.update(flatten(value, f"{prefix}.{key}" if prefix else str(key)))
-    return found
+        leaves.update(flatten(value, f"{prefix}.{key}" if prefix else str(key)))
+    return leaves
--- a/src/lotushill/contracts/settings_view.py
+++ b/src/lotushill/contracts/settings_view.py
@@ -61,39 +61,39 @@
         self.revision = revision
         self._objects = objects
         if changed:
-            self._read(objects)
+            self._load(objects)
         return changed
 
     def route_for(self, route: Route, team: Team | None, service: str) -> Route:
         """Return a route with the values in force for a team's requests to a service."""
         key = (route.name, team.name if team else "", service)
-        found = self._resolved.get(key)
-        if found is None:
+        resolved = self._resolved.get(key)
+        if resolved is None:
             settings = self._teams.get(team.name) if team else None
-            found = resolve(self._root, settings, route, team, service)
-            self._resolved[key] = found
-        return found
+            resolved = resolve(self._root, settings, route, team, service)
+            self._resolved[key] = resolved
+        return resolved
 
     def clear_resolved_routes(self) -> None:
         """Clear the resolved routes after the platform's configuration has changed."""
         self._resolved = {}
 
-    def _read(self, objects: dict[str, Any]) -> None:
+    def _load(self, objects: dict[str, Any]) -> None:
         self.faults = {}
         self._resolved = {}
-        former = self._teams
+        previous_teams = self._teams
         self._teams = {}
         if ROOT_NAME not in objects:
             self._root = None
         for stored, data in objects.items():
             name = display_name(stored)
             try:
-                self._take(name, data)
+                self._load_object(name, data)
             except SettingsError as error:
                 self.faults[name] = error
-                self._keep(name, former)
+                self._keep_last_valid(name, previous_teams)
 
-    def _take(self, name: str, data: Any) -> None:
+    def _load_object(self, name: str, data: Any) -> None:
         from lotushill.contracts.document import check
         from lotushill.contracts.tree import Root
         from lotushill.contracts.tree import TeamSettings
@@ -104,7 +104,7 @@
         team = check(TeamSettings, data, name)
         self._teams[team.team] = team
 
-    def _keep(self, name: str, former: dict[str, TeamSettings]) -> None:
+    def _keep_last_valid(self, name: str, previous_teams: dict[str, TeamSettings]) -> None:
         team = name.partition("/")[2]
-        if team in former:
-            self._teams[team] = former[team]
+        if team in previous_teams:
+            self._teams[team] = previous_teams[team]
--- a/src/lotushill/event_log.py
+++ b/src/lotushill/event_log.py
@@ -13,8 +13,8 @@
 
     from lotushill.journal import Journal
 
-_LINES_A_SECOND = 200
-_BURST_LINES = 400
+_MAX_LINES_PER_SECOND = 200
+_MAX_BURST_LINES = 400
 
 
 class EventLog:
@@ -32,8 +32,8 @@
         self._write = write or _StandardOutput().write
         self._clock = clock
         self._journal = journal
-        self._credit = float(_BURST_LINES)
-        self._at = clock()
+        self._credit = float(_MAX_BURST_LINES)
+        self._credit_updated_at = clock()
         self.left_out = 0
         """Number of lines dropped since the last one that was written."""
         self.total_left_out = 0
@@ -44,7 +44,7 @@
         line: dict[str, object] = {"t": round(now, 3), "node": self._name, "event": event}
         if self._journal is not None and "request" in fields:
             self._journal.add(str(fields["request"]), {**line, **fields})
-        if not self._allowed(now):
+        if not self._spend_credit(now):
             self.left_out += 1
             self.total_left_out += 1
             return
@@ -54,9 +54,11 @@
         line |= fields
         self._write(json.dumps(line, separators=(",", ":"), default=str).encode() + b"\n")
 
-    def _allowed(self, now: float) -> bool:
-        self._credit = min(_BURST_LINES, self._credit + (now - self._at) * _LINES_A_SECOND)
-        self._at = now
+    def _spend_credit(self, now: float) -> bool:
+        self._credit = min(
+            _MAX_BURST_LINES, self._credit + (now - self._credit_updated_at) * _MAX_LINES_PER_SECOND
+        )
+        self._credit_updated_at = now
         if self._credit < 1.0:
             return False
         self._credit -= 1.0
@@ -67,29 +69,29 @@
     """Non-blocking standard output; a full pipe drops lines, and the next line counts them."""
 
     def __init__(self) -> None:
-        self._lost = 0
-        self._rest = b""
+        self._dropped_lines = 0
+        self._unwritten = b""
         try:
             os.set_blocking(1, False)
         except OSError:
             pass
 
     def write(self, line: bytes) -> None:
-        if self._rest and not self._put(self._rest):
-            self._lost += 1
+        if self._unwritten and not self._write_some(self._unwritten):
+            self._dropped_lines += 1
             return
-        if self._lost:
-            line = line[:-2] + f',"lost":{self._lost}}}\n'.encode()
-        if self._put(line):
-            self._lost = 0
+        if self._dropped_lines:
+            line = line[:-2] + f',"lost":{self._dropped_lines}}}\n'.encode()
+        if self._write_some(line):
+            self._dropped_lines = 0
 
-    def _put(self, data: bytes) -> bool:
+    def _write_some(self, data: bytes) -> bool:
         """Write what the pipe accepts and keep the rest; return whether all data was written."""
         try:
             written = os.write(1, data)
         except (BlockingIOError, BrokenPipeError, OSError):
-            if data is not self._rest:
-                self._lost += 1
+            if data is not self._unwritten:
+                self._dropped_lines += 1
             return False
-        self._rest = data[written:]
-        return not self._rest
+        self._unwritten = data[written:]
+        return not self._unwritten
--- a/src/lotushill/platform/configuration.py
+++ b/src/lotushill/platform/configuration.py
@@ -17,7 +17,7 @@
 from lotushill.routing.urgency import Urgency
 
 _MS = 1000.0
-_BYTES_A_MEGABIT = 125_000.0
+_BYTES_PER_MEGABIT = 125_000.0
 
 
 def parse_table(spec: Any) -> RoutingTable:
@@ -97,7 +97,7 @@
     """Return the bytes per second between engines, 0 if they do not transfer KV memory."""
     if not item.get("moves") or not item.get("kvTokenBytes"):
         return 0.0
-    return float(item.get("linkMbps") or 0.0) * _BYTES_A_MEGABIT
+    return float(item.get("linkMbps") or 0.0) * _BYTES_PER_MEGABIT
 
 
 def _team(item: dict[str, Any]) -> Team:
@@ -110,10 +110,10 @@
 
 
 def _limits(item: dict[str, Any]) -> ClientLimits:
-    usual = ClientLimits()
+    default = ClientLimits()
     return ClientLimits(
-        header_bytes=int(item.get("maxHeaderBytes", usual.header_bytes)),
-        body_bytes=int(item.get("maxBodyBytes", usual.body_bytes)),
-        header_seconds=float(item.get("headerTimeoutMs", usual.header_seconds * _MS)) / _MS,
-        idle_seconds=float(item.get("idleTimeoutMs", usual.idle_seconds * _MS)) / _MS,
+        header_bytes=int(item.get("maxHeaderBytes", default.header_bytes)),
+        body_bytes=int(item.get("maxBodyBytes", default.body_bytes)),
+        header_seconds=float(item.get("headerTimeoutMs", default.header_seconds * _MS)) / _MS,
+        idle_seconds=float(item.get("idleTimeoutMs", default.idle_seconds * _MS)) / _MS,
     )
--- a/src/lotushill/platform/duty_api.py
+++ b/src/lotushill/platform/duty_api.py
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-_ANSWER_SECONDS = 1.5
+_TIMEOUT_SECONDS = 1.5
 """Short enough to retry an unanswered report several times within its limit of ten seconds."""
 _CONNECT_SECONDS = 0.7
-_MOST_CONNECTIONS = 16
-_KEPT_SECONDS = 3.0
+_MAX_CONNECTIONS = 16
+_KEEPALIVE_SECONDS = 3.0
 _OK = 200
-_REFUSED = 409
+_CONFLICT = 409
 
 
 class CallOutcome(Enum):
@@ -58,7 +58,7 @@
     """Client of the platform's API at `address` (IP:PORT)."""
 
     def __init__(self, address: str) -> None:
-        self._client = JsonClient(address, _MOST_CONNECTIONS, _KEPT_SECONDS, _CONNECT_SECONDS)
+        self._client = JsonClient(address, _MAX_CONNECTIONS, _KEEPALIVE_SECONDS, _CONNECT_SECONDS)
 
     @property
     def calls(self) -> int:
@@ -89,9 +89,9 @@
             (names.FENCING_TOKEN, str(signature.token)),
         )
         try:
-            answer = await self._client.call("POST", path, content, _ANSWER_SECONDS, headers)
+            answer = await self._client.call("POST", path, content, _TIMEOUT_SECONDS, headers)
         except NoAnswerError:
             return CallOutcome.UNANSWERED
         if answer.status == _OK:
             return CallOutcome.DONE
-        return CallOutcome.REFUSED if answer.status == _REFUSED else CallOutcome.NOT_NOW
+        return CallOutcome.REFUSED if answer.status == _CONFLICT else CallOutcome.NOT_NOW
--- a/src/lotushill/platform/memory_calls.py
+++ b/src/lotushill/platform/memory_calls.py
@@ -27,12 +27,12 @@
 
 def parse_move_answer(answer: JsonAnswer) -> Copied | NotCopied:
     """Parse an engine's answer to a move; raise NoAnswerError if it is not a valid answer."""
-    said = answer.read()
-    handle = said.get("handle") if isinstance(said, dict) else None
-    known = isinstance(handle, str) and is_handle(handle)
-    if answer.status == _OK and known:
-        made = said.get("made")
-        return Copied(str(handle), made if isinstance(made, int) else 0)
+    content = answer.read()
+    handle = content.get("handle") if isinstance(content, dict) else None
+    is_valid_handle = isinstance(handle, str) and is_handle(handle)
+    if answer.status == _OK and is_valid_handle:
+        produced_tokens = content.get("made")
+        return Copied(str(handle), produced_tokens if isinstance(produced_tokens, int) else 0)
     if answer.status in _REASONS:
-        return NotCopied(_REASONS[answer.status], str(handle) if known else "")
+        return NotCopied(_REASONS[answer.status], str(handle) if is_valid_handle else "")
     raise NoAnswerError(f"status {answer.status}")
--- a/src/lotushill/platform/object_store.py
+++ b/src/lotushill/platform/object_store.py
@@ -25,15 +25,15 @@
 
 Item = TypeVar("Item")
 
-_ANSWER_SECONDS = 2.0
+_TIMEOUT_SECONDS = 2.0
 _CONNECT_SECONDS = 1.0
-_MOST_CONNECTIONS = 8
-_KEPT_SECONDS = 5.0
+_MAX_CONNECTIONS = 8
+_KEEPALIVE_SECONDS = 5.0
 _MS = 1000
 _OK = (200, 201)
 _NOT_FOUND = 404
 _ERRORS = {409: RevisionConflictError, 410: HistoryGoneError}
-_MOST_REVISION = 2**63 - 1
+_MAX_REVISION = 2**63 - 1
 
 
 @dataclass(frozen=True)
@@ -46,7 +46,7 @@
     """Client of the store at `address` (IP:PORT)."""
 
     def __init__(self, address: str) -> None:
-        self._client = JsonClient(address, _MOST_CONNECTIONS, _KEPT_SECONDS, _CONNECT_SECONDS)
+        self._client = JsonClient(address, _MAX_CONNECTIONS, _KEEPALIVE_SECONDS, _CONNECT_SECONDS)
 
     @property
     def calls(self) -> int:
@@ -61,7 +61,7 @@
         while True:
             query = ([f"sinceRev={quote(after)}"] if after else []) + ["stale=1"] * stale
             answer = await self._call("GET", f"/objects/{kind}?{'&'.join(query)}".removesuffix("?"))
-            page = _parsed(_page, answer.body)
+            page = _parse(_parse_page, answer.body)
             objects += page.objects
             # Later pages may be newer than the first: a watch continues from the oldest revision.
             if first_revision is None:
@@ -73,13 +73,13 @@
     async def get(self, kind: str, name: str, stale: bool = False) -> StoredObject | None:
         """Return one object, None if it does not exist; a stale answer may be seconds old."""
         answer = await self._call("GET", f"/objects/{kind}/{quote(name)}{'?stale=1' * stale}")
-        return None if answer.status == _NOT_FOUND else _parsed(_stored, answer.body)
+        return None if answer.status == _NOT_FOUND else _parse(_parse_object, answer.body)
 
     async def watch(self, kind: str, revision: int, seconds: float) -> tuple[list[Change], int]:
         """Wait for changes after a revision; return them and the revision to continue from."""
         path = f"/objects/{kind}?watch={revision}&waitMs={int(seconds * _MS)}"
-        answer = await self._call("GET", path, patience=seconds + _ANSWER_SECONDS)
-        return _parsed(_events, answer.body)
+        answer = await self._call("GET", path, timeout=seconds + _TIMEOUT_SECONDS)
+        return _parse(_parse_events, answer.body)
 
     async def create(self, kind: str, name: str, spec: Any) -> StoredObject:
         """Create an object and return it; raise RevisionConflictError if it exists."""
@@ -102,13 +102,13 @@
 
     async def _write(self, method: str, path: str, content: Any) -> StoredObject:
         answer = await self._call(method, path, content)
-        return _parsed(_stored, answer.body)
+        return _parse(_parse_object, answer.body)
 
     async def _call(
-        self, method: str, path: str, content: Any = None, patience: float = _ANSWER_SECONDS
+        self, method: str, path: str, content: Any = None, timeout: float = _TIMEOUT_SECONDS
     ) -> _Answer:
         try:
-            answer = await self._client.call(method, path, content, patience)
+            answer = await self._client.call(method, path, content, timeout)
             if answer.status == _NOT_FOUND:
                 return _Answer(answer.status, {"items": [], "events": [], "at": 0})
             if answer.status in _OK:
@@ -118,32 +118,32 @@
         raise _ERRORS.get(answer.status, StoreUnavailableError)(f"status {answer.status}")
 
 
-def _parsed(read: Callable[[Any], Item], body: Any) -> Item:
+def _parse(read: Callable[[Any], Item], body: Any) -> Item:
     try:
         return read(body)
     except MalformedEntryError as error:
         raise StoreUnavailableError(f"malformed answer from the store: {error}") from error
 
 
-def _page(body: Any) -> ObjectList:
+def _parse_page(body: Any) -> ObjectList:
     fields = Fields(body)
-    objects = parse_readable(_stored, fields.array("items"))
-    return ObjectList(tuple(objects), fields.integer("at", 0, _MOST_REVISION))
+    objects = parse_readable(_parse_object, fields.array("items"))
+    return ObjectList(tuple(objects), fields.integer("at", 0, _MAX_REVISION))
 
 
-def _events(body: Any) -> tuple[list[Change], int]:
+def _parse_events(body: Any) -> tuple[list[Change], int]:
     fields = Fields(body)
-    changes = parse_readable(_change, fields.array("events"))
-    return changes, fields.integer("at", 0, _MOST_REVISION)
+    changes = parse_readable(_parse_change, fields.array("events"))
+    return changes, fields.integer("at", 0, _MAX_REVISION)
 
 
-def _stored(item: Any) -> StoredObject:
+def _parse_object(item: Any) -> StoredObject:
     fields = Fields(item)
     metadata = fields.nested("metadata")
-    revision = metadata.integer("revision", 0, _MOST_REVISION)
+    revision = metadata.integer("revision", 0, _MAX_REVISION)
     return StoredObject(metadata.text("name"), revision, fields.raw("spec"))
 
 
-def _change(item: Any) -> Change:
+def _parse_change(item: Any) -> Change:
     fields = Fields(item)
-    return Change(_stored(fields.raw("object")), bool(fields.raw("gone")))
+    return Change(_parse_object(fields.raw("object")), bool(fields.raw("gone")))
--- a/src/lotushill/platform/request_head.py
+++ b/src/lotushill/platform/request_head.py
@@ -16,13 +16,13 @@
 
 _MS = 1000.0
 _BEARER = "bearer "
-_LAST_PRIORITY = 9
+_LOWEST_ENGINE_PRIORITY = 9
 """Lowest of the ten priorities that engines distinguish, 0 being the highest."""
 _TEAM_LEVELS = 3
 """Engine priorities for each tier: the three tiers that operators use keep their full order."""
 Headers = list[tuple[bytes, bytes]]
 
-_OWN = frozenset(
+_GATEWAY_HEADERS = frozenset(
     name.encode()
     for name in (
         names.AUTHORIZATION,
@@ -43,25 +43,25 @@
 
 def read_demand(headers: Headers) -> Demand:
     """Parse what a request demands; a malformed header counts as absent."""
-    named = {name.decode("latin-1"): value.decode("latin-1") for name, value in headers}
-    usage = named.get(names.TOKEN_USAGE, "").split(",")
+    by_name = {name.decode("latin-1"): value.decode("latin-1") for name, value in headers}
+    usage = by_name.get(names.TOKEN_USAGE, "").split(",")
     return Demand(
-        request_id=named.get(names.REQUEST_ID, ""),
-        host=named.get("host", "").partition(":")[0],
-        api_key=_api_key(named.get(names.AUTHORIZATION, "")),
-        time_left=_milliseconds(named.get(names.DEADLINE_MS, "")),
-        prompt_tokens=_whole(usage[0]),
-        output_limit=_whole(usage[1]) if len(usage) > 1 else 0,
-        output_hint=_whole(named.get(names.LENGTH_HINT, "")),
-        parts=_parts(named.get(names.PROMPT_PARTS, "")),
-        last_event_id=named.get(names.LAST_EVENT_ID, ""),
+        request_id=by_name.get(names.REQUEST_ID, ""),
+        host=by_name.get("host", "").partition(":")[0],
+        api_key=_api_key(by_name.get(names.AUTHORIZATION, "")),
+        time_left=_seconds(by_name.get(names.DEADLINE_MS, "")),
+        prompt_tokens=_non_negative_integer(usage[0]),
+        output_limit=_non_negative_integer(usage[1]) if len(usage) > 1 else 0,
+        output_hint=_non_negative_integer(by_name.get(names.LENGTH_HINT, "")),
+        parts=_parts(by_name.get(names.PROMPT_PARTS, "")),
+        last_event_id=by_name.get(names.LAST_EVENT_ID, ""),
     )
 
 
 def forwarded_headers(headers: Headers, body: bytes | None) -> Headers:
     """Return the client's headers that are forwarded, with the length of the body."""
-    named = dict(headers)
-    dropped = _OWN | hop_by_hop_headers(named.get(b"connection", b""))
+    by_name = dict(headers)
+    dropped = _GATEWAY_HEADERS | hop_by_hop_headers(by_name.get(b"connection", b""))
     kept = [(name, value) for name, value in headers if name not in dropped]
     if body is not None:
         kept.append((b"content-length", str(len(body)).encode()))
@@ -77,29 +77,29 @@
     copies: MemoryCopies = NO_COPIES,
 ) -> Headers:
     """Return the headers that the gateway sets on one attempt."""
-    left = max(1, int(seconds_left * _MS))
-    out = [
+    milliseconds_left = max(1, int(seconds_left * _MS))
+    added = [
         (names.TARGET_INSTANCE.encode(), instance.encode()),
-        (names.DEADLINE_MS.encode(), str(left).encode()),
+        (names.DEADLINE_MS.encode(), str(milliseconds_left).encode()),
         (names.PRIORITY.encode(), str(_engine_priority(urgency)).encode()),
     ]
     if team:
-        out.append((names.TENANT.encode(), team.encode("latin-1")))
+        added.append((names.TENANT.encode(), team.encode("latin-1")))
     if copies.fetch_from:
-        out.append((names.KV_FETCH.encode(), copies.fetch_from.encode()))
+        added.append((names.KV_FETCH.encode(), copies.fetch_from.encode()))
     if copies.backup_to:
-        out.append((names.KV_BACKUP.encode(), copies.backup_to.encode()))
+        added.append((names.KV_BACKUP.encode(), copies.backup_to.encode()))
     if copies.memory_label:
-        out.append((names.KV_FROM.encode(), copies.memory_label.encode("latin-1")))
+        added.append((names.KV_FROM.encode(), copies.memory_label.encode("latin-1")))
     if last_event_id:
-        out.append((names.LAST_EVENT_ID.encode(), last_event_id.encode("latin-1")))
-    return out
+        added.append((names.LAST_EVENT_ID.encode(), last_event_id.encode("latin-1")))
+    return added
 
 
 def _engine_priority(urgency: Urgency) -> int:
     """Map the tier and the team rank to one of the few priorities that engines distinguish."""
     team = min(_TEAM_LEVELS - 1, max(0, urgency.team_rank))
-    return min(_LAST_PRIORITY, max(0, _TEAM_LEVELS * urgency.tier + team))
+    return min(_LOWEST_ENGINE_PRIORITY, max(0, _TEAM_LEVELS * urgency.tier + team))
 
 
 def without_last_event_id(headers: Headers) -> Headers:
@@ -136,14 +136,14 @@
     return value[len(_BEARER) :].strip()
 
 
-def _milliseconds(value: str) -> float | None:
+def _seconds(value: str) -> float | None:
     try:
         return max(0.0, float(value) / _MS)
     except ValueError:
         return None
 
 
-def _whole(value: str) -> int:
+def _non_negative_integer(value: str) -> int:
     try:
         return max(0, int(float(value)))
     except (ValueError, OverflowError):
@@ -151,13 +151,13 @@
 
 
 def _parts(value: str) -> tuple[PromptPart, ...]:
-    found = []
+    parts = []
     for item in value.split(","):
         name, _, tokens = item.strip().partition(":")
         if not name:
             continue
         try:
-            found.append(PromptPart(int(name, 16) & 0xFFFFFFFFFFFFFFFF, int(tokens)))
+            parts.append(PromptPart(int(name, 16) & 0xFFFFFFFFFFFFFFFF, int(tokens)))
         except ValueError:
             return ()
-    return tuple(found)
+    return tuple(parts)
--- a/src/lotushill/standin/batch.py
+++ b/src/lotushill/standin/batch.py
@@ -25,7 +25,7 @@
     produced: int = 0
 
     @property
-    def done(self) -> bool:
+    def is_done(self) -> bool:
         """Return whether the answer is complete."""
         return self.produced >= self.length
 
@@ -38,13 +38,15 @@
     prefill_per_step: float
     """Prompt tokens that one step prefills, over all sequences."""
     sequences: dict[str, Sequence] = field(default_factory=dict)
-    _order: int = 0
+    _arrivals: int = 0
 
-    def add(self, request: str, priority: int, prompt: float, length: int, done: int = 0) -> None:
+    def add(
+        self, request: str, priority: int, prompt_tokens: float, length: int, produced: int = 0
+    ) -> None:
         """Add a request, of which another engine has already produced `done` output tokens."""
-        self._order += 1
+        self._arrivals += 1
         self.sequences[request] = Sequence(
-            request, priority, prompt + done, length, self._order, done
+            request, priority, prompt_tokens + produced, length, self._arrivals, produced
         )
 
     def remove(self, request: str) -> Sequence | None:
@@ -55,22 +57,24 @@
         """Return the sequences that the next step runs."""
         if len(self.sequences) <= self.slots:
             return list(self.sequences.values())
-        order = sorted(self.sequences.values(), key=lambda item: (item.priority, item.arrived))
-        return order[: self.slots]
+        by_priority = sorted(
+            self.sequences.values(), key=lambda item: (item.priority, item.arrived)
+        )
+        return by_priority[: self.slots]
 
     def step(self) -> list[Sequence]:
         """Run one step and return the sequences that gained a token; completed ones are removed."""
         gained: list[Sequence] = []
-        prefill = self.prefill_per_step
+        prefill_budget = self.prefill_per_step
         for sequence in sorted(self.running(), key=lambda item: (item.priority, item.arrived)):
             if sequence.prefill_left > 0:
-                used = min(prefill, sequence.prefill_left)
-                sequence.prefill_left -= used
-                prefill -= used
+                prefilled = min(prefill_budget, sequence.prefill_left)
+                sequence.prefill_left -= prefilled
+                prefill_budget -= prefilled
                 if sequence.prefill_left > 0:
                     continue
             sequence.produced += 1
             gained.append(sequence)
-            if sequence.done:
+            if sequence.is_done:
                 del self.sequences[sequence.request]
         return gained
--- a/src/lotushill/standin/engine_app.py
+++ b/src/lotushill/standin/engine_app.py
@@ -19,17 +19,17 @@
     from lotushill.routing.demand import Demand
     from lotushill.standin.settings import StandinSettings
 
-_USUAL_LENGTH = 32
-_QUEUE_SHARE = 2
+_DEFAULT_OUTPUT_TOKENS = 32
+_MAX_QUEUED_BATCHES = 2
 """Maximum number of queued requests, as a multiple of the batch's slots."""
-_USUAL_PRIORITY = 5
+_DEFAULT_PRIORITY = 5
 
 
 @dataclass
 class _Job:
     """A request in the engine, and the counts of output tokens that it has produced."""
 
-    made: asyncio.Queue[int] = field(default_factory=asyncio.Queue)
+    progress: asyncio.Queue[int] = field(default_factory=asyncio.Queue)
 
 
 class EngineApp(UpstreamApp):
@@ -39,7 +39,7 @@
         super().__init__(settings.name)
         self._settings = settings
         self._batch = Batch(settings.slots, settings.prefill_per_step)
-        self._kept = PrefixCacheModel()
+        self._prefix_cache = PrefixCacheModel()
         self._jobs: dict[str, _Job] = {}
         self.prefilled_tokens = 0
         """Number of prompt tokens that were prefilled, without those found in the prefix cache."""
@@ -51,12 +51,12 @@
             for sequence in self._batch.step():
                 job = self._jobs.get(sequence.request)
                 if job is not None:
-                    job.made.put_nowait(sequence.produced)
+                    job.progress.put_nowait(sequence.produced)
 
     def is_full(self) -> bool:
         """Return whether new requests are rejected."""
-        most = self._settings.slots * (1 + _QUEUE_SHARE)
-        return super().is_full() or len(self._jobs) >= most
+        max_jobs = self._settings.slots * (1 + _MAX_QUEUED_BATCHES)
+        return super().is_full() or len(self._jobs) >= max_jobs
 
     def report(self) -> dict[str, object]:
         """Return the engine's load report."""
@@ -70,32 +70,37 @@
     async def run(self, headers: dict[str, str], body: bytes, send: Send) -> None:
         """Serve one request as a stream of events."""
         demand = read_demand([(name.encode(), headers[name].encode("latin-1")) for name in headers])
-        length = demand.output_hint or demand.output_limit or _USUAL_LENGTH
+        length = demand.output_hint or demand.output_limit or _DEFAULT_OUTPUT_TOKENS
         job = self._jobs[demand.request_id] = _Job()
-        self._let_in(demand, headers, length)
+        self._start(demand, headers, length)
         try:
             await self._stream(demand, job, length, send)
         finally:
             self._batch.remove(demand.request_id)
             del self._jobs[demand.request_id]
 
-    def _let_in(self, demand: Demand, headers: dict[str, str], length: int) -> None:
-        unread = max(0, demand.prompt_tokens - self._kept.matched_tokens(demand.parts))
-        self._kept.touch(demand.parts, self._settings.memory_tokens)
-        self.prefilled_tokens += unread
-        priority = int(headers.get(names.PRIORITY, _USUAL_PRIORITY))
-        done = min(length, int(demand.last_event_id or 0) * self._settings.tokens_per_event)
-        self._batch.add(demand.request_id, priority, unread, length, done)
+    def _start(self, demand: Demand, headers: dict[str, str], length: int) -> None:
+        prefill_tokens = max(
+            0, demand.prompt_tokens - self._prefix_cache.matched_tokens(demand.parts)
+        )
+        self._prefix_cache.touch(demand.parts, self._settings.memory_tokens)
+        self.prefilled_tokens += prefill_tokens
+        priority = int(headers.get(names.PRIORITY, _DEFAULT_PRIORITY))
+        produced = min(length, int(demand.last_event_id or 0) * self._settings.tokens_per_event)
+        self._batch.add(demand.request_id, priority, prefill_tokens, length, produced)
 
     async def _stream(self, demand: Demand, job: _Job, length: int, send: Send) -> None:
         status = 500 if self.fault is Fault.ERRORS else 200
         if self.fault is Fault.HANG:
             await asyncio.Event().wait()
-        told = [*self.answer_headers(demand.request_id), (b"content-type", b"text/event-stream")]
-        await send({"type": "http.response.start", "status": status, "headers": told})
+        start_headers = [
+            *self.answer_headers(demand.request_id),
+            (b"content-type", b"text/event-stream"),
+        ]
+        await send({"type": "http.response.start", "status": status, "headers": start_headers})
         produced = 0
         while produced < length:
-            produced = await job.made.get()
+            produced = await job.progress.get()
             if produced % self._settings.tokens_per_event and produced < length:
                 continue
             number = -(-produced // self._settings.tokens_per_event)
--- a/src/lotushill/standin/metadata_app.py
+++ b/src/lotushill/standin/metadata_app.py
@@ -21,9 +21,9 @@
     from lotushill.standin.metadata_store import MetadataStore
 
 _ROOT = "/objects/"
-_MAX_BODY = 2 * 1024 * 1024
-_BODY_SECONDS = 5.0
-_MS = 1000.0
+_MAX_BODY_BYTES = 2 * 1024 * 1024
+_BODY_TIMEOUT_SECONDS = 5.0
+_MS_PER_SECOND = 1000.0
 
 
 class StoreFault(Enum):
@@ -55,18 +55,18 @@
         """Serve one call."""
         query = scope["query_string"].decode("latin-1")
         self.calls.append(f"{scope['method']} {scope['path']}?{query}")
-        busy = self.fault is StoreFault.BUSY or self._is_of_busy_kind(str(scope["path"]))
+        busy = self.fault is StoreFault.BUSY or self._is_rejected_kind(str(scope["path"]))
         if busy or self.fault is StoreFault.MANY:
             await send_json(send, 503 if busy else 429, {})
             return
         try:
-            status, body = await self._answer_in_trouble(scope, receive, query)
+            status, body = await self._answer_with_fault(scope, receive, query)
         except asyncio.CancelledError:
             # The server stops while calls wait; this is no error to be logged with a traceback.
             status, body = 503, {}
         await send_json(send, status, body)
 
-    async def _answer_in_trouble(
+    async def _answer_with_fault(
         self, scope: Scope, receive: Receive, query: str
     ) -> tuple[int, Any]:
         if self.fault is StoreFault.SILENT:
@@ -76,27 +76,27 @@
             await asyncio.Event().wait()
         return answer
 
-    def _is_of_busy_kind(self, path: str) -> bool:
+    def _is_rejected_kind(self, path: str) -> bool:
         return bool(self.rejected_kind) and path.split("/")[2:3] == [self.rejected_kind]
 
     async def _answer(self, scope: Scope, receive: Receive, query: str) -> tuple[int, Any]:
-        text = await read_body(receive, _MAX_BODY, _BODY_SECONDS)
+        text = await read_body(receive, _MAX_BODY_BYTES, _BODY_TIMEOUT_SECONDS)
         kind, _, name = unquote(str(scope["path"]).removeprefix(_ROOT)).partition("/")
         options = {key: values[-1] for key, values in parse_qs(query).items()}
         try:
             content = json.loads(text) if text else {}
-            return 200, await self._do(str(scope["method"]), kind, name, options, content)
+            return 200, await self._carry_out(str(scope["method"]), kind, name, options, content)
         except StoreStatusError as error:
             return error.status, error.body
         except (ValueError, KeyError, TypeError) as error:
             return 400, {"error": repr(error)}
 
-    async def _do(
+    async def _carry_out(
         self, method: str, kind: str, name: str, options: dict[str, str], content: Any
     ) -> Any:
         revision = int(options["revision"]) if "revision" in options else None
         if method == "GET" and "watch" in options:
-            seconds = float(options.get("waitMs", "0")) / _MS
+            seconds = float(options.get("waitMs", "0")) / _MS_PER_SECOND
             return await self.store.watch(kind, int(options["watch"]), seconds)
         if method == "GET" and not name:
             return self.store.list_kind(kind, options.get("sinceRev", ""))
@@ -105,6 +105,6 @@
         if method == "POST":
             return self.store.create(kind, content["metadata"]["name"], content["spec"])
         if method == "PUT":
-            at = content["metadata"].get("revision", revision)
-            return self.store.replace(kind, name, content["spec"], at)
+            expected_revision = content["metadata"].get("revision", revision)
+            return self.store.replace(kind, name, content["spec"], expected_revision)
         return self.store.delete(kind, name, revision)
--- a/src/lotushill/standin/registration.py
+++ b/src/lotushill/standin/registration.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from lotushill.standin.settings import StandinSettings
 
-_HEARTBEAT_SECONDS = 1.0
+_HEARTBEAT_INTERVAL_SECONDS = 1.0
 
 
 class UpstreamEntry:
@@ -23,13 +23,13 @@
         assert settings.store is not None
         self._settings = settings
         self._store = ObjectStore(settings.store)
-        self._born = time.time_ns() // 1_000_000
+        self._started_at_ms = time.time_ns() // 1_000_000
 
     async def run_heartbeats(self) -> None:
         """Write the entry at every heartbeat until cancelled."""
         while True:
             await self._write("ready")
-            await asyncio.sleep(_HEARTBEAT_SECONDS)
+            await asyncio.sleep(_HEARTBEAT_INTERVAL_SECONDS)
 
     async def mark_draining(self) -> None:
         """Mark the upstream as draining, so that it gets no new requests."""
@@ -45,7 +45,12 @@
     async def _write(self, state: str) -> None:
         settings = self._settings
         spec = upstream_spec(
-            settings.service, settings.address, settings.hall, settings.slots, self._born, state
+            settings.service,
+            settings.address,
+            settings.hall,
+            settings.slots,
+            self._started_at_ms,
+            state,
         )
         try:
             if await self._store.get(names.BACKEND_KIND, settings.name) is None:
--- a/src/lotushill/standin/service_app.py
+++ b/src/lotushill/standin/service_app.py
@@ -20,13 +20,13 @@
     def __init__(self, name: str, slots: int, seconds: float) -> None:
         """Create an instance that runs `slots` requests at a time, each for `seconds`."""
         super().__init__(name)
-        self._places = asyncio.Semaphore(slots)
-        self._seconds = seconds
+        self._slots = asyncio.Semaphore(slots)
+        self._request_seconds = seconds
 
     async def run(self, headers: dict[str, str], body: bytes, send: Send) -> None:
         """Serve one request."""
-        async with self._places:
-            await asyncio.sleep(self._seconds)
+        async with self._slots:
+            await asyncio.sleep(self._request_seconds)
         if self.fault is Fault.HANG:
             await asyncio.Event().wait()
         request = headers[names.REQUEST_ID]
--- a/src/lotushill/standin/upstream_app.py
+++ b/src/lotushill/standin/upstream_app.py
@@ -16,11 +16,11 @@
     from lotushill.links.asgi import Scope
     from lotushill.links.asgi import Send
 
-_MAX_BODY = 8_000_000
-_BODY_SECONDS = 10.0
-_OTHER_INSTANCE = 421
+_MAX_BODY_BYTES = 8_000_000
+_BODY_TIMEOUT_SECONDS = 10.0
+_MISDIRECTED = 421
 _BAD_REQUEST = 400
-_FULL = 503
+_UNAVAILABLE = 503
 _FAULTS_PATH = "/faults/"
 
 
@@ -64,7 +64,7 @@
         """Serve one call."""
         if scope["type"] != "http":
             return
-        body = await read_body(receive, _MAX_BODY, _BODY_SECONDS)
+        body = await read_body(receive, _MAX_BODY_BYTES, _BODY_TIMEOUT_SECONDS)
         path = str(scope["path"])
         headers = {
             name.decode("latin-1").lower(): value.decode("latin-1")
@@ -94,24 +94,24 @@
 
     async def _serve(self, scope: Scope, headers: dict[str, str], body: bytes, send: Send) -> None:
         request = headers.get(names.REQUEST_ID, "")
-        wanted = headers.get(names.TARGET_INSTANCE, self.name)
+        target = headers.get(names.TARGET_INSTANCE, self.name)
         if not request:
-            await self._turn_away(send, request, _BAD_REQUEST)
-        elif wanted != self.name:
-            await self._turn_away(send, request, _OTHER_INSTANCE)
+            await self._reject(send, request, _BAD_REQUEST)
+        elif target != self.name:
+            await self._reject(send, request, _MISDIRECTED)
         elif self.is_full():
-            await self._turn_away(send, request, _FULL)
+            await self._reject(send, request, _UNAVAILABLE)
         else:
             team = headers.get(names.TENANT, "")
             self.runs.append(Run(request, team, str(scope["path"])))
             await self.run(headers, body, send)
 
-    async def _turn_away(self, send: Send, request: str, status: int) -> None:
-        told = [
+    async def _reject(self, send: Send, request: str, status: int) -> None:
+        headers = [
             (names.REQUEST_ID.encode(), request.encode("latin-1")),
             (names.NOT_EXECUTED.encode(), b"1"),
         ]
-        await send_response(send, status, told, b"")
+        await send_response(send, status, headers, b"")
 
     def answer_headers(self, request: str) -> list[tuple[bytes, bytes]]:
         """Return the headers of the answer to a request that was run."""
--- a/tests/contracts/test_editor.py
+++ b/tests/contracts/test_editor.py
@@ -55,9 +55,9 @@
 
     def __init__(self, others: list[dict[str, Any]] | None = None) -> None:
         self.objects = {STORED: StoredObject(STORED, 1, document())}
-        self.others = others or []
+        self.concurrent_edits = others or []
         """What another editor writes, one before each write that is made here."""
-        self.lost: list[bool] = []
+        self.unanswered_writes: list[bool] = []
         """Of each write whose answer is lost: whether it is done."""
         self.revision = 1
 
@@ -76,15 +76,15 @@
         self._write(name, spec, revision)
 
     def _write(self, name: str, spec: Any, revision: int | None) -> None:
-        if self.others:
-            self._store(name, self.others.pop(0))
+        if self.concurrent_edits:
+            self._store(name, self.concurrent_edits.pop(0))
         held = self.objects.get(name)
         if (held.revision if held else None) != revision:
             raise RevisionConflictError
-        if not self.lost:
+        if not self.unanswered_writes:
             self._store(name, spec)
             return
-        if self.lost.pop(0):
+        if self.unanswered_writes.pop(0):
             self._store(name, spec)
         raise StoreUnavailableError("no answer")
 
@@ -94,14 +94,14 @@
 
 
 class TestEditor(unittest.TestCase):
-    def held(self, store: FakeStore) -> Any:
+    def stored_data(self, store: FakeStore) -> Any:
         return store.objects[STORED].spec
 
     def test_disjoint_edits_both_stay(self) -> None:
         store = FakeStore([document(policy={"max_attempts": 3})])
         base = document()
         anyio.run(Editor(store).apply, NAME, put(base, "policy.deadline", 9.0), base)
-        self.assertEqual(self.held(store)["policy"], {"max_attempts": 3, "deadline": 9.0})
+        self.assertEqual(self.stored_data(store)["policy"], {"max_attempts": 3, "deadline": 9.0})
 
     def test_edits_of_the_same_value_conflict_and_show_both_sides(self) -> None:
         store = FakeStore([document(policy={"deadline": 5.0})])
@@ -110,7 +110,7 @@
             anyio.run(Editor(store).apply, NAME, put(base, "policy.deadline", 9.0), base)
         (clash,) = caught.exception.conflicts
         self.assertEqual((clash.path, clash.ours, clash.theirs), ("policy.deadline", 9.0, 5.0))
-        self.assertEqual(self.held(store)["policy"], {"deadline": 5.0})
+        self.assertEqual(self.stored_data(store)["policy"], {"deadline": 5.0})
 
     def test_a_new_object_is_made(self) -> None:
         store = FakeStore()
@@ -119,7 +119,7 @@
 
     def test_a_lost_answer_is_resolved_by_reading_back(self) -> None:
         store = FakeStore()
-        store.lost = [True]
+        store.unanswered_writes = [True]
         wanted = put(document(), "policy.deadline", 9.0)
         revision = anyio.run(Editor(store).apply, NAME, wanted, None)
         self.assertEqual(store.objects[STORED].revision, revision)
@@ -127,7 +127,7 @@
 
     def test_a_write_that_may_still_arrive_is_not_made_again(self) -> None:
         store = FakeStore()
-        store.lost = [False]
+        store.unanswered_writes = [False]
         wanted = put(document(), "policy.deadline", 9.0)
         with self.assertRaises(UnknownOutcomeError):
             anyio.run(Editor(store).apply, NAME, wanted, None)
--- a/tests/contracts/test_effective.py
+++ b/tests/contracts/test_effective.py
@@ -32,11 +32,11 @@
 TREES = st.fixed_dictionaries(dict.fromkeys(LEVELS, POLICIES))
 
 
-def route(may_repeat: bool = True, attempts: int = 4) -> Route:
+def route(may_repeat: bool = True, max_attempts: int = 4) -> Route:
     return Route(
         "klass", "h", "/", RouteKind.IDEMPOTENT, (WeightedService("svc", 1.0),), 9.0, 0.4, 0.2,
         Urgency(5),
-        attempts, False, False, may_repeat,
+        max_attempts, False, False, may_repeat,
     )  # fmt: skip
 
 
--- a/tests/platform/test_memory_calls.py
+++ b/tests/platform/test_memory_calls.py
@@ -13,8 +13,8 @@
 from lotushill.platform.memory_calls import parse_move_answer
 
 
-def answer(status: int, said: Any) -> JsonAnswer:
-    return JsonAnswer(status, json.dumps(said).encode())
+def answer(status: int, content: Any) -> JsonAnswer:
+    return JsonAnswer(status, json.dumps(content).encode())
 
 
 class TestMemoryCalls(unittest.TestCase):
@@ -23,8 +23,8 @@
         self.assertEqual(wanted, move_request_body("9c41", "10.0.0.2:80", last=True))
 
     def test_what_is_answered(self) -> None:
-        said = {"handle": "h-7", "made": 12}
-        self.assertEqual(Copied("h-7", 12), parse_move_answer(answer(200, said)))
+        content = {"handle": "h-7", "made": 12}
+        self.assertEqual(Copied("h-7", 12), parse_move_answer(answer(200, content)))
         for status, reason in (
             (404, NoCopyReason.UNKNOWN_RUN),
             (409, NoCopyReason.BUSY),
@@ -32,7 +32,7 @@
         ):
             self.assertEqual(NotCopied(reason), parse_move_answer(answer(status, {})))
         self.assertEqual(
-            NotCopied(NoCopyReason.NO_ROOM, "h-7"), parse_move_answer(answer(503, said))
+            NotCopied(NoCopyReason.NO_ROOM, "h-7"), parse_move_answer(answer(503, content))
         )
 
     def test_what_cannot_stand_in_a_path_or_a_header_is_no_handle(self) -> None:
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -8,8 +8,8 @@
 
 SOURCE = Path(__file__).resolve().parents[2] / "src" / "lotushill"
 ADAPTER = SOURCE / "platform"
-STAND_INS = SOURCE / "standin"
-_NAMES = re.compile(
+STANDIN = SOURCE / "standin"
+PLATFORM_NAMES = re.compile(
     r"Attempt-Id|Target-Instance|Not-Executed|Deadline-Ms|coldRemainingMs|pathPrefix"
     r"|Response-Signature|Prompt-Prefix|Token-Usage|Length-Hint|Request-Priority"
     r"|sinceRev|waitMs|apiKeys|timeoutMs|targetLatencyMs|maxAttempts|kvCapacity",
@@ -22,8 +22,8 @@
         found = [
             f"{path.relative_to(SOURCE)}: {match.group()}"
             for path in sorted(SOURCE.rglob("*.py"))
-            if ADAPTER not in path.parents and STAND_INS not in path.parents
-            for match in _NAMES.finditer(path.read_text(encoding="utf-8"))
+            if ADAPTER not in path.parents and STANDIN not in path.parents
+            for match in PLATFORM_NAMES.finditer(path.read_text(encoding="utf-8"))
         ]
         self.assertEqual([], found)
 
--- a/tests/platform/test_object_store.py
+++ b/tests/platform/test_object_store.py
@@ -28,7 +28,7 @@
 
 class StoreCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.store = MetadataStore(page=3)
+        self.store = MetadataStore(page_size=3)
         self.app = MetadataApp(self.store)
         self.server = HttpServer(self.app, "127.0.0.1:0")
         self.task = asyncio.create_task(self.server.serve())
@@ -65,8 +65,8 @@
         self.store.compact()
         with self.assertRaises(HistoryGoneError):
             await self.client.watch("k", 0, 0.1)
-        for trouble in (StoreFault.BUSY, StoreFault.MANY):
-            self.app.fault = trouble
+        for fault in (StoreFault.BUSY, StoreFault.MANY):
+            self.app.fault = fault
             with self.assertRaises(StoreUnavailableError):
                 await self.client.list_kind("k")
 
--- a/tests/platform/test_readers_fuzz.py
+++ b/tests/platform/test_readers_fuzz.py
@@ -36,31 +36,31 @@
 )
 
 
-def _places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def _paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
     """Return the path of every value within plain data."""
-    found = [path]
+    paths = [path]
     if isinstance(value, dict):
         for key, inner in value.items():
-            found += _places(inner, (*path, key))
+            paths += _paths(inner, (*path, key))
     elif isinstance(value, list):
         for index, inner in enumerate(value):
-            found += _places(inner, (*path, index))
-    return found
+            paths += _paths(inner, (*path, index))
+    return paths
 
 
-def _with(value: Any, path: tuple[Any, ...], new: Any) -> Any:
+def _replaced(value: Any, path: tuple[Any, ...], new: Any) -> Any:
     """Return plain data with one value replaced."""
     if not path:
         return new
     copied = dict(value) if isinstance(value, dict) else list(value)
-    copied[path[0]] = _with(value[path[0]], path[1:], new)
+    copied[path[0]] = _replaced(value[path[0]], path[1:], new)
     return copied
 
 
-def spoilt(good: Any) -> st.SearchStrategy[Any]:
+def malformed_variants(good: Any) -> st.SearchStrategy[Any]:
     """Return plain data that differs from good data in one place, or altogether."""
-    one = st.tuples(st.sampled_from(_places(good)), PLAIN)
-    return PLAIN | one.map(lambda item: _with(good, item[0], item[1]))
+    path_and_value = st.tuples(st.sampled_from(_paths(good)), PLAIN)
+    return PLAIN | path_and_value.map(lambda item: _replaced(good, item[0], item[1]))
 
 
 RECORD = {
@@ -82,7 +82,7 @@
 
 
 class TestReaders(unittest.TestCase):
-    @given(spoilt(SPEC))
+    @given(malformed_variants(SPEC))
     @settings(max_examples=400)
     def test_a_configuration(self, spec: Any) -> None:
         try:
@@ -90,19 +90,19 @@
         except InvalidTableError:
             pass
 
-    @given(spoilt(RECORD))
+    @given(malformed_variants(RECORD))
     @settings(max_examples=400)
     def test_the_record_of_the_duties(self, spec: Any) -> None:
         record = from_spec(spec)
         if record is not None:
             json.dumps(to_spec(record))
 
-    @given(spoilt(PAGE), spoilt(EVENTS))
+    @given(malformed_variants(PAGE), malformed_variants(EVENTS))
     @settings(max_examples=400)
     def test_answers_of_the_store(self, page: Any, events: Any) -> None:
-        for read, body in ((object_store._page, page), (object_store._events, events)):
+        for read, body in ((object_store._parse_page, page), (object_store._parse_events, events)):
             try:
-                object_store._parsed(read, body)
+                object_store._parse(read, body)
             except StoreUnavailableError:
                 pass
 
--- a/tests/platform/test_upstreams.py
+++ b/tests/platform/test_upstreams.py
@@ -88,51 +88,51 @@
         self.views = StoreViews(ObjectStore("127.0.0.1:1"), random.Random(1), log, lambda: None)
         self.revision = 0
 
-    def put(self, **specs: Any) -> None:
+    def list_entries(self, **specs: Any) -> None:
         self.revision += 1
         objects = tuple(StoredObject(name, self.revision, spec) for name, spec in specs.items())
         self.views._upstreams._on_list(ObjectList(objects, self.revision))
 
-    def ready(self) -> list[str]:
+    def ready_ids(self) -> list[str]:
         return [item.id for item in self.views.upstreams.of("llm")]
 
-    def ignored(self) -> list[str]:
+    def ignored_entries(self) -> list[str]:
         return [line["object"] for line in self.lines if line["event"] == "entry.ignored"]
 
     def test_a_bad_entry_costs_none_of_the_others_and_later_changes_are_seen(self) -> None:
         bad = {**GOOD, "slots": float("inf")}
-        self.put(a=GOOD, b=bad, c=GOOD)
-        self.assertEqual(["a", "c"], self.ready())
-        self.put(a={**GOOD, "state": "draining"}, b=bad, c=GOOD)
-        self.assertEqual(["c"], self.ready())
+        self.list_entries(a=GOOD, b=bad, c=GOOD)
+        self.assertEqual(["a", "c"], self.ready_ids())
+        self.list_entries(a={**GOOD, "state": "draining"}, b=bad, c=GOOD)
+        self.assertEqual(["c"], self.ready_ids())
 
     def test_each_is_told_of_once_until_it_changes(self) -> None:
         for number in range(4):
-            self.put(a=GOOD, b={**GOOD, "state": "?", "seqNo": number})
-        self.put(a=GOOD, b={**GOOD, "address": 5})
-        self.assertEqual(["b", "b"], self.ignored())
+            self.list_entries(a=GOOD, b={**GOOD, "state": "?", "seqNo": number})
+        self.list_entries(a=GOOD, b={**GOOD, "address": 5})
+        self.assertEqual(["b", "b"], self.ignored_entries())
         self.assertEqual(2, self.views.upstream_faults.total_count)
 
     def test_an_upstream_whose_entry_is_spoilt_gets_nothing_more_even_after_an_outage(self) -> None:
-        self.put(a=GOOD, b=GOOD)
+        self.list_entries(a=GOOD, b=GOOD)
         self.views.upstreams.replace([], 2, {"a": 1e12, "b": 1e12})
         self.revision = 2
-        self.put(a="spoilt", b=GOOD)
-        self.assertEqual(["b"], self.ready())
+        self.list_entries(a="spoilt", b=GOOD)
+        self.assertEqual(["b"], self.ready_ids())
 
     def test_one_that_drained_and_ended_works_again_under_its_name(self) -> None:
-        self.put(a={**GOOD, "born": 1})
-        self.put(a={**GOOD, "born": 1, "state": "draining"})
-        self.put(a={**GOOD, "born": 2})
-        self.assertEqual(["a@2"], self.ready())
+        self.list_entries(a={**GOOD, "born": 1})
+        self.list_entries(a={**GOOD, "born": 1, "state": "draining"})
+        self.list_entries(a={**GOOD, "born": 2})
+        self.assertEqual(["a@2"], self.ready_ids())
         self.assertIsNone(self.views.upstreams.find("a@1"))
 
     def test_a_former_life_is_not_kept_beside_the_present_one(self) -> None:
-        self.put(a={**GOOD, "born": 1})
+        self.list_entries(a={**GOOD, "born": 1})
         self.views.upstreams.replace([], 2, {"a@1": 1e12})
         self.revision = 2
-        self.put(a={**GOOD, "born": 2})
-        self.assertEqual(["a@2"], self.ready())
+        self.list_entries(a={**GOOD, "born": 2})
+        self.assertEqual(["a@2"], self.ready_ids())
 
     @given(st.sampled_from(list(ViewKind)), st.binary(max_size=60) | PLAIN.map(json.dumps))
     @settings(max_examples=200)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -8,7 +8,7 @@
 
 class TestJournal(unittest.TestCase):
     def test_the_oldest_request_gives_way(self) -> None:
-        journal = Journal(requests=2)
+        journal = Journal(max_requests=2)
         for name in ("a", "b", "a", "c"):
             journal.add(name, {"event": name})
         self.assertEqual([], journal.events_of("a"))
