--- a/tests/contracts/test_document_fuzz.py
+++ b/tests/contracts/test_document_fuzz.py
@@ -1,4 +1,4 @@
-"""Settings files that nobody planned: good, or faults with paths."""
+"""Arbitrary settings documents are valid or rejected with faults that name their paths."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 class TestDocuments(unittest.TestCase):
     @settings(max_examples=200)
     @given(st.text(max_size=80))
-    def test_any_text_is_parsed_or_a_typed_fault(self, text: str) -> None:
+    def test_any_text_is_parsed_or_a_settings_error(self, text: str) -> None:
         try:
             parse(text, "x")
         except SettingsError as error:
@@ -38,7 +38,7 @@
 
     @settings(max_examples=200)
     @given(TREES)
-    def test_any_tree_is_good_or_has_faults_with_paths(self, tree: Any) -> None:
+    def test_any_tree_is_valid_or_has_faults_with_paths(self, tree: Any) -> None:
         for model in (Root, TeamSettings):
             try:
                 check(model, tree, "x")
@@ -46,9 +46,9 @@
                 self.assertTrue(all(fault.path and fault.reason for fault in error.faults))
 
     @given(TREES)
-    def test_what_is_written_is_read_back(self, tree: Any) -> None:
+    def test_written_yaml_is_parsed_to_the_same_data(self, tree: Any) -> None:
         self.assertEqual(parse(write(tree), "x"), tree)
 
-    def test_deep_nesting_is_a_fault_and_no_crash(self) -> None:
+    def test_deep_nesting_raises_settings_error(self) -> None:
         with self.assertRaises(SettingsError):
             parse("[" * 20_000, "x")
--- a/tests/contracts/test_editor.py
+++ b/tests/contracts/test_editor.py
@@ -1,4 +1,4 @@
-"""Edits that race, and edits whose answers are lost."""
+"""Concurrent edits, and edits whose answers are lost."""
 
 from __future__ import annotations
 
@@ -25,7 +25,9 @@
 NAME = "team/bodas"
 STORED = "team.bodas"
 VALUES = st.recursive(
-    st.integers(0, 3), lambda inner: st.dictionaries(st.sampled_from("abc"), inner), max_leaves=6
+    st.integers(0, 3),
+    lambda children: st.dictionaries(st.sampled_from("abc"), children),
+    max_leaves=6,
 )
 TREES = st.dictionaries(st.sampled_from("abc"), VALUES)
 
@@ -36,29 +38,31 @@
 
 class TestMerge(unittest.TestCase):
     @given(TREES, TREES)
-    def test_one_sided_edits_are_taken_whole(self, base: Any, edited: Any) -> None:
+    def test_an_edit_of_one_side_only_is_taken_completely(self, base: Any, edited: Any) -> None:
         self.assertEqual(merge(base, edited, base).data, edited)
         self.assertEqual(merge(base, base, edited).data, edited)
         self.assertEqual(merge(base, edited, edited).data, edited)
 
     @given(TREES, TREES, TREES)
-    def test_order_of_the_sides_does_not_matter(self, base: Any, ours: Any, theirs: Any) -> None:
-        one, other = merge(base, ours, theirs), merge(base, theirs, ours)
-        paths = {clash.path for clash in one.conflicts}
-        self.assertEqual(paths, {clash.path for clash in other.conflicts})
+    def test_the_order_of_the_sides_does_not_matter(
+        self, base: Any, ours: Any, theirs: Any
+    ) -> None:
+        first, second = merge(base, ours, theirs), merge(base, theirs, ours)
+        paths = {conflict.path for conflict in first.conflicts}
+        self.assertEqual(paths, {conflict.path for conflict in second.conflicts})
         if not paths:
-            self.assertEqual(one.data, other.data)
+            self.assertEqual(first.data, second.data)
 
 
 class FakeStore:
-    """Objects of one kind in memory, another editor, and writes whose answers are lost."""
+    """In-memory store of one kind, with concurrent edits and writes whose answers are lost."""
 
     def __init__(self, others: list[dict[str, Any]] | None = None) -> None:
         self.objects = {STORED: StoredObject(STORED, 1, document())}
         self.concurrent_edits = others or []
-        """What another editor writes, one before each write that is made here."""
+        """Documents that another editor writes, one before each write of the editor under test."""
         self.unanswered_writes: list[bool] = []
-        """Of each write whose answer is lost: whether it is done."""
+        """For each write whose answer is lost, whether it is carried out."""
         self.revision = 1
 
     async def list_kind(self, kind: str, stale: bool = False) -> ObjectList:
@@ -78,8 +82,8 @@
     def _write(self, name: str, spec: Any, revision: int | None) -> None:
         if self.concurrent_edits:
             self._store(name, self.concurrent_edits.pop(0))
-        held = self.objects.get(name)
-        if (held.revision if held else None) != revision:
+        current = self.objects.get(name)
+        if (current.revision if current else None) != revision:
             raise RevisionConflictError
         if not self.unanswered_writes:
             self._store(name, spec)
@@ -108,11 +112,13 @@
         base = document()
         with self.assertRaises(EditConflictError) as caught:
             anyio.run(Editor(store).apply, NAME, put(base, "policy.deadline", 9.0), base)
-        (clash,) = caught.exception.conflicts
-        self.assertEqual((clash.path, clash.ours, clash.theirs), ("policy.deadline", 9.0, 5.0))
+        (conflict,) = caught.exception.conflicts
+        self.assertEqual(
+            (conflict.path, conflict.ours, conflict.theirs), ("policy.deadline", 9.0, 5.0)
+        )
         self.assertEqual(self.stored_data(store)["policy"], {"deadline": 5.0})
 
-    def test_a_new_object_is_made(self) -> None:
+    def test_a_new_object_is_created(self) -> None:
         store = FakeStore()
         anyio.run(Editor(store).apply, "root", {"policy": {"tier": 2}}, None)
         self.assertEqual({"policy": {"tier": 2}}, store.objects["root"].spec)
@@ -133,7 +139,7 @@
             anyio.run(Editor(store).apply, NAME, wanted, None)
         self.assertEqual(store.revision, 1)
 
-    def test_a_race_without_an_end_is_given_up(self) -> None:
+    def test_an_edit_is_given_up_after_too_many_concurrent_edits(self) -> None:
         others = [document(policy={"max_attempts": number}) for number in range(1, 9)]
         store = FakeStore(others)
         with self.assertRaises(EditRetriesExhaustedError):
--- a/tests/contracts/test_effective.py
+++ b/tests/contracts/test_effective.py
@@ -1,4 +1,4 @@
-"""Inheritance along the levels of the tree."""
+"""Inheritance of values over the levels of the tree."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 
 
 def make_tree(policies: dict[str, dict[str, Any]]) -> tuple[Root, TeamSettings]:
-    """Return a tree of one class with the policies of its levels."""
+    """Return a tree with one class, given the policy of each level."""
 
     def services(service: str, klass: str) -> dict[str, Any]:
-        leaf = {"policy": policies.get(klass, {})}
-        return {"svc": {"policy": policies.get(service, {}), "classes": {"klass": leaf}}}
+        service_class = {"policy": policies.get(klass, {})}
+        return {"svc": {"policy": policies.get(service, {}), "classes": {"klass": service_class}}}
 
     root = {"policy": policies.get("root", {}), "services": services("root service", "root class")}
     team = {
@@ -58,15 +58,15 @@
 
 class TestInheritance(unittest.TestCase):
     @given(TREES)
-    def test_the_nearest_level_that_sets_a_value_wins(
+    def test_the_most_specific_level_that_sets_a_value_takes_precedence(
         self, policies: dict[str, dict[str, Any]]
     ) -> None:
         root, team = make_tree(policies)
         origins = trace(root, team, route(), None, "svc")
         for name in VALUES:
-            setters = [level for level in LEVELS if name in policies[level]]
-            if setters:
-                self.assertEqual(policies[setters[-1]][name], origins[name].value)
+            setting_levels = [level for level in LEVELS if name in policies[level]]
+            if setting_levels:
+                self.assertEqual(policies[setting_levels[-1]][name], origins[name].value)
             else:
                 self.assertEqual(PLATFORM, origins[name].level)
 
@@ -75,33 +75,33 @@
         self, policies: dict[str, dict[str, Any]], may_repeat: bool, attempts: int
     ) -> None:
         root, team = make_tree(policies)
-        found = resolve(root, team, route(may_repeat, attempts), None, "svc")
-        self.assertLessEqual(found.max_attempts, attempts)
-        self.assertLessEqual(found.repeatable, may_repeat)
+        resolved = resolve(root, team, route(may_repeat, attempts), None, "svc")
+        self.assertLessEqual(resolved.max_attempts, attempts)
+        self.assertLessEqual(resolved.repeatable, may_repeat)
 
-    def test_a_share_is_inherited_and_1_without_one(self) -> None:
+    def test_a_share_is_inherited_and_defaults_to_1(self) -> None:
         root, team = make_tree({"root": {"share": 2.0}, "class": {"share": 3.0}})
         self.assertEqual(2.0, resolve(root, None, route(), None, "svc").share)
         self.assertEqual(3.0, resolve(root, team, route(), None, "svc").share)
         self.assertEqual(1.0, resolve(None, None, route(), None, "svc").share)
 
-    def test_a_share_of_nothing_is_a_fault(self) -> None:
+    def test_a_share_out_of_range_is_rejected(self) -> None:
         for share in (0.0, -1.0, 1e9):
             with self.assertRaises(ValueError):
                 make_tree({"team": {"share": share}})
 
-    def test_without_a_tree_the_values_of_the_platform_hold(self) -> None:
+    def test_without_a_tree_the_values_of_the_platform_are_in_force(self) -> None:
         self.assertEqual(route(), resolve(Root(), None, route(), None, "svc"))
 
-    def test_a_team_is_ordered_within_the_tier_of_its_route(self) -> None:
+    def test_the_priority_of_a_team_orders_requests_within_the_tier_of_the_route(self) -> None:
         for priority, rank in ((2, 2), (0, 0), (None, DEFAULT_TEAM_RANK)):
             team = Team("team", (), priority)
-            found = resolve(Root(), None, route(), team, "svc").urgency
-            self.assertEqual(Urgency(route().urgency.tier, rank), found)
+            resolved = resolve(Root(), None, route(), team, "svc").urgency
+            self.assertEqual(Urgency(route().urgency.tier, rank), resolved)
             root, settings = make_tree({"class": {"tier": 7}})
-            found = resolve(root, settings, route(), team, "svc").urgency
-            self.assertEqual(Urgency(7, rank), found)
+            resolved = resolve(root, settings, route(), team, "svc").urgency
+            self.assertEqual(Urgency(7, rank), resolved)
 
-    def test_a_team_is_not_touched_by_the_values_of_another_service(self) -> None:
+    def test_values_of_one_service_do_not_apply_to_another(self) -> None:
         root, team = make_tree({"service": {"deadline": 1.0}, "class": {"deadline": 2.0}})
         self.assertEqual(9.0, resolve(root, team, route(), None, "other").timeout)
--- a/tests/contracts/test_settings_view.py
+++ b/tests/contracts/test_settings_view.py
@@ -1,4 +1,4 @@
-"""The tree that a gateway holds: it never goes back, and a faulty edit changes nothing."""
+"""The view of the settings tree ignores older revisions, and an invalid edit changes nothing."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
         return view.route_for(route(), team, "svc").urgency.tier
 
     @given(st.lists(st.integers(0, 40), max_size=20))
-    def test_whatever_comes_in_any_order_the_newest_is_in_force(self, revisions: list[int]) -> None:
+    def test_in_any_order_of_arrival_the_newest_revision_is_in_force(
+        self, revisions: list[int]
+    ) -> None:
         view = SettingsView()
         newest = -1
         for revision in revisions:
@@ -28,7 +30,7 @@
             newest = max(newest, revision)
             self.assertEqual(newest % 10, self.tier(view))
 
-    def test_a_team_without_an_object_has_the_values_of_the_root(self) -> None:
+    def test_a_team_without_an_object_inherits_the_values_of_the_root(self) -> None:
         view = SettingsView()
         view.replace({"root": {"policy": {"tier": 4}}, "team.bodas": GOOD}, 1)
         self.assertEqual(3, self.tier(view))
@@ -45,16 +47,16 @@
         self.assertEqual(5, self.tier(view))
         self.assertEqual({}, view.faults)
 
-    def test_a_removed_root_leaves_the_values_of_the_platform(self) -> None:
+    def test_once_the_root_is_removed_the_values_of_the_platform_are_in_force(self) -> None:
         view = SettingsView()
         view.replace({"root": {"policy": {"tier": 4}}}, 1)
         view.replace({}, 2)
         self.assertEqual(5, self.tier(view))
 
     def test_the_same_objects_have_the_same_fingerprint_at_any_revision(self) -> None:
-        one, other = SettingsView(), SettingsView()
-        one.replace({"root": {}, "team.bodas": GOOD}, 1)
-        other.replace({"team.bodas": GOOD, "root": {}}, 7)
-        self.assertEqual(one.fingerprint, other.fingerprint)
-        other.replace({"root": {}}, 8)
-        self.assertNotEqual(one.fingerprint, other.fingerprint)
+        first, second = SettingsView(), SettingsView()
+        first.replace({"root": {}, "team.bodas": GOOD}, 1)
+        second.replace({"team.bodas": GOOD, "root": {}}, 7)
+        self.assertEqual(first.fingerprint, second.fingerprint)
+        second.replace({"root": {}}, 8)
+        self.assertNotEqual(first.fingerprint, second.fingerprint)
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -65,7 +65,7 @@
 
 
 class TestTable(unittest.TestCase):
-    def test_every_field_finds_its_place(self) -> None:
+    def test_all_fields_are_parsed(self) -> None:
         table = parse_table(SPEC)
         one = table.find_route("shop.example", "/one/x")
         two = table.find_route("shop.example", "/two/x")
@@ -89,7 +89,7 @@
         self.assertEqual(("bakery", 1), (team.name, team.priority) if team else None)
 
     @given(st.sampled_from(["version", "name", "kind", "pathPrefix", "timeoutMs", "host"]))
-    def test_a_missing_value_is_named(self, field: str) -> None:
+    def test_a_missing_field_is_named_in_the_error(self, field: str) -> None:
         spec = copy.deepcopy(SPEC)
         spec.pop(field, None)
         spec["routes"][0].pop(field, None)
@@ -98,7 +98,7 @@
         self.assertIn(field, str(caught.exception))
 
     @given(st.recursive(st.none() | st.integers() | st.text(max_size=3), st.lists, max_leaves=5))
-    def test_anything_else_is_an_error_of_its_type(self, spec: Any) -> None:
+    def test_other_data_raises_invalid_table_error(self, spec: Any) -> None:
         with self.assertRaises(InvalidTableError):
             parse_table(spec)
 
@@ -115,18 +115,18 @@
         "seqNo": 4,
     }
 
-    def test_every_field_finds_its_place(self) -> None:
+    def test_all_fields_are_parsed(self) -> None:
         upstream = parse_upstream("i-1", self.SPEC)
         self.assertEqual(("i-1", "llm", "10.0.0.9:80", "z", 48, False, 1.5), (
             upstream.id, upstream.service, upstream.address, upstream.hall, upstream.slots,
             upstream.draining, upstream.slow_seconds,
         ))  # fmt: skip
 
-    def test_an_upstream_that_leaves(self) -> None:
+    def test_a_draining_upstream_is_marked_as_draining(self) -> None:
         upstream = parse_upstream("i-1", {**self.SPEC, "state": "draining"})
         self.assertTrue(upstream and upstream.draining)
 
-    def test_an_entry_that_cannot_be_read_is_passed_over(self) -> None:
+    def test_a_malformed_entry_raises_malformed_entry_error(self) -> None:
         for spec in ({"service": "llm"}, None):
             with self.assertRaises(MalformedEntryError):
                 parse_upstream("i-1", spec)
--- a/tests/platform/test_memory_calls.py
+++ b/tests/platform/test_memory_calls.py
@@ -18,11 +18,11 @@
 
 
 class TestMemoryCalls(unittest.TestCase):
-    def test_what_is_asked(self) -> None:
+    def test_the_body_of_a_move_request(self) -> None:
         wanted = {"id": "9c41", "targetVersion": "10.0.0.2:80", "last": True}
         self.assertEqual(wanted, move_request_body("9c41", "10.0.0.2:80", last=True))
 
-    def test_what_is_answered(self) -> None:
+    def test_answers_of_an_engine_to_a_move(self) -> None:
         content = {"handle": "h-7", "made": 12}
         self.assertEqual(Copied("h-7", 12), parse_move_answer(answer(200, content)))
         for status, reason in (
@@ -35,13 +35,13 @@
             NotCopied(NoCopyReason.NO_ROOM, "h-7"), parse_move_answer(answer(503, content))
         )
 
-    def test_what_cannot_stand_in_a_path_or_a_header_is_no_handle(self) -> None:
+    def test_a_handle_that_is_invalid_in_a_path_or_header_is_rejected(self) -> None:
         odd = ("", "a b", "a/b", "a?b", "a\r\nx: y", "x" * 300, "é", 7, None, ["h"])
         for handle in odd:
             with self.subTest(handle=handle), self.assertRaises(NoAnswerError):
                 parse_move_answer(answer(200, {"handle": handle}))
 
-    def test_any_other_answer_is_none(self) -> None:
+    def test_any_other_answer_raises_no_answer_error(self) -> None:
         for status, said in ((500, {}), (200, []), (200, {}), (302, {"handle": "h"})):
             with self.subTest(status=status), self.assertRaises(NoAnswerError):
                 parse_move_answer(answer(status, said))
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names are known in one folder only."""
+"""Names of the platform are used in the adapter and the stand-ins only."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class TestNames(unittest.TestCase):
-    def test_no_other_folder_names_them(self) -> None:
-        found = [
+    def test_no_other_package_contains_platform_names(self) -> None:
+        misplaced = [
             f"{path.relative_to(SOURCE)}: {match.group()}"
             for path in sorted(SOURCE.rglob("*.py"))
             if ADAPTER not in path.parents and STANDIN not in path.parents
             for match in PLATFORM_NAMES.finditer(path.read_text(encoding="utf-8"))
         ]
-        self.assertEqual([], found)
+        self.assertEqual([], misplaced)
 
     def test_the_adapter_stays_small(self) -> None:
         lines = sum(
--- a/tests/platform/test_object_store.py
+++ b/tests/platform/test_object_store.py
@@ -1,4 +1,4 @@
-"""The client of the store and what follows it, against the stand-in over a socket."""
+"""The store's client and the views that follow the store, against the stand-in over a socket."""
 
 from __future__ import annotations
 
@@ -42,21 +42,21 @@
 
 
 class TestObjectStore(StoreCase):
-    async def test_a_list_of_several_pages_is_whole(self) -> None:
+    async def test_a_list_of_several_pages_is_complete(self) -> None:
         for number in range(8):
             self.store.create("k", f"n{number}", {"number": number})
         listed = await self.client.list_kind("k")
         self.assertEqual([f"n{n}" for n in range(8)], [item.name for item in listed.objects])
         self.assertEqual(8, listed.revision)
 
-    async def test_a_watch_brings_changes_and_where_to_go_on(self) -> None:
+    async def test_a_watch_returns_changes_and_the_revision_to_continue_from(self) -> None:
         self.store.create("k", "a", 1)
         self.store.delete("k", "a")
         changes, revision = await self.client.watch("k", 0, 1.0)
         self.assertEqual([("a", False), ("a", True)], [(c.object.name, c.gone) for c in changes])
         self.assertEqual(2, revision)
 
-    async def test_errors_have_types(self) -> None:
+    async def test_error_statuses_raise_typed_errors(self) -> None:
         self.store.create("k", "a", 1)
         with self.assertRaises(RevisionConflictError):
             await self.client.create("k", "a", 2)
@@ -70,10 +70,10 @@
             with self.assertRaises(StoreUnavailableError):
                 await self.client.list_kind("k")
 
-    async def test_one_object_or_none(self) -> None:
+    async def test_get_returns_an_object_or_none(self) -> None:
         self.store.create("k", "a", {"x": 1})
-        found = await self.client.get("k", "a")
-        self.assertEqual({"x": 1}, found.spec if found else None)
+        stored = await self.client.get("k", "a")
+        self.assertEqual({"x": 1}, stored.spec if stored else None)
         self.assertIsNone(await self.client.get("k", "b"))
 
 
@@ -94,7 +94,7 @@
         self.store.put("config", "main", {**SPEC, "version": version})
 
     async def follow(self, *conditions: Any) -> None:
-        """Run the views until each condition has held, one after the other."""
+        """Run the views until each condition has been true, one after the other."""
         tasks = self.views.start_tasks()
         try:
             async with asyncio.timeout(10):
@@ -110,11 +110,11 @@
         table = self.views.configuration.table
         return table.version if table else 0
 
-    async def test_list_and_changes_are_followed(self) -> None:
+    async def test_a_list_and_later_changes_are_followed(self) -> None:
         self.put_version(1)
         self.store.create("servers", "i-1", UPSTREAM)
 
-        def known() -> bool:
+        def is_loaded() -> bool:
             return self.version() == 1 and self.views.upstreams.is_loaded
 
         def change() -> bool:
@@ -123,7 +123,7 @@
             return True
 
         await self.follow(
-            known,
+            is_loaded,
             change,
             lambda: self.version() == 2,
             lambda: not self.views.upstreams.of("llm"),
@@ -168,29 +168,29 @@
     async def test_a_configuration_that_cannot_be_read_leaves_the_last_one_in_force(self) -> None:
         self.put_version(1)
 
-        def spoil() -> bool:
+        def make_malformed() -> bool:
             self.store.put("config", "main", {"version": 2, "routes": [{"name": "broken"}]})
             return True
 
         await self.follow(
             lambda: self.version() == 1,
-            spoil,
+            make_malformed,
             lambda: any(b"configuration.rejected" in line for line in self.lines),
         )
         self.assertEqual(1, self.version())
 
     async def test_a_peers_view_is_taken_only_if_it_is_newer(self) -> None:
-        def take(kind: ViewKind, revision: int, value: Any) -> None:
+        def receive(kind: ViewKind, revision: int, value: Any) -> None:
             self.views.receive_from_peer(kind, revision, json.dumps(value))
 
-        take(ViewKind.CONFIGURATION, 5, {**SPEC, "version": 5})
-        take(ViewKind.CONFIGURATION, 4, {**SPEC, "version": 6})
+        receive(ViewKind.CONFIGURATION, 5, {**SPEC, "version": 5})
+        receive(ViewKind.CONFIGURATION, 4, {**SPEC, "version": 6})
         self.assertEqual(5, self.version())
-        take(ViewKind.UPSTREAMS, 9, {"entries": {"i-1": UPSTREAM}, "lapsed": {}})
-        take(ViewKind.UPSTREAMS, 8, {"entries": {}, "lapsed": {}})
+        receive(ViewKind.UPSTREAMS, 9, {"entries": {"i-1": UPSTREAM}, "lapsed": {}})
+        receive(ViewKind.UPSTREAMS, 8, {"entries": {}, "lapsed": {}})
         self.assertEqual(["i-1"], [item.id for item in self.views.upstreams.of("llm")])
 
-    async def test_nothing_a_peer_sends_can_break_a_view(self) -> None:
+    async def test_no_text_of_a_peer_breaks_a_view(self) -> None:
         values: tuple[Any, ...] = (None, [], "x", {"version": None}, {"i-1": None}, 3)
         texts = ["", "{", *(json.dumps(value) for value in values)]
         for kind in ViewKind:
@@ -252,24 +252,25 @@
     async def test_the_settings_tree_is_followed(self) -> None:
         self.store.put("lotushill-settings", "root", {"policy": {"tier": 7}})
 
-        def spoil() -> bool:
+        def make_malformed() -> bool:
             self.store.put("lotushill-settings", "team.x", {"team": "x", "policy": {"tier": 77}})
             return True
 
         await self.follow(
             lambda: len(self.views.settings.objects) == 1,
-            spoil,
+            make_malformed,
             lambda: any(b"settings.rejected" in line for line in self.lines),
         )
         self.assertIn("team/x", self.views.settings.faults)
 
 
 class TestOrderOfReading(StoreCase):
-    """All gateways were killed while the store was away, and one held request was sent once more.
+    """The holds are read before the configuration, or a held request is sent once more.
 
-    A gateway that had started in an outage of two seconds and more read its configuration and the
-    holds at once when the store was back, and served as soon as it had the first of both. It took
-    requests also before it was ready.
+    All gateways were killed while the store was unavailable. A gateway that started in an outage of
+    two seconds or more read its configuration and the holds concurrently once the store answered,
+    and served as soon as it had the first of the two. It also accepted requests before it was
+    ready.
     """
 
     async def test_a_store_that_comes_back_late_is_asked_for_the_holds_first(self) -> None:
@@ -292,7 +293,9 @@
         self.assertIsNone(before)
         self.assertGreaterEqual(views.holds.revision, 0)
 
-    async def test_where_the_holds_alone_cannot_be_read_it_serves_after_two_seconds(self) -> None:
+    async def test_if_only_the_holds_cannot_be_read_requests_are_served_after_two_seconds(
+        self,
+    ) -> None:
         self.store.put("config", "main", SPEC)
         self.app.rejected_kind = "lotushill-quarantine"
         views = self.follow_from_start()
@@ -319,7 +322,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def test_the_configuration_is_read_after_the_requests_that_are_held(self) -> None:
-        """A store that goes away between would leave a gateway that serves and knows no holds."""
+        """If the store failed between the two, a gateway would serve requests without the holds."""
         self.store.put("config", "main", SPEC)
         views = StoreViews(
             self.client, random.Random(1), EventLog("gw", lambda _: None), lambda: None
--- a/tests/platform/test_readers_fuzz.py
+++ b/tests/platform/test_readers_fuzz.py
@@ -1,4 +1,4 @@
-"""Any plain data and any bytes through each reader at the edge: a value, or an error of its own."""
+"""Every parser of external data returns a value or raises its own error, for any data or bytes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def _paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Return the path of every value within plain data."""
+    """Return the path of every value in plain data."""
     paths = [path]
     if isinstance(value, dict):
         for key, inner in value.items():
@@ -49,7 +49,7 @@
 
 
 def _replaced(value: Any, path: tuple[Any, ...], new: Any) -> Any:
-    """Return plain data with one value replaced."""
+    """Return plain data with the value at a path replaced."""
     if not path:
         return new
     copied = dict(value) if isinstance(value, dict) else list(value)
@@ -58,7 +58,7 @@
 
 
 def malformed_variants(good: Any) -> st.SearchStrategy[Any]:
-    """Return plain data that differs from good data in one place, or altogether."""
+    """Return plain data that differs from valid data in one value or completely."""
     path_and_value = st.tuples(st.sampled_from(_paths(good)), PLAIN)
     return PLAIN | path_and_value.map(lambda item: _replaced(good, item[0], item[1]))
 
@@ -84,7 +84,7 @@
 class TestReaders(unittest.TestCase):
     @given(malformed_variants(SPEC))
     @settings(max_examples=400)
-    def test_a_configuration(self, spec: Any) -> None:
+    def test_a_configuration_is_parsed_or_a_typed_error(self, spec: Any) -> None:
         try:
             parse_table(spec)
         except InvalidTableError:
@@ -92,14 +92,14 @@
 
     @given(malformed_variants(RECORD))
     @settings(max_examples=400)
-    def test_the_record_of_the_duties(self, spec: Any) -> None:
+    def test_a_duty_record_that_is_parsed_can_be_written(self, spec: Any) -> None:
         record = from_spec(spec)
         if record is not None:
             json.dumps(to_spec(record))
 
     @given(malformed_variants(PAGE), malformed_variants(EVENTS))
     @settings(max_examples=400)
-    def test_answers_of_the_store(self, page: Any, events: Any) -> None:
+    def test_answers_of_the_store_are_parsed_or_a_typed_error(self, page: Any, events: Any) -> None:
         for read, body in ((object_store._parse_page, page), (object_store._parse_events, events)):
             try:
                 object_store._parse(read, body)
@@ -107,34 +107,34 @@
                 pass
 
     @given(st.dictionaries(st.text(max_size=34), PLAIN, max_size=4))
-    def test_holds(self, objects: dict[str, Any]) -> None:
+    def test_each_hold_is_parsed_or_counted_as_a_fault(self, objects: dict[str, Any]) -> None:
         view = HoldView()
         view.replace(objects, 1)
         self.assertEqual(len(objects), len(view.holds) + len(view.faults))
 
     @given(st.dictionaries(st.sampled_from(("root", "team.a", "x")), PLAIN, max_size=3))
-    def test_the_settings_tree(self, objects: dict[str, Any]) -> None:
+    def test_the_settings_view_accepts_any_objects(self, objects: dict[str, Any]) -> None:
         SettingsView().replace(objects, 1)
 
     @given(st.binary(max_size=80) | PLAIN.map(lambda value: json.dumps(value).encode()))
     @settings(max_examples=300)
-    def test_bytes_of_an_answer(self, content: bytes) -> None:
+    def test_the_body_of_an_answer_is_parsed_or_a_typed_error(self, content: bytes) -> None:
         try:
             JsonAnswer(200, content).read()
         except NoAnswerError:
             pass
 
-    def test_bytes_that_are_no_text_cost_only_the_value_that_they_stand_in(self) -> None:
+    def test_bytes_that_are_not_utf8_affect_only_their_own_value(self) -> None:
         found = JsonAnswer(200, b'{"a": "\xff\xfe", "b": 1}').read()
         self.assertEqual(1, found["b"])
 
-    def test_very_deep_data_is_no_answer(self) -> None:
+    def test_very_deep_nesting_raises_no_answer_error(self) -> None:
         with self.assertRaises(NoAnswerError):
             JsonAnswer(200, b"[" * 100_000).read()
 
     @given(st.binary(max_size=200))
     @settings(max_examples=300)
-    def test_records_of_load(self, data: bytes) -> None:
+    def test_load_records_are_parsed_or_a_typed_error(self, data: bytes) -> None:
         try:
             unpack_loads(data, lambda _: "u")
         except MalformedFrameError:
--- a/tests/platform/test_request_head.py
+++ b/tests/platform/test_request_head.py
@@ -28,7 +28,7 @@
 
 
 class TestDemand(unittest.TestCase):
-    def test_every_header_finds_its_place(self) -> None:
+    def test_all_headers_are_parsed(self) -> None:
         demand = request_head.read_demand(HEADERS)
         self.assertEqual(
             ("9c41", "shop.example", "the-key"), (demand.request_id, demand.host, demand.api_key)
@@ -43,7 +43,7 @@
         )
 
     @given(st.sampled_from([name for name, _ in HEADERS]), st.binary(max_size=20))
-    def test_nonsense_counts_as_not_said(self, name: bytes, value: bytes) -> None:
+    def test_malformed_headers_raise_no_error(self, name: bytes, value: bytes) -> None:
         request_head.read_demand([(name, value)])
 
 
@@ -56,12 +56,12 @@
             (b"2", b"m", b"4"), (kept[b"x-kept"], kept[b"model"], kept[b"content-length"])
         )
 
-    def test_where_an_engine_takes_kept_parts_from_is_told(self) -> None:
+    def test_an_attempt_names_the_engine_to_fetch_cached_parts_from(self) -> None:
         copies = MemoryCopies(fetch_from="10.0.0.2:80")
         added = dict(request_head.attempt_headers("i-1", 1.0, Urgency(0), "", "", copies))
         self.assertEqual(b"10.0.0.2:80", added[b"kv-fetch"])
 
-    def test_what_an_attempt_adds(self) -> None:
+    def test_headers_that_an_attempt_adds(self) -> None:
         added = dict(request_head.attempt_headers("i-7", 1.25, Urgency(12), "bakery", "41"))
         self.assertEqual(
             {
@@ -76,7 +76,7 @@
 
 
 class TestAnswers(unittest.TestCase):
-    def test_the_signature_travels_and_the_hop_does_not(self) -> None:
+    def test_the_signature_is_forwarded_and_hop_by_hop_headers_are_not(self) -> None:
         kept = end_to_end_headers(
             [(b"response-signature", b"s"), (b"connection", b"close"), (b"keep-alive", b"x")]
         )
--- a/tests/platform/test_upstreams.py
+++ b/tests/platform/test_upstreams.py
@@ -1,4 +1,4 @@
-"""Entries of upstreams: those of another writer name nothing, and cost nothing beside them."""
+"""Malformed entries of upstreams are rejected and do not affect the other entries."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
                 with self.subTest(missing=name), self.assertRaises(MalformedEntryError):
                     parse_upstream("i-1", missing)
 
-    def test_a_name_that_cannot_stand_in_a_header_names_nothing(self) -> None:
+    def test_a_name_that_is_invalid_in_a_header_is_rejected(self) -> None:
         for name in ("", "a b", "a\r\nTenant: x", "ü", "i-1@5", "x" * 300):
             with self.subTest(name=name), self.assertRaises(MalformedEntryError):
                 parse_upstream(name, GOOD)
@@ -62,21 +62,21 @@
     @settings(max_examples=300)
     def test_any_plain_data_is_an_upstream_or_a_typed_error(self, spec: Any) -> None:
         try:
-            found = parse_upstream("i-1", spec)
+            upstream = parse_upstream("i-1", spec)
         except MalformedEntryError:
             return
-        self.assertEqual("i-1", found.name)
-        self.assertGreaterEqual(found.slots, 1)
+        self.assertEqual("i-1", upstream.name)
+        self.assertGreaterEqual(upstream.slots, 1)
 
 
-class TestLives(unittest.TestCase):
-    def test_an_instance_that_starts_again_is_another_upstream_of_the_same_name(self) -> None:
+class TestIncarnations(unittest.TestCase):
+    def test_a_restarted_instance_is_a_new_upstream_with_the_same_name(self) -> None:
         first = parse_upstream("i-1", {**GOOD, "born": 1700})
         again = parse_upstream("i-1", {**GOOD, "born": 1800})
         self.assertNotEqual(first.id, again.id)
         self.assertEqual(("i-1", "i-1"), (first.name, again.name))
 
-    def test_without_a_birth_the_name_is_the_life(self) -> None:
+    def test_without_a_start_time_the_name_is_the_id(self) -> None:
         self.assertEqual("i-1", parse_upstream("i-1", GOOD).id)
 
 
@@ -106,14 +106,16 @@
         self.list_entries(a={**GOOD, "state": "draining"}, b=bad, c=GOOD)
         self.assertEqual(["c"], self.ready_ids())
 
-    def test_each_is_told_of_once_until_it_changes(self) -> None:
+    def test_each_fault_is_logged_once_until_it_changes(self) -> None:
         for number in range(4):
             self.list_entries(a=GOOD, b={**GOOD, "state": "?", "seqNo": number})
         self.list_entries(a=GOOD, b={**GOOD, "address": 5})
         self.assertEqual(["b", "b"], self.ignored_entries())
         self.assertEqual(2, self.views.upstream_faults.total_count)
 
-    def test_an_upstream_whose_entry_is_spoilt_gets_nothing_more_even_after_an_outage(self) -> None:
+    def test_an_upstream_whose_entry_becomes_malformed_is_removed_even_after_an_outage(
+        self,
+    ) -> None:
         self.list_entries(a=GOOD, b=GOOD)
         self.views.upstreams.replace([], 2, {"a": 1e12, "b": 1e12})
         self.revision = 2
@@ -139,8 +141,8 @@
     def test_whatever_a_peer_sends_is_taken_or_a_typed_error(
         self, kind: ViewKind, text: bytes | str
     ) -> None:
-        shown = text.decode("latin-1") if isinstance(text, bytes) else text
+        decoded = text.decode("latin-1") if isinstance(text, bytes) else text
         try:
-            self.views.receive_from_peer(kind, 10**6, shown)
+            self.views.receive_from_peer(kind, 10**6, decoded)
         except MalformedViewError:
             pass
--- a/tests/test_event_log.py
+++ b/tests/test_event_log.py
@@ -20,7 +20,7 @@
             tuple(line[name] for name in ("event", "node", "request", "count")),
         )
 
-    def test_a_flood_is_bounded_and_the_next_line_says_how_much_is_missing(self) -> None:
+    def test_lines_above_the_rate_are_dropped_and_counted_in_the_next_line(self) -> None:
         for _ in range(5000):
             self.log.note("flood")
         self.assertLess(len(self.lines), 1000)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -7,14 +7,14 @@
 
 
 class TestJournal(unittest.TestCase):
-    def test_the_oldest_request_gives_way(self) -> None:
+    def test_the_oldest_request_is_evicted(self) -> None:
         journal = Journal(max_requests=2)
         for name in ("a", "b", "a", "c"):
             journal.add(name, {"event": name})
         self.assertEqual([], journal.events_of("a"))
         self.assertEqual([{"event": "b"}], journal.events_of("b"))
 
-    def test_what_the_log_leaves_out_is_kept_here(self) -> None:
+    def test_events_that_the_log_drops_are_stored(self) -> None:
         journal = Journal()
         log = EventLog("gw", lambda _: None, clock=lambda: 1.0, journal=journal)
         for number in range(2000):
@@ -23,7 +23,7 @@
         (event,) = journal.events_of("r1999")
         self.assertEqual(("request.ended", "gw"), (event["event"], event["node"]))
 
-    def test_one_request_cannot_fill_it(self) -> None:
+    def test_the_events_of_one_request_are_limited(self) -> None:
         journal = Journal()
         for number in range(1000):
             journal.add("r", {"n": number})
