--- a/src/lotushill/contracts/document.py
+++ b/src/lotushill/contracts/document.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-_MAX_SHOWN_VALUE = 80
+_MAX_SHOWN_CHARACTERS = 80
 
 M = TypeVar("M", bound=BaseModel)
 
@@ -44,6 +44,6 @@
 def _fault(item: Any) -> Fault:
     path = ".".join(str(part) for part in item["loc"]) or "(document)"
     value = repr(item["input"])
-    if len(value) > _MAX_SHOWN_VALUE:
-        value = value[:_MAX_SHOWN_VALUE] + "..."
+    if len(value) > _MAX_SHOWN_CHARACTERS:
+        value = value[:_MAX_SHOWN_CHARACTERS] + "..."
     return Fault(path, value, item["msg"])
--- a/src/lotushill/contracts/editor.py
+++ b/src/lotushill/contracts/editor.py
@@ -30,7 +30,7 @@
     from lotushill.views.stored_object import StoredObject
 
 _MAX_WRITE_ATTEMPTS = 5
-ABSENT = -1
+ABSENT_REVISION = -1
 """Revision of an object that does not exist."""
 
 EditFunction = Callable[[dict[str, Any]], dict[str, Any]]
@@ -116,7 +116,7 @@
         for _ in range(_MAX_WRITE_ATTEMPTS):
             current = await self.read(name)
             data = current.data if current else {}
-            revision = current.revision if current else ABSENT
+            revision = current.revision if current else ABSENT_REVISION
             try:
                 wanted = change(data)
             except MergeConflictError as error:
@@ -133,7 +133,7 @@
         """Write at a revision and return the new one, None if another edit was written first."""
         unanswered: StoreUnavailableError | None = None
         try:
-            if revision == ABSENT:
+            if revision == ABSENT_REVISION:
                 await self._store.create(SETTINGS_KIND, stored_name(name), data)
             else:
                 await self._store.replace(SETTINGS_KIND, stored_name(name), data, revision)
@@ -145,7 +145,10 @@
         current = await self.read(name)
         if current is not None and current.data == data:
             return current.revision
-        if unanswered is not None and (current.revision if current else ABSENT) == revision:
+        if (
+            unanswered is not None
+            and (current.revision if current else ABSENT_REVISION) == revision
+        ):
             # Not written yet, but the call may still be in transit: only the operator may decide.
             raise UnknownOutcomeError(name) from unanswered
         return None
--- a/src/lotushill/contracts/exceptions.py
+++ b/src/lotushill/contracts/exceptions.py
@@ -68,4 +68,4 @@
     """A write was not answered and has had no effect so far, but may still be carried out."""
 
     def __init__(self, name: str) -> None:
-        super().__init__(f"{name}: no answer to the write; check whether it is carried out later")
+        super().__init__(f"{name}: no answer to the write; it may still take effect, check again")
--- a/src/lotushill/contracts/policy.py
+++ b/src/lotushill/contracts/policy.py
@@ -24,7 +24,7 @@
 
 
 class Limit(Document):
-    """Limit of a team over the whole fleet; all requests below the level count together."""
+    """Request limit of a team over the whole fleet; all requests below the level count together."""
 
     rate: Annotated[float, Field(ge=0.01, le=100_000)] | None = None
     """Requests per second; unlimited if not set."""
--- a/src/lotushill/platform/memory_calls.py
+++ b/src/lotushill/platform/memory_calls.py
@@ -35,4 +35,4 @@
         return Copied(str(handle), produced_tokens if isinstance(produced_tokens, int) else 0)
     if answer.status in _REASONS:
         return NotCopied(_REASONS[answer.status], str(handle) if is_valid_handle else "")
-    raise NoAnswerError(f"status {answer.status}")
+    raise NoAnswerError(f"invalid answer to a move, status {answer.status}")
--- a/src/lotushill/platform/object_store.py
+++ b/src/lotushill/platform/object_store.py
@@ -89,7 +89,7 @@
     async def replace(
         self, kind: str, name: str, spec: Any, revision: int | None = None
     ) -> StoredObject:
-        """Replace an object's spec, whatever it is or only at a revision, and return it."""
+        """Replace an object's spec and return it; if a revision is given, only at that revision."""
         metadata: dict[str, Any] = {"name": name}
         if revision is not None:
             metadata["revision"] = revision
@@ -115,7 +115,7 @@
                 return _Answer(answer.status, answer.read())
         except NoAnswerError as error:
             raise StoreUnavailableError(str(error)) from error
-        raise _ERRORS.get(answer.status, StoreUnavailableError)(f"status {answer.status}")
+        raise _ERRORS.get(answer.status, StoreUnavailableError)(f"store status {answer.status}")
 
 
 def _parse(read: Callable[[Any], Item], body: Any) -> Item:
--- a/src/lotushill/platform/upstreams.py
+++ b/src/lotushill/platform/upstreams.py
@@ -20,10 +20,10 @@
 
 
 def parse_upstream(name: str, spec: Any) -> Upstream:
-    """Parse the entry of an upstream; raise MalformedEntryError if another writer made it.
+    """Parse the entry of an upstream; raise MalformedEntryError if it is malformed.
 
-    An entry that lacks a field, or has one of another type, is rejected: as an upstream without
-    load, one whose address cannot be used would receive most requests.
+    An entry that lacks a field, or has one of another type, comes from another writer. It is not
+    taken for an idle upstream: one whose address cannot be used would receive most requests.
     """
     fields = Fields(spec)
     if not is_header_text(name) or _INCARNATION_SEPARATOR in name:
--- a/src/lotushill/standin/batch.py
+++ b/src/lotushill/standin/batch.py
@@ -43,7 +43,7 @@
     def add(
         self, request: str, priority: int, prompt_tokens: float, length: int, produced: int = 0
     ) -> None:
-        """Add a request, of which another engine has already produced `done` output tokens."""
+        """Add a request, of which another engine has already produced `produced` output tokens."""
         self._arrivals += 1
         self.sequences[request] = Sequence(
             request, priority, prompt_tokens + produced, length, self._arrivals, produced
--- a/src/lotushill/standin/engine_app.py
+++ b/src/lotushill/standin/engine_app.py
@@ -106,7 +106,7 @@
             number = -(-produced // self._settings.tokens_per_event)
             event = f"id: {number}\ndata: {demand.request_id} {number}\n\n".encode()
             if self.fault is Fault.CUT:
-                # Without a last body message, the HTTP server breaks the answer off.
+                # The HTTP server breaks the answer off, since no last body message follows.
                 await send({"type": "http.response.body", "body": event[:5], "more_body": True})
                 return
             await send({"type": "http.response.body", "body": event, "more_body": True})
