--- a/src/lotushill/contracts/effective.py
+++ b/src/lotushill/contracts/effective.py
@@ -1,4 +1,4 @@
-"""Inheritance: from the platform's route over the levels of the tree to the values in force."""
+"""Resolves the values in force: the platform's route, overridden by the levels of the tree."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     from lotushill.routing.team import Team
 
 PLATFORM = "platform"
-"""Name of the level below the tree: the configuration that the platform hands out."""
+"""Name of the level below the tree: the configuration that the platform distributes."""
 
 
 @dataclass(frozen=True)
 class Origin:
-    """A value in force and the level that it comes from."""
+    """A value in force and the level that sets it."""
 
     path: str
     value: Any
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Level:
-    """One level of the tree on the way from the root to a class."""
+    """One level of the tree on the path from the root to a class."""
 
     name: str
     policy: Policy
@@ -45,27 +45,27 @@
 def levels(
     root: Root | None, settings: TeamSettings | None, service: str, klass: str
 ) -> tuple[Level, ...]:
-    """Return the levels of the tree that apply to a class, the weakest first."""
-    found: list[Level] = []
+    """Return the levels of the tree that apply to a class, in ascending order of precedence."""
+    applicable: list[Level] = []
     if root is not None:
-        found.append(Level("root", root.policy))
-        found += _branch("root", root.services.get(service), service, klass)
+        applicable.append(Level("root", root.policy))
+        applicable += _service_levels("root", root.services.get(service), service, klass)
     if settings is not None:
         name = f"team {settings.team}"
-        found.append(Level(name, settings.policy))
-        found += _branch(name, settings.services.get(service), service, klass)
-    return tuple(found)
+        applicable.append(Level(name, settings.policy))
+        applicable += _service_levels(name, settings.services.get(service), service, klass)
+    return tuple(applicable)
 
 
 def trace(
     root: Root | None, settings: TeamSettings | None, route: Route, team: Team | None, service: str
 ) -> dict[str, Origin]:
-    """Return every value in force for a route, by its path, with its level."""
-    found = {path: Origin(path, value, PLATFORM) for path, value in _given(route)}
+    """Return every value in force for a route by its path, with the level that sets it."""
+    origins = {path: Origin(path, value, PLATFORM) for path, value in _platform_values(route)}
     for level in levels(root, settings, service, route.name):
         for path, value in _set_values(level.policy):
-            found[path] = Origin(path, value, level.name)
-    return found
+            origins[path] = Origin(path, value, level.name)
+    return origins
 
 
 def resolve(
@@ -73,9 +73,10 @@
 ) -> Route:
     """Return a route with the values that are in force for one team's requests.
 
-    What may run again, and how often, is only ever narrowed: the tree cannot allow what the
-    platform's configuration forbids. A team's priority orders requests within a tier and never
-    across tiers: engines would preempt urgent streams and let another team's long prompts run on.
+    Whether and how often a request may be retried is only ever restricted: the tree cannot allow
+    what the platform's configuration forbids. A team's priority orders requests within a tier and
+    never across tiers: engines would preempt urgent streams while another team's long prompts
+    continue to run.
     """
     origins = trace(root, settings, route, team, service)
     values = {path: origin.value for path, origin in origins.items()}
@@ -92,12 +93,12 @@
     )
 
 
-def _branch(above: str, service: Service | None, name: str, klass: str) -> Iterator[Level]:
+def _service_levels(parent: str, service: Service | None, name: str, klass: str) -> Iterator[Level]:
     if service is None:
         return
-    yield Level(f"{above}, service {name}", service.policy)
+    yield Level(f"{parent}, service {name}", service.policy)
     if klass in service.classes:
-        yield Level(f"{above}, service {name}, class {klass}", service.classes[klass].policy)
+        yield Level(f"{parent}, service {name}, class {klass}", service.classes[klass].policy)
 
 
 def _team_rank(team: Team | None) -> int:
@@ -105,14 +106,14 @@
 
 
 def _rate_limit(origin: Origin, team: Team | None) -> RateLimit | None:
-    """Return a limit as each team has it: what the level that sets it holds counts together."""
+    """Return a team's limit; all requests below the level that sets it count together."""
     if origin.value is None:
         return None
     name = team.name if team else ""
     return RateLimit(f"{name}, {origin.level}", origin.value)
 
 
-def _given(route: Route) -> list[tuple[str, Any]]:
+def _platform_values(route: Route) -> list[tuple[str, Any]]:
     return [
         ("tier", route.urgency.tier),
         ("deadline", route.timeout),
@@ -126,10 +127,10 @@
 
 
 def _set_values(policy: Policy) -> list[tuple[str, Any]]:
-    found: list[tuple[str, Any]] = []
+    values: list[tuple[str, Any]] = []
     for name, value in policy.model_dump(exclude_none=True).items():
         if isinstance(value, dict):
-            found.extend((f"{name}.{inner}", item) for inner, item in value.items())
+            values.extend((f"{name}.{inner}", item) for inner, item in value.items())
         else:
-            found.append((name, value))
-    return found
+            values.append((name, value))
+    return values
--- a/src/lotushill/platform/duty_api.py
+++ b/src/lotushill/platform/duty_api.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that one gateway makes for the whole fleet."""
+"""Calls to the platform's API that one gateway makes for the whole fleet."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-_ANSWER_SECONDS = 1.5
-"""A report that is due within ten seconds can be sent some times more after one without answer."""
+_TIMEOUT_SECONDS = 1.5
+"""Short enough to retry an unanswered report several times within its limit of ten seconds."""
 _CONNECT_SECONDS = 0.7
-_MOST_CONNECTIONS = 16
-_KEPT_SECONDS = 3.0
+_MAX_CONNECTIONS = 16
+_KEEPALIVE_SECONDS = 3.0
 _OK = 200
-_REFUSED = 409
+_CONFLICT = 409
 
 
 class CallOutcome(Enum):
-    """How a call ended."""
+    """Outcome of a call."""
 
     DONE = "done"
     REFUSED = "refused"
-    """An act with a newer token was seen, or what was ordered is not to be had."""
+    """The platform saw a newer fencing token, or has no engines of the kind that was ordered."""
     UNANSWERED = "unanswered"
-    """It may have been done, or may be done seconds later."""
+    """No answer: the call may have been carried out, or may be carried out seconds later."""
     NOT_NOW = "not now"
-    """The platform said that it did nothing."""
+    """The platform answered that it did not carry out the call."""
 
 
 @dataclass(frozen=True)
 class LeaseCredentials:
-    """In whose name a call is made."""
+    """Lease holder and fencing token on whose behalf a call is made."""
 
     holder: str
     token: int
@@ -45,35 +45,35 @@
 
 @dataclass(frozen=True)
 class EngineOrder:
-    """How many engines of one kind a service is to have in one hall."""
+    """Desired number of engines of one kind for a service in one hall."""
 
     service: str
     hall: str
     engines: int
     reclaimable: bool
-    """Whether they cost less and may be taken away."""
+    """Whether the engines cost less and may be reclaimed by the platform."""
 
 
 class DutyApi:
     """Client of the platform's API at `address` (IP:PORT)."""
 
     def __init__(self, address: str) -> None:
-        self._client = JsonClient(address, _MOST_CONNECTIONS, _KEPT_SECONDS, _CONNECT_SECONDS)
+        self._client = JsonClient(address, _MAX_CONNECTIONS, _KEEPALIVE_SECONDS, _CONNECT_SECONDS)
 
     @property
     def calls(self) -> int:
-        """Return how many calls were made so far."""
+        """Return the number of calls made so far."""
         return self._client.calls
 
     async def report_usage(
         self, window: int, counts: Mapping[str, int], signature: LeaseCredentials
     ) -> CallOutcome:
-        """Report the requests of each team that began in a window."""
+        """Report how many requests of each team began in a usage window."""
         content = {"windowId": window, "counts": dict(counts)}
         return await self._call(names.USAGE_PATH, content, signature)
 
     async def order(self, order: EngineOrder, signature: LeaseCredentials) -> CallOutcome:
-        """Order engines; what there are more of is taken away after it has drained."""
+        """Set the desired number of engines; surplus engines are removed once they have drained."""
         content: dict[str, Any] = {
             "service": order.service,
             "zone": order.hall,
@@ -89,9 +89,9 @@
             (names.FENCING_TOKEN, str(signature.token)),
         )
         try:
-            answer = await self._client.call("POST", path, content, _ANSWER_SECONDS, headers)
+            answer = await self._client.call("POST", path, content, _TIMEOUT_SECONDS, headers)
         except NoAnswerError:
             return CallOutcome.UNANSWERED
         if answer.status == _OK:
             return CallOutcome.DONE
-        return CallOutcome.REFUSED if answer.status == _REFUSED else CallOutcome.NOT_NOW
+        return CallOutcome.REFUSED if answer.status == _CONFLICT else CallOutcome.NOT_NOW
--- a/src/lotushill/platform/memory_calls.py
+++ b/src/lotushill/platform/memory_calls.py
@@ -1,4 +1,4 @@
-"""Calls that move the memory of runs between engines, and what engines answer."""
+"""Calls that move the KV memory of runs between engines, and the engines' answers."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 def move_request_body(run: str, target: str, last: bool) -> dict[str, Any]:
-    """Return what asks for a copy of a run at `target` (IP:PORT), after its end where `last`."""
+    """Return the request for a copy of a run at `target` (IP:PORT), after its end if `last`."""
     return {"id": run, "targetVersion": target, "last": last}
 
 
 def parse_move_answer(answer: JsonAnswer) -> Copied | NotCopied:
-    """Return what an engine says; raise NoAnswerError for what it cannot say."""
-    said = answer.read()
-    handle = said.get("handle") if isinstance(said, dict) else None
-    known = isinstance(handle, str) and is_handle(handle)
-    if answer.status == _OK and known:
-        made = said.get("made")
-        return Copied(str(handle), made if isinstance(made, int) else 0)
+    """Parse an engine's answer to a move; raise NoAnswerError if it is not a valid answer."""
+    content = answer.read()
+    handle = content.get("handle") if isinstance(content, dict) else None
+    is_valid_handle = isinstance(handle, str) and is_handle(handle)
+    if answer.status == _OK and is_valid_handle:
+        produced_tokens = content.get("made")
+        return Copied(str(handle), produced_tokens if isinstance(produced_tokens, int) else 0)
     if answer.status in _REASONS:
-        return NotCopied(_REASONS[answer.status], str(handle) if known else "")
-    raise NoAnswerError(f"status {answer.status}")
+        return NotCopied(_REASONS[answer.status], str(handle) if is_valid_handle else "")
+    raise NoAnswerError(f"invalid answer to a move, status {answer.status}")
--- a/tests/contracts/test_editor.py
+++ b/tests/contracts/test_editor.py
@@ -1,4 +1,4 @@
-"""Edits that race, and edits whose answers are lost."""
+"""Concurrent edits, and edits whose answers are lost."""
 
 from __future__ import annotations
 
@@ -25,7 +25,9 @@
 NAME = "team/bodas"
 STORED = "team.bodas"
 VALUES = st.recursive(
-    st.integers(0, 3), lambda inner: st.dictionaries(st.sampled_from("abc"), inner), max_leaves=6
+    st.integers(0, 3),
+    lambda children: st.dictionaries(st.sampled_from("abc"), children),
+    max_leaves=6,
 )
 TREES = st.dictionaries(st.sampled_from("abc"), VALUES)
 
@@ -36,29 +38,31 @@
 
 class TestMerge(unittest.TestCase):
     @given(TREES, TREES)
-    def test_one_sided_edits_are_taken_whole(self, base: Any, edited: Any) -> None:
+    def test_an_edit_of_one_side_only_is_taken_completely(self, base: Any, edited: Any) -> None:
         self.assertEqual(merge(base, edited, base).data, edited)
         self.assertEqual(merge(base, base, edited).data, edited)
         self.assertEqual(merge(base, edited, edited).data, edited)
 
     @given(TREES, TREES, TREES)
-    def test_order_of_the_sides_does_not_matter(self, base: Any, ours: Any, theirs: Any) -> None:
-        one, other = merge(base, ours, theirs), merge(base, theirs, ours)
-        paths = {clash.path for clash in one.conflicts}
-        self.assertEqual(paths, {clash.path for clash in other.conflicts})
+    def test_the_order_of_the_sides_does_not_matter(
+        self, base: Any, ours: Any, theirs: Any
+    ) -> None:
+        first, second = merge(base, ours, theirs), merge(base, theirs, ours)
+        paths = {conflict.path for conflict in first.conflicts}
+        self.assertEqual(paths, {conflict.path for conflict in second.conflicts})
         if not paths:
-            self.assertEqual(one.data, other.data)
+            self.assertEqual(first.data, second.data)
 
 
 class FakeStore:
-    """Objects of one kind in memory, another editor, and writes whose answers are lost."""
+    """In-memory store of one kind, with concurrent edits and writes whose answers are lost."""
 
     def __init__(self, others: list[dict[str, Any]] | None = None) -> None:
         self.objects = {STORED: StoredObject(STORED, 1, document())}
-        self.others = others or []
-        """What another editor writes, one before each write that is made here."""
-        self.lost: list[bool] = []
-        """Of each write whose answer is lost: whether it is done."""
+        self.concurrent_edits = others or []
+        """Documents that another editor writes, one before each write of the editor under test."""
+        self.unanswered_writes: list[bool] = []
+        """For each write whose answer is lost, whether it is carried out."""
         self.revision = 1
 
     async def list_kind(self, kind: str, stale: bool = False) -> ObjectList:
@@ -76,15 +80,15 @@
         self._write(name, spec, revision)
 
     def _write(self, name: str, spec: Any, revision: int | None) -> None:
-        if self.others:
-            self._store(name, self.others.pop(0))
-        held = self.objects.get(name)
-        if (held.revision if held else None) != revision:
+        if self.concurrent_edits:
+            self._store(name, self.concurrent_edits.pop(0))
+        current = self.objects.get(name)
+        if (current.revision if current else None) != revision:
             raise RevisionConflictError
-        if not self.lost:
+        if not self.unanswered_writes:
             self._store(name, spec)
             return
-        if self.lost.pop(0):
+        if self.unanswered_writes.pop(0):
             self._store(name, spec)
         raise StoreUnavailableError("no answer")
 
@@ -94,32 +98,34 @@
 
 
 class TestEditor(unittest.TestCase):
-    def held(self, store: FakeStore) -> Any:
+    def stored_data(self, store: FakeStore) -> Any:
         return store.objects[STORED].spec
 
     def test_disjoint_edits_both_stay(self) -> None:
         store = FakeStore([document(policy={"max_attempts": 3})])
         base = document()
         anyio.run(Editor(store).apply, NAME, put(base, "policy.deadline", 9.0), base)
-        self.assertEqual(self.held(store)["policy"], {"max_attempts": 3, "deadline": 9.0})
+        self.assertEqual(self.stored_data(store)["policy"], {"max_attempts": 3, "deadline": 9.0})
 
     def test_edits_of_the_same_value_conflict_and_show_both_sides(self) -> None:
         store = FakeStore([document(policy={"deadline": 5.0})])
         base = document()
         with self.assertRaises(EditConflictError) as caught:
             anyio.run(Editor(store).apply, NAME, put(base, "policy.deadline", 9.0), base)
-        (clash,) = caught.exception.conflicts
-        self.assertEqual((clash.path, clash.ours, clash.theirs), ("policy.deadline", 9.0, 5.0))
-        self.assertEqual(self.held(store)["policy"], {"deadline": 5.0})
+        (conflict,) = caught.exception.conflicts
+        self.assertEqual(
+            (conflict.path, conflict.ours, conflict.theirs), ("policy.deadline", 9.0, 5.0)
+        )
+        self.assertEqual(self.stored_data(store)["policy"], {"deadline": 5.0})
 
-    def test_a_new_object_is_made(self) -> None:
+    def test_a_new_object_is_created(self) -> None:
         store = FakeStore()
         anyio.run(Editor(store).apply, "root", {"policy": {"tier": 2}}, None)
         self.assertEqual({"policy": {"tier": 2}}, store.objects["root"].spec)
 
     def test_a_lost_answer_is_resolved_by_reading_back(self) -> None:
         store = FakeStore()
-        store.lost = [True]
+        store.unanswered_writes = [True]
         wanted = put(document(), "policy.deadline", 9.0)
         revision = anyio.run(Editor(store).apply, NAME, wanted, None)
         self.assertEqual(store.objects[STORED].revision, revision)
@@ -127,13 +133,13 @@
 
     def test_a_write_that_may_still_arrive_is_not_made_again(self) -> None:
         store = FakeStore()
-        store.lost = [False]
+        store.unanswered_writes = [False]
         wanted = put(document(), "policy.deadline", 9.0)
         with self.assertRaises(UnknownOutcomeError):
             anyio.run(Editor(store).apply, NAME, wanted, None)
         self.assertEqual(store.revision, 1)
 
-    def test_a_race_without_an_end_is_given_up(self) -> None:
+    def test_an_edit_is_given_up_after_too_many_concurrent_edits(self) -> None:
         others = [document(policy={"max_attempts": number}) for number in range(1, 9)]
         store = FakeStore(others)
         with self.assertRaises(EditRetriesExhaustedError):
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names are known in one folder only."""
+"""Names of the platform are used in the adapter and the stand-ins only."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 SOURCE = Path(__file__).resolve().parents[2] / "src" / "lotushill"
 ADAPTER = SOURCE / "platform"
-STAND_INS = SOURCE / "standin"
-_NAMES = re.compile(
+STANDIN = SOURCE / "standin"
+PLATFORM_NAMES = re.compile(
     r"Attempt-Id|Target-Instance|Not-Executed|Deadline-Ms|coldRemainingMs|pathPrefix"
     r"|Response-Signature|Prompt-Prefix|Token-Usage|Length-Hint|Request-Priority"
     r"|sinceRev|waitMs|apiKeys|timeoutMs|targetLatencyMs|maxAttempts|kvCapacity",
@@ -18,14 +18,14 @@
 
 
 class TestNames(unittest.TestCase):
-    def test_no_other_folder_names_them(self) -> None:
-        found = [
+    def test_no_other_package_contains_platform_names(self) -> None:
+        misplaced = [
             f"{path.relative_to(SOURCE)}: {match.group()}"
             for path in sorted(SOURCE.rglob("*.py"))
-            if ADAPTER not in path.parents and STAND_INS not in path.parents
-            for match in _NAMES.finditer(path.read_text(encoding="utf-8"))
+            if ADAPTER not in path.parents and STANDIN not in path.parents
+            for match in PLATFORM_NAMES.finditer(path.read_text(encoding="utf-8"))
         ]
-        self.assertEqual([], found)
+        self.assertEqual([], misplaced)
 
     def test_the_adapter_stays_small(self) -> None:
         lines = sum(
