--- a/tests/load/policy/test_teams.py
+++ b/tests/load/policy/test_teams.py
@@ -31,7 +31,7 @@
 SCENARIOS = Path(__file__).parents[3] / "bench" / "scenarios"
 MUCH = "much"
 SEEDS = (1, 2, 3)
-WITHOUT = {"shares.shares._MORE": 1e9}
+WITHOUT = {"shares.shares._CLEARLY_MORE_FACTOR": 1e9}
 
 
 def scenario(times: float, name: str = "team-at-eight-times") -> Scenario:
