--- a/src/lotushill/load/limits/__init__.py
+++ b/src/lotushill/load/limits/__init__.py
@@ -1,3 +1,6 @@
-"""Gateways that keep to an upstream's limit together, in virtual time and in several ways."""
+"""Emulation of gateways that jointly keep to an upstream's limit, in virtual time.
+
+Several schemes can be compared.
+"""
 
 from __future__ import annotations
--- a/src/lotushill/load/limits/comparison.py
+++ b/src/lotushill/load/limits/comparison.py
@@ -1,4 +1,4 @@
-"""Compares ways to keep to a limit, over numbers of gateways and rates."""
+"""Compares schemes that keep to a limit, over numbers of gateways and rates."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 _SECONDS = 20.0
 _TURNS = 12.0
-"""Seconds of a play allow so many requests at least."""
+"""Minimum number of requests that the limit allows over the duration of one play."""
 
 
 @dataclass(frozen=True)
 class Row:
-    """One way with some gateways at a rate."""
+    """The result of one play: one scheme with a number of gateways at one rate."""
 
     play: Play
     outcome: Outcome
 
 
 def compare(gateways: Sequence[int], rates: Sequence[float], processes: int) -> list[Row]:
-    """Play each way with each number of gateways and each rate, in calm."""
+    """Play each scheme with each number of gateways and each rate, without faults."""
     plays = [
         Play(count, rate, way, seconds=max(_SECONDS, _TURNS / rate))
         for count in gateways
@@ -43,7 +43,7 @@
 
 
 def table(rows: Sequence[Row]) -> str:
-    """Return a line for each play."""
+    """Return a table of text with one line per play."""
     return "\n".join(
         f"{row.play.gateways:4} gateways  {row.play.rate:5g} a second  {row.play.way:8} "
         f"most in {WINDOW:g} s {row.outcome.most:4} (promised {allowed(row.play.rate):g})  "
--- a/src/lotushill/load/limits/emulated_fleet.py
+++ b/src/lotushill/load/limits/emulated_fleet.py
@@ -1,4 +1,4 @@
-"""Many gateways before one engine that names a limit, over a network that loses and delays."""
+"""Emulates many gateways and one engine that states a limit, over a lossy, delaying network."""
 
 from __future__ import annotations
 
@@ -37,21 +37,21 @@
 ENGINE = Upstream("engine@1", "llm", "10.9.0.1:80", "h0", 8, False)
 WINDOW = 4.0
 CONTACT_SECONDS = 3.0
-"""After an engine first named its limit, all are to keep to it."""
+"""Time after an engine first stated its limit from which all gateways have to keep to it."""
 _HALLS = 4
 _LOSS = 0.02
 _DELAYS = (0.001, 0.02)
 _ANSWER_SECONDS = 0.003
 _TICK = 0.05
 _NOTICE_SECONDS = (0.4, 1.6)
-"""Until a gateway hears that another one is lost, or is back."""
+"""Shortest and longest time until a gateway is notified that another one is lost or is back."""
 _FAULT_AT = 8.0
 _FAULT_SECONDS = 5.0
 _ROLLING_PAUSE = 0.4
 
 
 class Fault(Enum):
-    """What happens in a play, from its eighth second on."""
+    """The fault that is injected into a play, from its eighth second on."""
 
     NONE = "none"
     KILL = "the counting gateway is killed, and back after five seconds"
@@ -64,7 +64,10 @@
 
 @dataclass(frozen=True)
 class Play:
-    """One play; the demand is how many times the limit is asked for."""
+    """The configuration of one play.
+
+    `demand` is the rate of the requests as a multiple of the limit.
+    """
 
     gateways: int
     rate: float
@@ -74,23 +77,23 @@
     demand: float = 4.0
     seconds: float = 24.0
     changes: tuple[tuple[float, float], ...] = ()
-    """Other limits that the engine names, by when it begins to."""
+    """Other limits that the engine states, each with the time from which it does."""
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a play showed."""
+    """The results of one play."""
 
     most: int
-    """Requests in any window, once all are to keep to the limit."""
+    """Largest number of requests in any window after the time to reach all gateways."""
     used: float
-    """Share of the limit that was used then."""
+    """Fraction of the limit that was used in the same period."""
     datagrams: float
-    """A second, of the whole fleet."""
+    """Datagrams per second of the whole fleet."""
     admit_ms: float
-    """Mean time of a decision, in milliseconds."""
+    """Mean time of an admission decision, in milliseconds."""
     sent: tuple[float, ...]
-    """When requests reached the engine."""
+    """Times at which requests reached the engine, in ascending order."""
 
 
 @dataclass
@@ -104,7 +107,7 @@
 
 
 class EmulatedFleet:
-    """The gateways of one play."""
+    """Runs the gateways of one play, their network and the injected fault."""
 
     def __init__(self, play: Play) -> None:
         self._play = play
@@ -118,7 +121,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def run(self) -> Outcome:
-        """Play to the end in virtual time."""
+        """Run the play to its end in virtual time and return its results."""
         return run_virtually(self._run())
 
     async def _run(self) -> Outcome:
@@ -128,7 +131,7 @@
         fault = asyncio.create_task(self._do(self._play.fault))
         while self._loop.time() < self._play.seconds:
             await asyncio.sleep(self._rng.expovariate(self._play.demand * self._play.rate))
-            # Nobody asks before the first answers: a calm start of one request.
+            # A play starts calmly: the first request is answered before the others are sent.
             gateway = self._rng.choice(list(self._gateways.values()))
             self._later(self._request(gateway))
         for task in (fault, *self._tasks):
@@ -153,8 +156,6 @@
             sent=tuple(sent),
         )
 
-    # Gateways
-
     def _state(self, number: int) -> MemberState:
         hall = f"h{number % _HALLS}"
         return MemberState(f"gw-{number}", f"gw-{number}", hall, "r", 1, MemberPhase.ALIVE)
@@ -199,19 +200,17 @@
         return RateLimit("team", self._play.rate)
 
     def _rate(self) -> float:
-        """Return the limit that the engine names now."""
+        """Return the limit that the engine currently states, in requests per second."""
         named = [rate for at, rate in self._play.changes if at <= self._loop.time()]
         return named[-1] if named else self._play.rate
 
     def _tick(self, name: str) -> None:
-        """Do what is due at one gateway, and look again after a while."""
+        """Send the due datagrams of one gateway and schedule the next tick."""
         gateway = self._gateways[name]
         if not gateway.down and not gateway.frozen:
             gateway.limits.gossip.send_due()
         self._loop.call_later(_TICK, self._tick, name)
 
-    # The network
-
     def _ask(self, sender: str, ask: PermitAsk, address: str) -> None:
         def arrive() -> None:
             answer = self._gateways[address].way.answer(ask)
@@ -239,8 +238,6 @@
         elif not gateway.down:
             call()
 
-    # Faults
-
     async def _do(self, fault: Fault) -> None:
         await asyncio.sleep(_FAULT_AT)
         counted = limit_as_upstream(self._team_limit()) if self._play.way == TEAM else ENGINE
@@ -305,7 +302,7 @@
         return [name for number, name in enumerate(self._gateways) if number % 2]
 
     def _notice(self, names: list[str], state: MemberState, lost: bool) -> None:
-        """Let some gateways hear that one is lost or there, each after some time."""
+        """Notify some gateways that a member is lost or alive, each after a random delay."""
         for name in names:
             if name == state.name:
                 continue
@@ -326,5 +323,5 @@
 
 
 def allowed(rate: float) -> float:
-    """Return what an engine is promised to get at most in a window, whatever fails."""
+    """Return the maximum number of requests per window guaranteed to an engine under any fault."""
     return 1.5 * rate * WINDOW + 5.0 if rate < NO_LIMIT else NO_LIMIT
--- a/src/lotushill/load/limits/emulated_members.py
+++ b/src/lotushill/load/limits/emulated_members.py
@@ -1,4 +1,4 @@
-"""What each of many gateways believes of the others, as told by the emulation."""
+"""Membership view of one emulated gateway, set by the emulation."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
 
 
 class EmulatedMembers:
-    """The members as one gateway sees them; it knows all that it ever heard of."""
+    """The members as one gateway sees them; members once seen are never removed."""
 
     def __init__(self, own: MemberState, others: list[MemberState]) -> None:
         self._own = own
         self._others = {item.name: item for item in others}
         self.composition_version = 0
-        """Rises with each change."""
+        """Version number that increases with each change of the membership."""
 
     @property
     def own(self) -> MemberState:
-        """Return the own state."""
+        """Return the state of this gateway."""
         return self._own
 
     def find(self, name: str) -> MemberState | None:
-        """Return what is known of a member."""
+        """Return the state of a member, None if it was never seen."""
         return self._own if name == self._own.name else self._others.get(name)
 
     def live(self) -> list[MemberState]:
-        """Return oneself and all that are held for alive."""
+        """Return this gateway and all members that are considered alive."""
         alive = (item for item in self._others.values() if item.phase is MemberPhase.ALIVE)
         return [self._own, *alive]
 
     def all(self) -> list[MemberState]:
-        """Return oneself and all that are known."""
+        """Return this gateway and all members that were ever seen."""
         return [self._own, *self._others.values()]
 
     def hear(self, state: MemberState) -> None:
-        """Hold a member for alive."""
+        """Mark a member as alive, with the given state."""
         self._others[state.name] = state
         self.composition_version += 1
 
     def lose(self, name: str) -> None:
-        """Hold a member for lost."""
+        """Mark a member as lost."""
         if name in self._others:
             self._others[name] = replace(self._others[name], phase=MemberPhase.LOST)
             self.composition_version += 1
--- a/src/lotushill/load/limits/virtual_loop.py
+++ b/src/lotushill/load/limits/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only while nothing is left to do."""
+"""An event loop with virtual time, which advances only when no callback is ready."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs timers at once, in their order; for code that waits for nothing outside."""
+    """Runs timers in order without waiting, for code that awaits no external I/O."""
 
     _ready: Any
     _scheduled: Any
@@ -24,7 +24,7 @@
         self._now = 0.0
 
     def time(self) -> float:
-        """Return virtual seconds."""
+        """Return the virtual time in seconds."""
         return self._now
 
     def _run_once(self) -> None:
@@ -34,6 +34,6 @@
 
 
 def run_virtually(work: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end in virtual time."""
+    """Run a coroutine to completion in virtual time and return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(work)
--- a/src/lotushill/load/limits/ways.py
+++ b/src/lotushill/load/limits/ways.py
@@ -1,4 +1,4 @@
-"""Ways in which gateways may keep to a limit together; `permits` is the one in force."""
+"""Schemes by which gateways can jointly keep to a limit; production uses `permits`."""
 
 from __future__ import annotations
 
@@ -32,43 +32,43 @@
 
 WAYS = ("permits", "shares", "few")
 TEAM = "team"
-"""The way of a team's limit, which no engine names."""
+"""Name of the scheme for a team's limit, which is configured and not stated by an engine."""
 _SHARE_DEPTH = 1.0
 _TEAM_PATIENCE = 0.4
-"""Seconds that a request waits for the limit of its team."""
+"""Time that a request waits for a permit under the limit of its team."""
 
 
 class Way(Protocol):
-    """One gateway's decisions."""
+    """The admission decisions of one gateway under one scheme."""
 
     limits: FleetLimits
-    """Where words are kept and told; asked for permits in one way only."""
+    """Stores and publishes limit reports; only the scheme `permits` requests permits from it."""
 
     async def admit(self, tier: int) -> bool:
-        """Return whether a request may be sent to the upstream now."""
+        """Return whether a request of a tier may be sent to the upstream now."""
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer another gateway."""
+        """Answer the permit request of another gateway."""
 
 
 class Permits:
-    """One gateway counts, and all ask it."""
+    """One gateway owns the limit and counts requests; all gateways request permits from it."""
 
     def __init__(self, limits: FleetLimits, upstream: Upstream) -> None:
         self.limits = limits
         self._upstream = upstream
 
     async def admit(self, tier: int) -> bool:
-        """Ask for a permit."""
+        """Request a permit for the upstream."""
         return await self.limits.admit(PermitRequest(self._upstream, f"tier-{tier}", tier))
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer as the one that counts, if this gateway is."""
+        """Answer a permit request if this gateway is the owner of the limit."""
         return self.limits.answer(ask)
 
 
 class TeamPermits:
-    """One gateway counts for the limit of a team, and all ask it."""
+    """One gateway owns the limit of a team; all gateways request permits from it."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         self._own = TeamLimits(counting_gateways(members), limits.client, rng, clock)
 
     async def admit(self, tier: int) -> bool:
-        """Ask whether the limit lets one through, for as long as a request waits."""
+        """Request a permit of the team until it is granted or the request stops waiting."""
         ends = self._clock() + _TEAM_PATIENCE
         while True:
             pause = await self._own.request_permit(self._limit, tier)
@@ -95,12 +95,12 @@
             await asyncio.sleep(pause)
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer as the one that counts, if this gateway is."""
+        """Answer a permit request if this gateway is the owner of the limit."""
         return self._own.answer(ask)
 
 
 class Shares:
-    """Each gateway spends an equal part of the limit by itself."""
+    """Each gateway uses an equal fraction of the limit, without coordination."""
 
     def __init__(
         self, limits: FleetLimits, upstream: Upstream, members: Members, clock: Callable[[], float]
@@ -113,12 +113,12 @@
         self._at = 0.0
 
     async def admit(self, tier: int) -> bool:
-        """Take one of the own part."""
+        """Take a token from the fraction of the limit that this gateway has."""
         rate = self.limits.stated.rate(self._upstream.id)
         return rate == NO_LIMIT or self._take(rate / len(self._members.all()))
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer an ask, which nobody sends."""
+        """Answer a permit request; no gateway sends one in this scheme."""
         return self.limits.answer(ask)
 
     def _take(self, rate: float) -> bool:
@@ -132,10 +132,13 @@
 
 
 class Few(Shares):
-    """Few gateways by hash, about one for each request a second, spend equal parts; others none."""
+    """A few gateways, chosen by hash, use equal fractions of the limit; the others send nothing.
+
+    There is about one such gateway for each request per second of the limit.
+    """
 
     async def admit(self, tier: int) -> bool:
-        """Take one of the own part, if this gateway has any."""
+        """Take a token if this gateway is one of those that have a fraction of the limit."""
         rate = self.limits.stated.rate(self._upstream.id)
         if rate == NO_LIMIT:
             return True
@@ -152,7 +155,7 @@
     rng: random.Random,
     clock: Callable[[], float],
 ) -> FleetLimits:
-    """Return what one gateway has of the mechanism in force."""
+    """Return the limits of one gateway, built from the classes that production uses."""
     view = UpstreamView()
     view.replace([upstream], 1)
     counting = counting_gateways(members)
@@ -162,7 +165,7 @@
 
 
 def counting_gateways(members: Members) -> LimitOwners:
-    """Return who counts for whom as one gateway sees it."""
+    """Return the limit owners as one gateway sees them."""
     return LimitOwners(members, Schedulers(members), lambda: 0)
 
 
@@ -173,7 +176,7 @@
     upstream: Upstream,
     clock: Callable[[], float],
 ) -> Way:
-    """Return one gateway's decisions in one of `WAYS`."""
+    """Return the decisions of one gateway under one of the schemes in `WAYS`."""
     if name == "permits":
         return Permits(limits, upstream)
     kind = {"shares": Shares, "few": Few}[name]
--- a/tests/load/limits/test_emulated_fleet.py
+++ b/tests/load/limits/test_emulated_fleet.py
@@ -1,7 +1,7 @@
-"""All gateways together keep to a limit, whoever counts, and use it while there is demand.
+"""Gateways jointly keep to a limit, whichever gateway owns it, and use it while there is demand.
 
-In virtual time, over a network that loses one datagram in fifty, with four times the demand that
-the engine takes; the engine's limit is held against what arrives in any four seconds.
+The plays run in virtual time over a network that loses one datagram in fifty, with a demand of four
+times the engine's limit. The limit is compared with the requests that arrive in any four seconds.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
         self.assertGreater(outcome.used, LEAST_USED)
 
     def test_shares_that_each_spends_by_itself_break_it(self) -> None:
-        """What was weighed against one that counts: buckets that are full at the same moment."""
+        """The alternative to a limit owner: buckets per gateway can be full at the same moment."""
         self.assertGreater(play(360, 4, way="shares", seconds=12.0).most, allowed(4))
 
     def test_asks_are_bounded_whatever_the_demand(self) -> None:
