--- a/src/lotushill/load/policy/__init__.py
+++ b/src/lotushill/load/policy/__init__.py
@@ -1,3 +1,3 @@
-"""The decisions of placement before emulated engines, in virtual time."""
+"""Replays placement decisions against emulated engines, in virtual time."""
 
 from __future__ import annotations
--- a/src/lotushill/load/policy/arrivals.py
+++ b/src/lotushill/load/policy/arrivals.py
@@ -1,4 +1,4 @@
-"""The requests of a replay: when they come, and what they ask for."""
+"""Generates the requests of a replay: their arrival times, prompts and answer lengths."""
 
 from __future__ import annotations
 
@@ -18,19 +18,25 @@
     from lotushill.load.policy.scenario import Scenario
 
 _PROMPT_CAP = 8.0
-"""Times the mean, the longest prompt."""
+"""Maximum length of a prompt or an answer, as a multiple of the mean of its class."""
 _GUESS_SPREAD = 0.5
-"""Of the logarithm: the length of an answer is guessed right in the median, and often far off."""
+"""Standard deviation of the logarithm of the error in the expected answer length.
+
+The expected length is right in the median, and often far off.
+"""
 _FLAT, _BY_SIZE = 0.3, 0.7
-"""A request is worth this, and this times its size beside the mean of its class."""
+"""Fixed part of a request's credit, and the part proportional to its size.
+
+The size is relative to the mean of the request's class.
+"""
 _OUTPUT_WORTH = 10.0
 _MOST_TIMES_WORTH = 4.0
 _PARTS = 1000
-"""Into so many parts clients are divided by their number, to draw those that are impatient."""
+"""Number of groups into which clients are divided by their number to select the impatient ones."""
 
 
 class Arrivals:
-    """Draws each class by itself, so that all variants of decisions meet the same requests."""
+    """Draws each class from a separate generator, so all variants receive the same requests."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._scenario = scenario
@@ -38,12 +44,12 @@
         self._teams = Teams(scenario, seed)
 
     def next_after(self, kind: RequestClass, now: float) -> float:
-        """Return when the next request of a class comes."""
+        """Return the arrival time of the next request of a class."""
         rate = self._scenario.rate(kind, now) * self._teams.times(kind, now)
         return now + self._rngs[kind.name].expovariate(rate)
 
     def draw(self, kind: RequestClass, now: float) -> Client:
-        """Return a request of a class that comes now."""
+        """Return a new request of a class that arrives now."""
         rng = self._rngs[kind.name]
         own = int(_lognormal(rng, kind.prompt, kind.prompt_spread))
         output = max(1, int(_lognormal(rng, kind.output, kind.output_spread)))
@@ -75,7 +81,10 @@
         )
 
     def _draw_scheduler(self, rng: random.Random) -> int:
-        """Return where a request comes in; scheduler n stands in hall n, modulo the halls."""
+        """Return the scheduler that receives a request.
+
+        Scheduler n is in hall n, modulo the number of halls.
+        """
         scenario = self._scenario
         if not scenario.hall_demand:
             return rng.randrange(scenario.schedulers)
--- a/src/lotushill/load/policy/client.py
+++ b/src/lotushill/load/policy/client.py
@@ -1,4 +1,4 @@
-"""One request of a client in a replay."""
+"""The state of one client request in a replay."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class Client:
-    """One request of a client, over its tries."""
+    """One request of a client, over all of its tries."""
 
     kind: RequestClass
     need: Need
@@ -25,20 +25,20 @@
     number: int = 0
     tries: int = 1
     impatient: bool = False
-    """Whether it comes back at once and often, whatever it is told."""
+    """Whether the client returns at once and often, regardless of the retry time it receives."""
     waited_since: float = 0.0
     began_at: float = 0.0
-    """When its first event came, 0 for never."""
+    """Time of the first event, 0 if there was none."""
     served: bool = False
     engine: int = -1
     run: Run | None = None
     choice: Choice | None = None
     sent_at: float = 0.0
     due: float = 0.0
-    """Seconds of reading that were due beside it at its latest event."""
+    """Prefill work in seconds that was queued at the same engine at the latest event."""
     over: bool = False
     excluded: frozenset[str] = frozenset()
     key: int = 0
-    """Of the request in line, the same for all its tries."""
+    """Key of the queue entry, the same for all tries of the request."""
     rejected: int = 0
-    """Engines that have turned this try away."""
+    """Number of engines that have rejected the current try."""
--- a/src/lotushill/load/policy/comparison.py
+++ b/src/lotushill/load/policy/comparison.py
@@ -1,4 +1,4 @@
-"""Compares variants of the decisions on one scenario over some seeds."""
+"""Compares variants of the placement policy on one scenario over several seeds."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class UnknownFigureError(Exception):
-    """A variant names a constant that no module has."""
+    """Raised if a variant names a constant that no module defines."""
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What one variant brought with one seed."""
+    """The result of one variant with one seed."""
 
     variant: str
     seed: int
@@ -35,7 +35,7 @@
 
 
 def compare(scenario: Scenario, seeds: int, processes: int) -> list[Outcome]:
-    """Play each variant of a scenario, or the decisions as they are, with each seed."""
+    """Play each variant of a scenario with each seed; without variants, the unchanged policy."""
     variants = scenario.variants or {"as it is": {}}
     with ProcessPoolExecutor(processes) as pool:
         plays = [
@@ -47,7 +47,7 @@
 
 
 def table(outcomes: list[Outcome]) -> str:
-    """Return a line for each variant: mean of the credit, its range, and each class."""
+    """Return one line per variant with the mean and range of the credit, and each class."""
     lines = []
     for name in dict.fromkeys(item.variant for item in outcomes):
         results = [item.result for item in outcomes if item.variant == name]
@@ -70,7 +70,7 @@
 
 
 def _teams(results: list[Result]) -> str:
-    """Return what teams earn that ask no more than usual, and the worst tenth of them."""
+    """Return the mean credit of teams without a burst, and that of the worst tenth of them."""
     found = [result.other_teams() for result in results]
     if not all(found):
         return ""
@@ -91,7 +91,7 @@
 
 @contextmanager
 def figures_in_force(figures: Mapping[str, float]) -> Iterator[None]:
-    """Put other figures in force for a while: `module.CONSTANT` within the package."""
+    """Override constants within the context; keys are `module.CONSTANT` within the package."""
     former = {}
     for path, value in figures.items():
         module_name, _, constant = path.rpartition(".")
--- a/src/lotushill/load/policy/engine.py
+++ b/src/lotushill/load/policy/engine.py
@@ -1,4 +1,4 @@
-"""A model engine in virtual time: it steps a batch, and reads prompts in pieces beside it."""
+"""Emulates a model engine in virtual time: it decodes a batch and prefills prompts in chunks."""
 
 from __future__ import annotations
 
@@ -13,32 +13,35 @@
     from lotushill.placement.prefix_cache_model import Chain
 
 _MOST_STEPS = 10
-"""Steps taken as one where nothing is read: the events of a stream lie about so far apart."""
+"""Maximum number of decoding steps simulated as one while there is no prefill.
+
+The events of a stream are about that many steps apart.
+"""
 
 
 @dataclass(frozen=True)
 class EngineFigures:
-    """How one kind of engine works."""
+    """Capacity and speed of one kind of engine."""
 
     slots: int = 12
     memory_tokens: int = 396_000
     tokens_per_event: int = 10
     step_seconds: float = 0.0031
     step_seconds_each: float = 0.0000165
-    """Added by each request that runs."""
+    """Time added to a step by each running request."""
     context_seconds: float = 6.8e-9
-    """Added by each token held by those that run."""
+    """Time added to a step by each token in memory of the running requests."""
     read_rate: float = 61_800.0
-    """Prompt tokens a second."""
+    """Prefill speed in prompt tokens per second."""
     piece: int = 1024
-    """Prompt tokens that are read in one step, at most."""
+    """Maximum number of prompt tokens processed in one step."""
     queue: int = 25
-    """Requests that may wait for a slot."""
+    """Maximum number of requests that may wait for a slot."""
 
 
 @dataclass(frozen=True)
 class Disturbance:
-    """An engine works some times slower than it usually does, for a while."""
+    """A period in which an engine is slower than usual by the factor `times`."""
 
     begins: float
     ends: float
@@ -47,7 +50,7 @@
 
 @dataclass
 class Run:
-    """One request at one engine."""
+    """One execution of a request at one engine."""
 
     number: int
     tier: int
@@ -58,16 +61,16 @@
     written: int = 0
     arrived: float = 0.0
     events: list[float] = field(default_factory=list)
-    """When its events came."""
+    """Times of the events sent so far."""
 
     @property
     def done(self) -> bool:
-        """Return whether its answer is whole."""
+        """Return whether the answer is complete."""
         return self.written >= self.output
 
 
 class Engine:
-    """One engine; `on_event` and `on_end` hear of its runs."""
+    """One engine, which reports its runs through the callbacks `on_event` and `on_end`."""
 
     def __init__(
         self,
@@ -85,15 +88,17 @@
         self._kept: OrderedDict[int, int] = OrderedDict()
         self._kept_tokens = 0
         self.read_tokens = 0
-        """Prompt tokens read so far."""
+        """Number of prompt tokens processed so far."""
         self.work_seconds = 0.0
-        """What it has done so far, as part of what it can do: reading takes it all, and a request
-        that is answered takes a slot's part."""
+        """Work done so far, in seconds of the engine's full capacity.
+
+        Prefill takes the full capacity, a decoding request the fraction of one slot.
+        """
         self.disturbance: Disturbance | None = None
-        """The latest, which may be over."""
+        """The latest disturbance, which may be over, None if there was none."""
 
     def accept(self, run: Run, now: float) -> bool:
-        """Take a request, or refuse it since too many wait."""
+        """Queue a request and return True, or return False if the queue is full."""
         if len(self.waiting) >= self.figures.queue:
             return False
         run.arrived = now
@@ -102,13 +107,13 @@
         return True
 
     def drop(self, run: Run) -> None:
-        """End a request whose client has left."""
+        """Remove a request whose client has disconnected."""
         for held in (self.running, self.waiting):
             if run in held:
                 held.remove(run)
 
     def step(self, now: float) -> float | None:
-        """Do one step and return when it is over, None while there is nothing to do."""
+        """Run one step and return the time at which it ends, None if no request runs."""
         self._admit()
         if not self.running:
             return None
@@ -135,7 +140,7 @@
         return ends
 
     def slowness_at(self, now: float) -> float:
-        """Return how many times slower than usual it works at some moment."""
+        """Return the factor by which the engine is slower than usual at a given time."""
         seen = self.disturbance
         if seen is None or not seen.begins <= now < seen.ends:
             return self.slowness
--- a/src/lotushill/load/policy/known_paces.py
+++ b/src/lotushill/load/policy/known_paces.py
@@ -1,4 +1,4 @@
-"""Decisions that know the pace of every engine: what learning it can come to at most."""
+"""Gives the models the true pace of every engine: an upper bound for what learning can reach."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
     from lotushill.routing.upstream import Upstream
 
 KNOWN = 0.0
-"""1 where decisions are told the pace of every engine, 0 where they learn it."""
+"""1 if the models receive the true pace of every engine, 0 if they learn it."""
 
 
 class _KnownPace(EnginePace):
-    """The pace of one engine as it is, disturbances left out."""
+    """The true pace of one engine, without disturbances."""
 
     def __init__(self, engine: Engine) -> None:
         super().__init__()
         self._engine = engine
 
     def step_slowness(self, now: float) -> float:
-        """Return how many times slower than usual it steps."""
+        """Return the factor by which the engine's steps are slower than usual."""
         del now
         return self._engine.slowness
 
     def set_long_term(self, steps: float, reading: float) -> None:
-        """Keep to what is known."""
+        """Ignore learned paces, since the true pace is known."""
 
 
 def tell(fleets: Sequence[Fleet], upstreams: Sequence[Upstream], engines: Sequence[Engine]) -> None:
-    """Tell the models of all schedulers the paces, in place of what they would learn."""
+    """Set the true paces in the models of all schedulers, in place of learned ones."""
     for fleet in fleets:
         for upstream, engine in zip(upstreams, engines):
             fleet.load(upstream.id).pace = _KnownPace(engine)
--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: real decisions of some schedulers before emulated engines."""
+"""Plays a scenario: real placement decisions of schedulers in front of emulated engines."""
 
 from __future__ import annotations
 
@@ -67,17 +67,17 @@
     from lotushill.load.policy.scenario import Shed
 
 _NEWS_SECONDS = 0.03
-"""Until other schedulers hear of something: a batch and the way."""
+"""Delay until other schedulers receive an update: batching and transmission."""
 _RETURN_NEWS_SECONDS = 0.05
-"""Between two news of those who were told to come back."""
+"""Interval between two updates on clients that received a retry time."""
 _WAY_SECONDS = 0.002
 _PERMIT_SECONDS = 0.004
-"""There and back to whoever counts for an engine with a limit."""
+"""Round-trip time to the owner of an engine's limit."""
 _WAIT_SHARE = 0.2
-"""Of its target, how long a request waits at a gateway before it is refused."""
+"""Longest wait of a request at a gateway before it is refused, as a fraction of its target."""
 _POLL_SECONDS = 0.03
 _LOOK_SECONDS = 0.01
-"""Between two looks at the line of a scheduler."""
+"""Interval between two polls of a scheduler's admission queue."""
 _MOST_UNSENT = 4
 _MOST_REJECTED = 3
 _AT_ONCE_SECONDS = 0.05
@@ -85,13 +85,13 @@
 _RETRY_RATIO = 0.2
 _RETRY_SLACK = 100.0
 _RETRY_WINDOW_SECONDS = 10.0
-"""The budget of the service for sending a request once more."""
+"""Time window of the service's retry budget."""
 _SHED_RETRY_SECONDS = 0.5
-"""What a client is told whose request engines turned away too often."""
+"""Retry time for a client whose request was rejected by too many engines."""
 _LOST_SECONDS = 1.0
-"""Until the others take a gateway for lost, and what it ran for ended."""
+"""Time until the other gateways consider a gateway lost and its runs ended."""
 _RETURN_SHARE = 1.0 / 3.0
-"""Of the time left: a client comes back no later than this."""
+"""Latest return of a client, as a fraction of the time left."""
 
 
 @dataclass(order=True)
@@ -102,7 +102,7 @@
 
 
 class Replay:
-    """One play of a scenario with one seed."""
+    """Runs one play of a scenario with one seed, as a discrete-event simulation."""
 
     def __init__(self, scenario: Scenario, seed: int, figures: EngineFigures | None = None) -> None:
         self.scenario = scenario
@@ -140,9 +140,9 @@
         self._up = [True] * scenario.engines
         self._listed = [True] * scenario.engines
         self._losses = [0] * scenario.engines
-        """For how many reasons an engine is away now."""
+        """Number of current losses of each engine; it returns when all are over."""
         self._rest_asked = [0.0] * scenario.engines
-        """Seconds of rest that an engine asks for while it turns all away, 0 while it does not."""
+        """Cooldown in seconds that each engine asks for while it refuses all requests, else 0."""
         self._rests = [Cooldowns() for _ in range(scenario.schedulers)]
         self._limits = StatedLimits()
         self._ranks = [
@@ -167,15 +167,15 @@
         self.windows: dict[int, Tally] = {}
         self.teams: dict[str, Tally] = {}
         self._old_work: set[int] = set()
-        """Requests that no scheduler sent."""
+        """Numbers of runs that no scheduler has sent."""
         self.turned_away = 0
-        """Requests that engines have refused with a wish for rest."""
+        """Number of requests that engines have refused with a request for a cooldown."""
         self.shed = 0
-        """Requests that engines have refused since too many waited there."""
+        """Number of requests that engines have refused because their queues were full."""
         self.sent = 0
 
     def play(self) -> Result:
-        """Play to the end."""
+        """Run the play to its end and return its results."""
         for kind in self.scenario.classes:
             self._next_arrival(kind)
         for loss in self.scenario.losses:
@@ -216,8 +216,6 @@
     def _at(self, when: float, act: Callable[[], None]) -> None:
         heapq.heappush(self._events, _Event(when, next(self._order), act))
 
-    # Arrivals
-
     def _next_arrival(self, kind: RequestClass) -> None:
         when = self._arrivals.next_after(kind, self.now)
         if when < self.scenario.seconds:
@@ -239,15 +237,13 @@
         self._place(client)
 
     def _tallies_of(self, client: Client) -> list[Tally]:
-        """Return all counts to which a request belongs."""
+        """Return the tallies to which a request belongs: its class, window and team."""
         window = self.windows.setdefault(int(client.arrived // 2) * 2, Tally())
         found = [self.tallies[client.kind.name], window]
         if client.need.team:
             found.append(self.teams.setdefault(client.need.team, Tally()))
         return found
 
-    # Placing
-
     def _place(self, client: Client) -> None:
         if client.over:
             return
@@ -265,7 +261,7 @@
         self._refuse(client, found)
 
     def _wait_in_line(self, client: Client, held: Queued) -> None:
-        """Have a request asked for again while it waits, as its gateway does."""
+        """Queue a request and schedule its renewal, as a gateway does in production."""
         self._in_line[client.key] = client
         scheduler, waiting_since = client.scheduler, client.waited_since
 
@@ -282,7 +278,7 @@
             self._tell_line(scheduler)
 
     def _look(self, scheduler: int) -> None:
-        """Place or refuse what is due in the line of a scheduler."""
+        """Place or refuse the due entries of a scheduler's admission queue."""
         known = [item for n, item in enumerate(self.upstreams) if self._listed[n]]
         line = self.lines[scheduler]
         for entry, found in line.due(self.service, known, self.now):
@@ -297,7 +293,7 @@
             self._watched[scheduler] = False
 
     def _tell_line(self, scheduler: int) -> None:
-        """Tell the other schedulers how many wait, until none does."""
+        """Send the queue length to the other schedulers, repeatedly until the queue is empty."""
         tiers = self.lines[scheduler].requests.tiers("llm")
 
         def hear() -> None:
@@ -343,13 +339,13 @@
         return draw_upstream(seen, self._rng)
 
     def _admit(self, client: Client, choice: Choice) -> None:
-        """Ask for a permit where the engine has a limit, and send with one."""
+        """Send a request; if the engine has a limit, request a permit first."""
         name, asker = choice.upstream.id, client.scheduler
         rate, need = self._limits.rate(name), client.need
         if rate == NO_LIMIT:
             self._send(client, choice)
             return
-        # Any scheduler's model would do; the one of the engine's own is as good as this one.
+        # Any scheduler's model can compute the rank; this one is as good as the limit owner's.
         rank = self._ranks[asker].rank("llm", need.route, need.tier, need.prompt_tokens, self.now)
         verdict = self._desk.request_permit(name, rate, rank, str(asker), self.now)
         if verdict.granted:
@@ -364,7 +360,7 @@
             self._send(client, choice)
 
     def _pause(self, client: Client, found: NoChoice) -> float | None:
-        """Return after how long a request is looked at again, None where it is refused now."""
+        """Return the time until a request is placed again, None if it is refused now."""
         waited, target = self.now - client.waited_since, client.kind.target
         if found.refusal in (Refusal.RESTING, Refusal.LIMITED):
             return cooldown_wait(found.retry_after, waited, client.need)
@@ -426,7 +422,7 @@
         return lambda: act(self.now)
 
     def _tell_all(self, client: Client, act: Callable[[Fleet, float], None]) -> None:
-        """Let all schedulers hear of something, the client's own at once."""
+        """Apply an update at all schedulers, at once at the client's own and later at others."""
         for fleet in self.fleets:
             if fleet is self.fleets[client.scheduler]:
                 act(fleet, self.now)
@@ -464,7 +460,7 @@
         self._wake(client.engine)
 
     def _not_run(self, client: Client) -> None:
-        """Try another engine: this one is down."""
+        """Place a request at another engine, since the chosen one is down."""
         name = self.upstreams[client.engine].id
         self.fleets[client.scheduler].load(name).note_unreachable(self.now)
         self._end_run(client, Outcome.NOT_SENT)
@@ -475,7 +471,7 @@
         self._place(client)
 
     def _shed(self, client: Client) -> None:
-        """Let an engine refuse a request since too many wait there."""
+        """Handle a refusal by an engine whose queue is full."""
         self.shed += 1
         self._end_run(client, Outcome.FAILED)
         client.excluded |= {self.upstreams[client.engine].id}
@@ -487,7 +483,7 @@
         self._at(self.now + _WAY_SECONDS, lambda: self._place(client))
 
     def _turn_away(self, client: Client) -> None:
-        """Let an engine refuse a request and ask for rest."""
+        """Handle a refusal by an engine that asks for a cooldown."""
         self.turned_away += 1
         name, seconds = self.upstreams[client.engine].id, self._rest_asked[client.engine]
         self._rests[client.scheduler].note_requested(name, seconds, self.now)
@@ -504,7 +500,7 @@
             self._leave(client, "no event for too long")
 
     def _tell_returns(self) -> None:
-        """Let the schedulers tell each other whom they told to come back."""
+        """Exchange the promised retry times of refused clients between the schedulers."""
         for fleet in self.fleets:
             news = fleet.shedding.returns.due_states(self.now)
             others = [other for other in self.fleets if other is not fleet]
@@ -514,8 +510,6 @@
         if self.now < self.scenario.seconds:
             self._at(self.now + _RETURN_NEWS_SECONDS, self._tell_returns)
 
-    # Engines
-
     def _wake(self, index: int) -> None:
         if not self._busy[index] and self._up[index]:
             self._busy[index] = True
@@ -547,7 +541,7 @@
             )
 
     def _learn_pause(self, client: Client, run: Run, pause: float) -> None:
-        """Let a scheduler learn from a pause of its own stream."""
+        """Let a scheduler learn from a pause in one of its own streams."""
         if client.over or client.run is not run:
             return
         fleet = self.fleets[client.scheduler]
@@ -619,17 +613,15 @@
             setattr(tally, end, getattr(tally, end) + 1)
             tally.earned += earned
 
-    # Schedulers and engines that are lost, and engines that shed or limit
-
     def _lose_power(self, scheduler: int) -> None:
-        """Take a scheduler away: its clients come to others, which hear of no end for a while."""
+        """Remove a scheduler: its clients go to others, which learn of the ends after a delay."""
         self._alive.remove(scheduler)
         for client in [item for item in self._all if item.scheduler == scheduler]:
             if not client.over:
                 self._lose_gateway(client)
 
     def _lose_gateway(self, client: Client) -> None:
-        """Let a client whose gateway is gone come to another one, if it comes again."""
+        """Move a client of a lost gateway to another gateway, if the client tries again."""
         begun = client.run is not None and bool(client.run.events)
         if client.number in self._clients:
             if client.run is not None:
@@ -666,7 +658,7 @@
             self._desk.add_bucket(self.upstreams[index].id, rate, self.now)
 
     def _plan_old_work(self) -> None:
-        """Let requests of former gateways run on, of which no scheduler knows."""
+        """Start runs of former gateways, which are unknown to all schedulers."""
         each = round(self.scenario.old_work * self.figures.slots)
         numbers = itertools.count(-1, -1)
         for index, engine in enumerate(self.engines):
@@ -691,7 +683,7 @@
         self._rest_asked[index] = seconds
 
     def _disturb(self, wanted: Disturbances) -> None:
-        """Slow a share of the engines down for a while, and others later."""
+        """Slow down a fraction of the engines, and schedule the next disturbance of others."""
         count = round(wanted.share * len(self.engines))
         for engine in self._disturbing.sample(self.engines, count):
             engine.disturbance = Disturbance(self.now, self.now + wanted.seconds, wanted.times)
--- a/src/lotushill/load/policy/result.py
+++ b/src/lotushill/load/policy/result.py
@@ -1,4 +1,4 @@
-"""What became of the requests of a replay."""
+"""Results of a replay: the outcomes of its requests, by class, window and team."""
 
 from __future__ import annotations
 
@@ -17,36 +17,40 @@
 _TIER_LEAST = 10
 _TIER_SHARE = 1.0 / 12.0
 _TIER_TIMES = 2.0
-"""Within so many seconds, so many requests and more than this share of their kind may not get
-nothing while less urgent ones of so many times their size begin."""
+"""Conditions under which requests count as put behind less urgent, larger ones.
+
+Within `_TIER_SECONDS`, at least `_TIER_LEAST` requests of a class and more than the fraction
+`_TIER_SHARE` of them get no answer, while less urgent requests of more than `_TIER_TIMES` times
+their size begin.
+"""
 
 
 @dataclass
 class Tally:
-    """What became of the requests of one class."""
+    """Counts of request outcomes in one class, window or team."""
 
     asked: int = 0
     in_time: int = 0
     late: int = 0
     refused: int = 0
-    """For good."""
+    """Requests that were refused finally, without a further try."""
     refused_once: int = 0
-    """Told to come back."""
+    """Requests that were refused on their first try and received a retry time."""
     failed: int = 0
     why: Counter[str] = field(default_factory=Counter)
-    """What made them late, or ended them."""
+    """Causes of late and failed requests, with their counts."""
     earned: float = 0.0
     owed: float = 0.0
 
     @property
     def share(self) -> float:
-        """Return the credit earned of the credit owed."""
+        """Return the credit earned as a fraction of the credit owed."""
         return self.earned / self.owed if self.owed else 1.0
 
 
 @dataclass(frozen=True)
 class PutBehind:
-    """A kind of request got nothing for some seconds while less urgent, larger ones began."""
+    """A period in which requests of a class got no answer while less urgent, larger ones began."""
 
     name: str
     second: int
@@ -57,71 +61,71 @@
 
 @dataclass
 class Result:
-    """What one play showed."""
+    """The results of one play."""
 
     classes: dict[str, Tally]
     windows: dict[int, Tally]
-    """By two seconds of arrival."""
+    """Counts by arrival time, in windows of two seconds keyed by their start."""
     put_behind: list[PutBehind]
     turned_away: int = 0
-    """Requests that engines refused with a wish for rest."""
+    """Number of requests that engines refused with a request for a cooldown."""
     teams: dict[str, Tally] = field(default_factory=dict)
-    """By team, empty where requests name none."""
+    """Counts by team, empty if requests name no team."""
     bursting: frozenset[str] = frozenset()
-    """Teams that ask more than usual."""
+    """Teams that send more requests than usual."""
     served_impatient: float = 0.0
-    """Share of those that came back at once and often, whatever they were told."""
+    """Served fraction of the clients that returned at once and often, ignoring retry times."""
     served_patient: float = 0.0
-    """Share of all others."""
+    """Served fraction of all other clients."""
     shed: int = 0
-    """Requests that engines refused since too many waited there."""
+    """Number of requests that engines refused because their queues were full."""
     sent: int = 0
-    """Requests that were sent to engines, each as often as it was sent."""
+    """Number of sends to engines; a request that was sent repeatedly counts each time."""
     work: list[float] = field(default_factory=list)
-    """What each engine has done, in seconds of all that it can do."""
+    """Work that each engine has done, in seconds of its full capacity."""
 
     @property
     def refused_again(self) -> float:
-        """Return the share of those that were refused once that were refused for good."""
+        """Return the fraction of the requests refused once that were refused finally."""
         once = sum(item.refused_once for item in self.classes.values())
         return sum(item.refused for item in self.classes.values()) / max(1, once)
 
     @property
     def served(self) -> int:
-        """Return how many got a whole answer, in time or late."""
+        """Return the number of requests with a complete answer, on time or late."""
         return sum(item.in_time + item.late for item in self.classes.values())
 
     @property
     def busiest(self) -> float:
-        """Return the work of the busiest engine by the mean of all."""
+        """Return the work of the busiest engine relative to the mean of all engines."""
         mean = sum(self.work) / max(1, len(self.work))
         return max(self.work) / mean if mean else 1.0
 
     @property
     def credit(self) -> float:
-        """Return the share of all credit that was earned."""
+        """Return the fraction of all credit that was earned."""
         owed = sum(item.owed for item in self.classes.values())
         return sum(item.earned for item in self.classes.values()) / owed if owed else 1.0
 
     def other_teams(self) -> list[float]:
-        """Return the share of the credit of each team that asks no more than usual, least first."""
+        """Return the earned fractions of the credit of teams without a burst, ascending."""
         found = [tally.share for name, tally in self.teams.items() if name not in self.bursting]
         return sorted(found)
 
     def worst_windows(self) -> float:
-        """Return the mean of the two worst windows."""
+        """Return the mean earned fraction of the two worst windows."""
         shares = sorted(item.share for item in self.windows.values() if item.asked)
         return sum(shares[:2]) / max(1, len(shares[:2]))
 
 
 def share_served(clients: Sequence[Client], impatient: bool) -> float:
-    """Return the share that was served of those that are impatient, or of those that are not."""
+    """Return the served fraction of the impatient clients, or of the patient ones."""
     own = [client for client in clients if client.impatient is impatient]
     return sum(client.served for client in own) / max(1, len(own))
 
 
 def put_behind(scenario: Scenario, clients: Sequence[Client]) -> list[PutBehind]:
-    """Return where requests got nothing while larger ones that are less urgent began."""
+    """Return the periods in which requests got no answer while less urgent, larger ones began."""
     found = []
     for kind in scenario.classes:
         own = [client for client in clients if client.kind is kind]
--- a/src/lotushill/load/policy/scenario.py
+++ b/src/lotushill/load/policy/scenario.py
@@ -1,4 +1,4 @@
-"""A load to replay: classes of requests, their bursts, and what happens to engines."""
+"""The load of a replay: request classes, their bursts, and faults of engines and schedulers."""
 
 from __future__ import annotations
 
@@ -19,56 +19,56 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """One kind of request; times are seconds, lengths tokens."""
+    """One class of requests; times are in seconds, lengths in tokens."""
 
     name: str
     tier: int
     rate: float
-    """Requests a second in calm times."""
+    """Requests per second outside of bursts."""
     target: float
     gap: float
     deadline: float
     prompt: float
     shared: float
-    """Of a prompt, the part that all requests about one subject share."""
+    """Length of the prompt prefix that all requests about one subject share."""
     subjects: int
     output: float
     worth: float
     late_worth: float
     prompt_spread: float = 1.0
-    """Of the logarithm."""
+    """Standard deviation of the logarithm of the prompt length."""
     output_spread: float = 0.5
     impatient: float = 0.0
-    """Share of its clients that come back at once, up to three times, whatever they are told."""
+    """Fraction of the clients that return at once, up to three times, ignoring retry times."""
 
 
 @dataclass(frozen=True)
 class Burst:
-    """One class, or all, comes at a multiple of its rate for a while."""
+    """A period in which one class, or all, arrives at a multiple of its rate."""
 
     at: float
     seconds: float
     times: float
     name: str = ""
-    """Empty for all classes."""
+    """Name of the class, empty for all classes."""
 
 
 @dataclass(frozen=True)
 class Loss:
-    """A share of the engines is away for a while."""
+    """A period in which a fraction of the engines is lost."""
 
     at: float
     seconds: float
     share: float
     hall: int | None = None
-    """All of one hall, where given."""
+    """Hall to which the lost engines belong, None for engines of any hall."""
     notice: float = 0.0
-    """How long before it nothing new is sent there; 0 for a crash."""
+    """Time before the loss during which no new requests are sent to the engines; 0 for a crash."""
 
 
 @dataclass(frozen=True)
 class PowerLoss:
-    """One scheduler is gone for good, with all that its own clients had under way."""
+    """The permanent loss of one scheduler, with all running requests of its clients."""
 
     at: float
     scheduler: int
@@ -76,53 +76,53 @@
 
 @dataclass(frozen=True)
 class Shed:
-    """A share of the engines turns all requests away for a while, and asks for rest."""
+    """A period in which a fraction of the engines refuses all requests and asks for a cooldown."""
 
     at: float
     seconds: float
     share: float
     rest: float
-    """Seconds that each refusal asks for."""
+    """Cooldown in seconds that each refusal asks for."""
 
 
 @dataclass(frozen=True)
 class Limit:
-    """A share of the engines names a limit for a while."""
+    """A period in which a fraction of the engines states a limit."""
 
     at: float
     seconds: float
     share: float
     rate: float
-    """Requests a second that each of them takes from all schedulers together."""
+    """Requests per second that each engine accepts from all schedulers together."""
 
 
 @dataclass(frozen=True)
 class Team:
-    """Some teams that ask alike."""
+    """One or more teams with the same demand."""
 
     name: str
-    """Of one team; several have a number after it."""
+    """Name of the team; if there are several, a number is appended to it."""
     count: int = 1
     part: float = 1.0
-    """Of all requests, beside the other teams."""
+    """Weight of each team's demand relative to the other teams."""
     share: float = 1.0
 
 
 @dataclass(frozen=True)
 class TeamBurst:
-    """One team asks many times its usual for a while."""
+    """A period in which one team sends a multiple of its usual requests."""
 
     team: str
     at: float
     seconds: float
     times: float
     name: str = ""
-    """Of one class, empty for all."""
+    """Name of the class, empty for all classes."""
 
 
 @dataclass(frozen=True)
 class Disturbances:
-    """Every so often a share of the engines, drawn anew, is slower for a while, in seconds."""
+    """Periodic slowdowns of a fraction of the engines, drawn anew each time; times in seconds."""
 
     every: float
     seconds: float
@@ -132,17 +132,17 @@
 
 @dataclass(frozen=True)
 class Wave:
-    """All demand swings around its rate."""
+    """A sinusoidal variation of all demand around its rate."""
 
     swing: float
-    """Of the rate, to either side."""
+    """Amplitude as a fraction of the rate."""
     period: float
-    """Seconds."""
+    """Period in seconds."""
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One load."""
+    """One load, with the fleet that receives it."""
 
     name: str
     seconds: float
@@ -155,29 +155,32 @@
     sheds: tuple[Shed, ...] = ()
     limits: tuple[Limit, ...] = ()
     teams: tuple[Team, ...] = ()
-    """None: requests name no team."""
+    """Teams that send the requests; if empty, requests name no team."""
     team_bursts: tuple[TeamBurst, ...] = ()
     unheard: float = 0.0
-    """Seconds from the start in which schedulers hear nothing of one another."""
+    """Time from the start during which schedulers receive nothing from each other, in seconds."""
     drawn: bool = True
-    """Whether they draw upstreams meanwhile, in place of choosing by what they run themselves."""
+    """Whether schedulers draw upstreams at random during that time.
+
+    If not, they choose by the requests that they run themselves.
+    """
     old_work: float = 0.0
-    """Share of the slots that hold requests at the start which no scheduler knows."""
+    """Fraction of the slots occupied at the start by requests unknown to all schedulers."""
     power_losses: tuple[PowerLoss, ...] = ()
     figures: EngineFigures = field(default_factory=EngineFigures)
     paces: tuple[float, ...] = (1.0, 1.0, 1.0 / 1.3)
-    """Times as fast as usual, repeated over the engines."""
+    """Speeds of the engines relative to the usual one, repeated over the engines."""
     disturbances: Disturbances | None = None
     wave: Wave | None = None
     pauses_learned: bool = False
-    """Whether schedulers learn from the pauses of their own streams, as gateways do."""
+    """Whether schedulers learn from pauses of their own streams, as gateways do in production."""
     hall_demand: tuple[float, ...] = ()
-    """Weights of the halls where requests come in; empty where schedulers stand in one hall."""
+    """Weights of the halls that receive requests; empty if all schedulers are in one hall."""
     variants: dict[str, dict[str, float]] = field(default_factory=dict)
-    """Figures of decisions to compare: `module.CONSTANT` and its value, by variant."""
+    """Constants of the policy to compare: `module.CONSTANT` and its value, by variant."""
 
     def rate(self, item: RequestClass, now: float) -> float:
-        """Return the requests a second of a class at some moment."""
+        """Return the rate of a class at a given time, in requests per second."""
         times = 1.0
         if self.wave is not None:
             times += self.wave.swing * math.sin(2.0 * math.pi * now / self.wave.period)
@@ -188,7 +191,7 @@
 
 
 def parse_scenario(value: Any) -> Scenario:
-    """Return a scenario from plain data; raise TypeError or KeyError for what does not fit."""
+    """Return a scenario from plain data; raise TypeError or KeyError if the data is invalid."""
     return Scenario(
         name=str(value["name"]),
         seconds=float(value["seconds"]),
--- a/src/lotushill/load/policy/teams.py
+++ b/src/lotushill/load/policy/teams.py
@@ -1,4 +1,4 @@
-"""Whose requests come in a replay."""
+"""Assigns the requests of a replay to teams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Teams:
-    """Draws teams from sources of their own: the requests drawn are the same without teams."""
+    """Draws teams from separate generators, so the requests are the same without teams."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._bursts = scenario.team_bursts
@@ -23,13 +23,13 @@
         }
 
     def times(self, kind: RequestClass, now: float) -> float:
-        """Return how many times as many requests of a class come as usual."""
+        """Return the request rate of a class as a multiple of its usual rate."""
         if not self._teams:
             return 1.0
         return sum(self._parts(kind, now)) / sum(item.part for item in self._teams)
 
     def draw(self, kind: RequestClass, now: float) -> Team | None:
-        """Return the team of a request of a class, None in a scenario without teams."""
+        """Return the team of a new request of a class, None if the scenario has no teams."""
         if not self._teams:
             return None
         return self._rngs[kind.name].choices(self._teams, self._parts(kind, now))[0]
--- a/tests/load/policy/__init__.py
+++ b/tests/load/policy/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the emulator and of decisions that it replays."""
+"""Tests of the engine emulator and of the placement decisions that it replays."""
 
 from __future__ import annotations
--- a/tests/load/policy/test_replay.py
+++ b/tests/load/policy/test_replay.py
@@ -1,8 +1,8 @@
-"""Loads at their worst, replayed before emulated engines: what waits, is refused and is served.
+"""Peak loads replayed on emulated engines: which requests wait, are refused and are served.
 
-Seen on a fleet whose long prompts came at 2.6 times their rate while a burst of the most urgent
-requests followed: engines were filled with long requests, urgent ones waited for their slots, and
-of these over a third were late and some got nothing, though hardly anybody was refused.
+Guards against a failure where long prompts arrived at 2.6 times their rate and a burst of the most
+urgent requests followed: engines were filled with long requests and urgent ones waited for slots.
+Over a third of the urgent ones were late and some got no answer, though almost none were refused.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 SCENARIOS = Path(__file__).parents[3] / "bench" / "scenarios"
 
 AFTER_LOSSES = 15
-"""The first second without a crash, on the load of a hall withdrawn."""
+"""First second after the engine losses in the scenario `hall-withdrawn`."""
 
 
 def scenario(name: str) -> Scenario:
@@ -32,7 +32,7 @@
 
 
 def scarce(engines: int) -> Scenario:
-    """Return a load of two bursts that overlap, before far too few engines."""
+    """Return a load of two overlapping bursts with far too few engines."""
     bursts = (Burst(1.0, 9.0, 3.0, "letter"), Burst(4.0, 6.0, 2.9, "query"))
     return replace(scenario("overlapping-bursts"), engines=engines, seconds=12.0, bursts=bursts)
 
@@ -55,16 +55,16 @@
                 self.assertEqual(Replay(scarce(engines), seed).play().put_behind, [])
 
     def test_nor_where_a_third_of_the_engines_needed_is_left(self) -> None:
-        """Two larger ones that began before a burst of the most urgent held slots through it.
+        """Two larger requests begin before a burst of the most urgent and occupy slots through it.
 
-        Nobody could know of the burst; but engines whose slots they held were taken for empty, so
-        that requests of the middle tier, predicted to begin there after 0.08 s, got nothing for
-        2.4 s: 12 of 98. Counted as held they went where slots came free.
+        The burst is not predictable. Engines whose slots these requests occupied were considered
+        empty, so requests of the middle tier, predicted to begin there after 0.08 s, got no answer
+        for 2.4 s: 12 of 98. With the slots counted as occupied, they go to slots that become free.
         """
         self.assertEqual(Replay(scarce(6), 2).play().put_behind, [])
 
     def test_nor_with_other_seeds_of_that_load(self) -> None:
-        """No larger one was sent after the first that got nothing had come; none could be known."""
+        """No larger one is sent after the first unanswered one has arrived; none is predictable."""
         for seed in (1, 3, 4, 5, 6, 7, 8):
             with self.subTest(seed=seed):
                 self.assertEqual(Replay(scarce(6), seed).play().put_behind, [])
@@ -78,7 +78,7 @@
         self.assertGreater(result.credit, 0.93)
 
     def test_a_burst_of_long_requests_alone_takes_all_slots(self) -> None:
-        """Without more urgent requests nothing is left free for them."""
+        """No slots are reserved for more urgent requests if there are none."""
         load = scenario("overlapping-bursts")
         letters = tuple(item for item in load.classes if item.name == "letter")
         result = Replay(replace(load, classes=letters, seconds=6.0), 1).play()
@@ -86,11 +86,11 @@
 
 
 class TestWithdrawn(unittest.TestCase):
-    """Engines of a hall are taken away, a part of the others crashes, and urgent ones come at once.
+    """Engines of a hall are withdrawn, some of the others crash, and urgent requests burst.
 
-    Seen where 220 of 664 short urgent requests got nothing while longer ones began: engines turned
-    them away, since all schedulers had filled their queues, or they were refused for want of room
-    while longer ones stood in the engines' queues.
+    Guards against a failure where 220 of 664 short urgent requests got no answer while longer ones
+    began: engines refused them, since all schedulers had filled the engines' queues, or schedulers
+    refused them for lack of capacity while longer requests waited in those queues.
     """
 
     def test_urgent_ones_do_not_get_nothing_while_longer_ones_begin(self) -> None:
@@ -106,7 +106,10 @@
 
 
 class TestLimits(unittest.TestCase):
-    """Engines name limits; seen on a day when requests for half of them went to the others."""
+    """Engines state limits.
+
+    Guards against a failure where the requests for half of the engines went to the others.
+    """
 
     def test_where_half_take_one_a_second_hardly_anybody_loses(self) -> None:
         """With permits for the most urgent, a seventh of the letters were refused or late."""
@@ -129,14 +132,14 @@
 
 
 class TestReturns(unittest.TestCase):
-    """Long requests want 1.3 times the room that comes free; clients come back once.
+    """Long requests demand 1.3 times the capacity that becomes free; refused clients return once.
 
-    Told constant pauses, four in ten of those that were refused came back into the same crowd and
-    were refused for good, half of them in a longer wave.
+    With constant retry times, four in ten of the refused clients returned into the same overload
+    and were refused finally; in a longer wave, half of them.
     """
 
     def test_in_a_brief_wave_few_are_refused_again_and_more_are_served(self) -> None:
-        """With constant pauses 0.34 were refused again, credit was 0.818, 1,191 were served."""
+        """Constant retry times gave 0.34 refused again, a credit of 0.818 and 1,191 served."""
         results = [Replay(scenario("brief-wave"), seed).play() for seed in (1, 2, 3)]
         again = sum(result.refused_again for result in results) / len(results)
         self.assertLess(again, 0.28)
@@ -159,10 +162,10 @@
 
 
 class TestAllStopped(unittest.TestCase):
-    """All gateways start at once, know no other for 0.6 s, and all callers come back.
+    """All gateways start at once, receive nothing from others for 0.6 s, and all callers return.
 
-    Each chose by its own few requests, so that all sent to the same few upstreams: of 301 requests
-    154 were in time and 10 got nothing, with half of the first events after 0.56 s.
+    When each chose by its own few requests only, all sent to the same few upstreams: of 301
+    requests, 154 were on time and 10 got no answer; half of the first events came after 0.56 s.
     """
 
     def test_the_first_seconds_are_served(self) -> None:
--- a/tests/load/policy/test_teams.py
+++ b/tests/load/policy/test_teams.py
@@ -1,7 +1,7 @@
-"""One team of 24 asks eight times its usual: what the others get, and whether engines stay in use.
+"""One team of 24 sends eight times its usual requests; others keep their credit, engines their use.
 
-Without shares, teams get their part of the room by how much they ask: of eleven teams that alone
-were served whole, 0.2 was left beside a twelfth that asked for 1.9 times the room.
+Without shares, each team gets capacity in proportion to its requests: eleven teams that by
+themselves were served fully kept 0.2 of that beside a twelfth that demanded 1.9 times the capacity.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def scenario(times: float, name: str = "team-at-eight-times") -> Scenario:
-    """Return the load at so many times what the engines bear."""
+    """Return the load at a multiple of the rate that the engines can serve."""
     found = parse_scenario(parse_file(SCENARIOS / f"{name}.yaml"))
     classes = tuple(replace(item, rate=item.rate * times) for item in found.classes)
     return replace(found, classes=classes)
@@ -46,7 +46,7 @@
 
 
 def others(results: list[Result]) -> list[float]:
-    """Return the credit of each team but the one that asks much, the least first."""
+    """Return the credit of each team except `MUCH`, which bursts, in ascending order."""
     sums: defaultdict[str, Tally] = defaultdict(Tally)
     for result in results:
         for name, tally in result.teams.items():
@@ -60,7 +60,7 @@
 
 
 def rate_served(tallies: Iterable[Tally]) -> float:
-    """Return which part of the requests asked was served."""
+    """Return the served fraction of the requests."""
     found = list(tallies)
     return sum(item.in_time + item.late for item in found) / sum(item.asked for item in found)
 
@@ -88,7 +88,7 @@
 
 class TestManyTimes(unittest.TestCase):
     def test_a_team_at_thirty_times_is_not_starved_itself(self) -> None:
-        """Users take a team for starved that is served under a quarter as often as all."""
+        """A team counts as starved if it is served under a quarter as often as all teams."""
         load = replace(scenario(2.0), team_bursts=(TeamBurst(MUCH, 3.0, 13.0, 30.0),))
         result = Replay(load, 1).play()
         self.assertGreater(
--- a/tests/load/policy/test_uneven_engines.py
+++ b/tests/load/policy/test_uneven_engines.py
@@ -1,8 +1,8 @@
-"""Engines of unequal pace that are disturbed for moments, replayed before the real decisions.
+"""Placement on engines of unequal pace with temporary disturbances, replayed on emulated engines.
 
-Seen where a quarter of the engines were less than half as fast as the others: each of them was
-taken for a usual one again some seconds after it was last used, and pauses beside the reading of
-long prompts, twice as long there, made short streams late.
+Guards against a failure with a quarter of the engines less than half as fast as the others: some
+seconds after its last use, each slow engine was treated as a normal one again. Pauses during the
+prefill of long prompts, twice as long on these engines, then made short streams late.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class TestHalls(unittest.TestCase):
-    """One hall is asked for over twice its room, and the others for half of theirs and less."""
+    """The demand on one hall is over twice its capacity, on the others half of theirs or less."""
 
     def test_halls_lend_to_each_other(self) -> None:
         even = replace(uneven(), hall_demand=(1.0, 1.0, 1.0, 1.0))
