--- a/src/lotushill/load/__init__.py
+++ b/src/lotushill/load/__init__.py
@@ -1,3 +1,3 @@
-"""Measurements: what each mechanism costs, as slopes for the capacity page."""
+"""Measures the cost of each mechanism, as slopes for the capacity page."""
 
 from __future__ import annotations
--- a/src/lotushill/load/slopes.py
+++ b/src/lotushill/load/slopes.py
@@ -1,4 +1,4 @@
-"""What each mechanism of a gateway costs in processor time, measured on this machine alone."""
+"""Measures the processor time of each mechanism of a gateway, on the local machine only."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 _ROUNDS = 5
 _MICRO = 1e6
 _BATCHED = 15
-"""Events in the batch that is measured."""
+"""Number of events in the measured batch."""
 _SENDER = "front-hall-tlaque-11"
 _UPSTREAM = "i-8f4d9a85d0"
 _SERVICE = Service("llm", 600, EngineProfile(16, 424_000, 9, 163_840, 3.25e10))
@@ -49,17 +49,17 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """One cost."""
+    """The measured cost of one mechanism."""
 
     name: str
     microseconds: float
-    """Of processor time, the best of some rounds."""
+    """Processor time per call, the lowest of several rounds."""
     size: int = 0
-    """Bytes of the packet, 0 where there is none."""
+    """Size of the packet in bytes, 0 if there is none."""
 
 
 def measure(upstream_counts: tuple[int, ...] = (9, 45, 600), repeats: int = 400) -> list[Slope]:
-    """Return all slopes; `repeats` calls make a round."""
+    """Measure all mechanisms and return their slopes; a round consists of `repeats` calls."""
     slopes = _load_slopes(repeats)
     slopes.append(_heartbeat(repeats))
     for count in upstream_counts:
@@ -69,7 +69,7 @@
 
 
 def table(slopes: list[Slope]) -> str:
-    """Return slopes as a table of Markdown."""
+    """Return the slopes as a Markdown table."""
     lines = ["| what | processor time | bytes |", "|---|---|---|"]
     lines += [
         f"| {item.name} | {item.microseconds:.1f} us | {item.size or ''} |" for item in slopes
@@ -78,7 +78,7 @@
 
 
 def to_json(slopes: list[Slope]) -> str:
-    """Return slopes as JSON."""
+    """Return the slopes as a JSON array."""
     return json.dumps([asdict(item) for item in slopes], indent=1)
 
 
@@ -167,7 +167,7 @@
 
 
 def _best(call: Callable[[], object], repeats: int) -> float:
-    """Return microseconds of processor time a call takes in the best of some rounds."""
+    """Return the processor time of one call in microseconds, the lowest of several rounds."""
     found = float("inf")
     for _ in range(_ROUNDS):
         began = time.process_time()
