--- a/src/lotushill/load/limits/comparison.py
+++ b/src/lotushill/load/limits/comparison.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from lotushill.load.limits.emulated_fleet import WINDOW
+from lotushill.load.limits.emulated_fleet import WINDOW_SECONDS
 from lotushill.load.limits.emulated_fleet import EmulatedFleet
 from lotushill.load.limits.emulated_fleet import Play
-from lotushill.load.limits.emulated_fleet import allowed
-from lotushill.load.limits.ways import WAYS
+from lotushill.load.limits.emulated_fleet import max_requests_per_window
+from lotushill.load.limits.schemes import SCHEMES
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from lotushill.load.limits.emulated_fleet import Outcome
 
-_SECONDS = 20.0
-_TURNS = 12.0
+_MIN_PLAY_SECONDS = 20.0
+_MIN_ALLOWED_REQUESTS = 12.0
 """Minimum number of requests that the limit allows over the duration of one play."""
 
 
@@ -33,10 +33,10 @@
 def compare(gateways: Sequence[int], rates: Sequence[float], processes: int) -> list[Row]:
     """Play each scheme with each number of gateways and each rate, without faults."""
     plays = [
-        Play(count, rate, way, seconds=max(_SECONDS, _TURNS / rate))
+        Play(count, rate, scheme, seconds=max(_MIN_PLAY_SECONDS, _MIN_ALLOWED_REQUESTS / rate))
         for count in gateways
         for rate in rates
-        for way in WAYS
+        for scheme in SCHEMES
     ]
     with ProcessPoolExecutor(processes) as pool:
         return [Row(play, outcome) for play, outcome in zip(plays, pool.map(_play, plays))]
@@ -45,9 +45,11 @@
 def table(rows: Sequence[Row]) -> str:
     """Return a table of text with one line per play."""
     return "\n".join(
-        f"{row.play.gateways:4} gateways  {row.play.rate:5g} a second  {row.play.way:8} "
-        f"most in {WINDOW:g} s {row.outcome.most:4} (promised {allowed(row.play.rate):g})  "
-        f"used {row.outcome.used:.2f}  {row.outcome.datagrams:7.0f} datagrams a second  "
+        f"{row.play.gateways:4} gateways  {row.play.rate:5g} a second  {row.play.scheme:8} "
+        f"most in {WINDOW_SECONDS:g} s {row.outcome.max_in_window:4} "
+        f"(promised {max_requests_per_window(row.play.rate):g})  "
+        f"used {row.outcome.used_fraction:.2f}  "
+        f"{row.outcome.datagrams_per_second:7.0f} datagrams a second  "
         f"{row.outcome.admit_ms:5.1f} ms a decision"
         for row in rows
     )
--- a/src/lotushill/load/limits/emulated_fleet.py
+++ b/src/lotushill/load/limits/emulated_fleet.py
@@ -17,12 +17,12 @@
 from lotushill.links.messages import MemberPhase
 from lotushill.links.messages import MemberState
 from lotushill.load.limits.emulated_members import EmulatedMembers
-from lotushill.load.limits.virtual_loop import run_virtually
-from lotushill.load.limits.ways import TEAM
-from lotushill.load.limits.ways import TeamPermits
-from lotushill.load.limits.ways import counting_gateways
-from lotushill.load.limits.ways import limits_of
-from lotushill.load.limits.ways import make_way
+from lotushill.load.limits.schemes import TEAM_SCHEME
+from lotushill.load.limits.schemes import TeamPermits
+from lotushill.load.limits.schemes import make_limit_owners
+from lotushill.load.limits.schemes import make_limits
+from lotushill.load.limits.schemes import make_scheme
+from lotushill.load.limits.virtual_loop import run_in_virtual_time
 from lotushill.routing.rate_limit import RateLimit
 from lotushill.routing.upstream import Upstream
 
@@ -32,22 +32,22 @@
     from lotushill.limits.fleet_limits import FleetLimits
     from lotushill.links.limit_messages import LimitNews
     from lotushill.links.limit_messages import PermitAsk
-    from lotushill.load.limits.ways import Way
+    from lotushill.load.limits.schemes import Scheme
 
 ENGINE = Upstream("engine@1", "llm", "10.9.0.1:80", "h0", 8, False)
-WINDOW = 4.0
-CONTACT_SECONDS = 3.0
+WINDOW_SECONDS = 4.0
+CONVERGENCE_SECONDS = 3.0
 """Time after an engine first stated its limit from which all gateways have to keep to it."""
 _HALLS = 4
-_LOSS = 0.02
-_DELAYS = (0.001, 0.02)
+_LOSS_FRACTION = 0.02
+_DELAY_SECONDS = (0.001, 0.02)
 _ANSWER_SECONDS = 0.003
-_TICK = 0.05
+_TICK_SECONDS = 0.05
 _NOTICE_SECONDS = (0.4, 1.6)
 """Shortest and longest time until a gateway is notified that another one is lost or is back."""
-_FAULT_AT = 8.0
+_FAULT_START_SECONDS = 8.0
 _FAULT_SECONDS = 5.0
-_ROLLING_PAUSE = 0.4
+_ROLLING_INTERVAL_SECONDS = 0.4
 
 
 class Fault(Enum):
@@ -71,7 +71,7 @@
 
     gateways: int
     rate: float
-    way: str = "permits"
+    scheme: str = "permits"
     fault: Fault = Fault.NONE
     seed: int = 1
     demand: float = 4.0
@@ -84,15 +84,15 @@
 class Outcome:
     """The results of one play."""
 
-    most: int
-    """Largest number of requests in any window after the time to reach all gateways."""
-    used: float
-    """Fraction of the limit that was used in the same period."""
-    datagrams: float
+    max_in_window: int
+    """Largest number of requests in any window after `CONVERGENCE_SECONDS`."""
+    used_fraction: float
+    """Fraction of the limit that was used after `CONVERGENCE_SECONDS`."""
+    datagrams_per_second: float
     """Datagrams per second of the whole fleet."""
     admit_ms: float
     """Mean time of an admission decision, in milliseconds."""
-    sent: tuple[float, ...]
+    arrival_times: tuple[float, ...]
     """Times at which requests reached the engine, in ascending order."""
 
 
@@ -100,7 +100,7 @@
 class _Gateway:
     members: EmulatedMembers
     limits: FleetLimits
-    way: Way
+    scheme: Scheme
     down: bool = False
     frozen: bool = False
     inbox: list[Callable[[], None]] = field(default_factory=list)
@@ -114,46 +114,46 @@
         self._rng = random.Random(play.seed)
         self._states = [self._state(number) for number in range(play.gateways)]
         self._gateways: dict[str, _Gateway] = {}
-        self._cut: frozenset[str] = frozenset()
+        self._partitioned: frozenset[str] = frozenset()
         self._datagrams = 0
-        self._sent: list[float] = []
-        self._seconds: list[float] = []
+        self._arrival_times: list[float] = []
+        self._decision_seconds: list[float] = []
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def run(self) -> Outcome:
         """Run the play to its end in virtual time and return its results."""
-        return run_virtually(self._run())
+        return run_in_virtual_time(self._run())
 
     async def _run(self) -> Outcome:
         self._loop = asyncio.get_running_loop()
         for state in self._states:
             self._start(state, self._states)
-        fault = asyncio.create_task(self._do(self._play.fault))
+        fault = asyncio.create_task(self._inject_fault(self._play.fault))
         while self._loop.time() < self._play.seconds:
             await asyncio.sleep(self._rng.expovariate(self._play.demand * self._play.rate))
             # A play starts calmly: the first request is answered before the others are sent.
             gateway = self._rng.choice(list(self._gateways.values()))
-            self._later(self._request(gateway))
+            self._start_task(self._request(gateway))
         for task in (fault, *self._tasks):
             task.cancel()
         return self._outcome()
 
     def _outcome(self) -> Outcome:
-        begins = CONTACT_SECONDS
-        sent = sorted(self._sent)
+        since = CONVERGENCE_SECONDS
+        times = sorted(self._arrival_times)
         counts = [
-            bisect_left(sent, at + WINDOW) - number
-            for number, at in enumerate(sent)
-            if at >= begins
+            bisect_left(times, at + WINDOW_SECONDS) - number
+            for number, at in enumerate(times)
+            if at >= since
         ]
-        late = sum(at >= begins for at in sent)
-        span = self._play.seconds - begins
+        arrived = sum(at >= since for at in times)
+        span = self._play.seconds - since
         return Outcome(
-            most=max(counts, default=0),
-            used=late / (self._play.rate * span),
-            datagrams=self._datagrams / self._play.seconds,
-            admit_ms=1000 * sum(self._seconds) / max(1, len(self._seconds)),
-            sent=tuple(sent),
+            max_in_window=max(counts, default=0),
+            used_fraction=arrived / (self._play.rate * span),
+            datagrams_per_second=self._datagrams / self._play.seconds,
+            admit_ms=1000 * sum(self._decision_seconds) / max(1, len(self._decision_seconds)),
+            arrival_times=tuple(times),
         )
 
     def _state(self, number: int) -> MemberState:
@@ -164,130 +164,134 @@
         members = EmulatedMembers(state, [item for item in known if item.name != state.name])
         rng = random.Random(self._rng.random())
         name = state.name
-        limits = limits_of(
+        limits = make_limits(
             members,
             ENGINE,
-            lambda ask, address: self._ask(name, ask, address),
-            lambda news: self._tell(name, news),
+            lambda ask, address: self._send_ask(name, ask, address),
+            lambda update: self._broadcast(name, update),
             rng,
             self._loop.time,
         )
-        way: Way
-        if self._play.way == TEAM:
-            way = TeamPermits(limits, members, self._team_limit(), rng, self._loop.time)
+        scheme: Scheme
+        if self._play.scheme == TEAM_SCHEME:
+            scheme = TeamPermits(limits, members, self._team_limit(), rng, self._loop.time)
         else:
-            way = make_way(self._play.way, limits, members, ENGINE, self._loop.time)
+            scheme = make_scheme(self._play.scheme, limits, members, ENGINE, self._loop.time)
         if name not in self._gateways:
-            self._loop.call_later(self._rng.uniform(0.0, _TICK), self._tick, name)
-        self._gateways[name] = _Gateway(members, limits, way)
+            self._loop.call_later(self._rng.uniform(0.0, _TICK_SECONDS), self._tick, name)
+        self._gateways[name] = _Gateway(members, limits, scheme)
 
     async def _request(self, gateway: _Gateway) -> None:
         if gateway.down or gateway.frozen:
             return
-        asked = self._loop.time()
-        admitted = await gateway.way.admit(self._rng.randrange(3))
-        self._seconds.append(self._loop.time() - asked)
+        asked_at = self._loop.time()
+        admitted = await gateway.scheme.admit(self._rng.randrange(3))
+        self._decision_seconds.append(self._loop.time() - asked_at)
         if not admitted or gateway.down or gateway.frozen:
             return
-        sent = self._loop.time()
+        sent_at = self._loop.time()
         await asyncio.sleep(_ANSWER_SECONDS / 2)
-        self._sent.append(self._loop.time())
+        self._arrival_times.append(self._loop.time())
         rate = self._rate()
         await asyncio.sleep(_ANSWER_SECONDS / 2)
-        gateway.limits.gossip.note_answer(ENGINE.id, LimitReport(rate, sent, self._loop.time()))
+        gateway.limits.gossip.note_answer(ENGINE.id, LimitReport(rate, sent_at, self._loop.time()))
 
     def _team_limit(self) -> RateLimit:
         return RateLimit("team", self._play.rate)
 
     def _rate(self) -> float:
         """Return the limit that the engine currently states, in requests per second."""
-        named = [rate for at, rate in self._play.changes if at <= self._loop.time()]
-        return named[-1] if named else self._play.rate
+        stated_rates = [rate for at, rate in self._play.changes if at <= self._loop.time()]
+        return stated_rates[-1] if stated_rates else self._play.rate
 
     def _tick(self, name: str) -> None:
         """Send the due datagrams of one gateway and schedule the next tick."""
         gateway = self._gateways[name]
         if not gateway.down and not gateway.frozen:
             gateway.limits.gossip.send_due()
-        self._loop.call_later(_TICK, self._tick, name)
+        self._loop.call_later(_TICK_SECONDS, self._tick, name)
 
-    def _ask(self, sender: str, ask: PermitAsk, address: str) -> None:
+    def _send_ask(self, sender: str, ask: PermitAsk, address: str) -> None:
         def arrive() -> None:
-            answer = self._gateways[address].way.answer(ask)
-            back = self._gateways[sender].limits.client
-            self._deliver(address, sender, lambda: back.receive(answer))
+            answer = self._gateways[address].scheme.answer(ask)
+            permit_client = self._gateways[sender].limits.client
+            self._deliver(address, sender, lambda: permit_client.receive(answer))
 
         self._deliver(sender, address, arrive)
 
-    def _tell(self, sender: str, news: LimitNews) -> None:
+    def _broadcast(self, sender: str, update: LimitNews) -> None:
         for name in list(self._gateways):
             if name != sender:
                 receive = self._gateways[name].limits.gossip.receive
-                self._deliver(sender, name, lambda receive=receive: receive(news))  # type: ignore[misc]
+                self._deliver(sender, name, lambda receive=receive: receive(update))  # type: ignore[misc]
 
-    def _deliver(self, sender: str, to: str, call: Callable[[], None]) -> None:
+    def _deliver(self, sender: str, receiver: str, call: Callable[[], None]) -> None:
         self._datagrams += 1
-        if (sender in self._cut) != (to in self._cut) or self._rng.random() < _LOSS:
+        if (sender in self._partitioned) != (
+            receiver in self._partitioned
+        ) or self._rng.random() < _LOSS_FRACTION:
             return
-        self._loop.call_later(self._rng.uniform(*_DELAYS), self._arrive, to, call)
+        self._loop.call_later(self._rng.uniform(*_DELAY_SECONDS), self._arrive, receiver, call)
 
-    def _arrive(self, to: str, call: Callable[[], None]) -> None:
-        gateway = self._gateways[to]
+    def _arrive(self, receiver: str, call: Callable[[], None]) -> None:
+        gateway = self._gateways[receiver]
         if gateway.frozen:
             gateway.inbox.append(call)
         elif not gateway.down:
             call()
 
-    async def _do(self, fault: Fault) -> None:
-        await asyncio.sleep(_FAULT_AT)
-        counted = limit_as_upstream(self._team_limit()) if self._play.way == TEAM else ENGINE
-        counting = counting_gateways(self._gateways["gw-0"].members).owner_of(counted)
+    async def _inject_fault(self, fault: Fault) -> None:
+        await asyncio.sleep(_FAULT_START_SECONDS)
+        limited_upstream = (
+            limit_as_upstream(self._team_limit()) if self._play.scheme == TEAM_SCHEME else ENGINE
+        )
+        owner = make_limit_owners(self._gateways["gw-0"].members).owner_of(limited_upstream)
         match fault:
             case Fault.NONE:
                 return
             case Fault.KILL:
-                await self._restart(counting, _FAULT_SECONDS)
+                await self._restart(owner, _FAULT_SECONDS)
             case Fault.FREEZE:
-                await self._freeze(counting)
+                await self._freeze(owner)
             case Fault.CUT:
-                await self._cut_off(counting)
+                await self._partition(owner)
             case Fault.DISAGREE:
-                self._notice(self._half(), counting, lost=True)
+                self._notify_members(self._half(), owner, lost=True)
             case Fault.JOIN:
                 self._join(max(1, self._play.gateways // 5))
             case Fault.ROLL:
                 for state in self._states:
-                    self._later(self._restart(state, 1.0))
-                    await asyncio.sleep(_ROLLING_PAUSE)
+                    self._start_task(self._restart(state, 1.0))
+                    await asyncio.sleep(_ROLLING_INTERVAL_SECONDS)
 
     async def _restart(self, state: MemberState, seconds: float) -> None:
         self._gateways[state.name].down = True
-        self._notice(list(self._gateways), state, lost=True)
+        self._notify_members(list(self._gateways), state, lost=True)
         await asyncio.sleep(seconds)
         self._start(state, [])
         for other in self._states:
-            self._notice([state.name], other, lost=False)
-        self._notice(list(self._gateways), state, lost=False)
+            self._notify_members([state.name], other, lost=False)
+        self._notify_members(list(self._gateways), state, lost=False)
 
     async def _freeze(self, state: MemberState) -> None:
         gateway = self._gateways[state.name]
         gateway.frozen = True
-        self._notice(list(self._gateways), state, lost=True)
+        self._notify_members(list(self._gateways), state, lost=True)
         await asyncio.sleep(_FAULT_SECONDS)
         gateway.frozen = False
         for call in gateway.inbox:
             call()
-        self._notice(list(self._gateways), state, lost=False)
+        self._notify_members(list(self._gateways), state, lost=False)
 
-    async def _cut_off(self, counting: MemberState) -> None:
+    async def _partition(self, owner: MemberState) -> None:
         half = self._half()
-        self._cut = frozenset(half)
-        rest = [name for name in self._gateways if name not in self._cut]
+        self._partitioned = frozenset(half)
+        other_half = [name for name in self._gateways if name not in self._partitioned]
         for lost in (True, False):
             for state in self._states:
-                self._notice(rest if state.name in half else half, state, lost)
+                self._notify_members(other_half if state.name in half else half, state, lost)
             await asyncio.sleep(_FAULT_SECONDS)
-            self._cut = frozenset()
+            self._partitioned = frozenset()
 
     def _join(self, count: int) -> None:
         for number in range(count):
@@ -295,33 +299,35 @@
             self._states.append(state)
             self._start(state, [])
             for other in self._states[:-1]:
-                self._notice([state.name], other, lost=False)
-            self._notice([name for name in self._gateways if name != state.name], state, False)
+                self._notify_members([state.name], other, lost=False)
+            self._notify_members(
+                [name for name in self._gateways if name != state.name], state, False
+            )
 
     def _half(self) -> list[str]:
         return [name for number, name in enumerate(self._gateways) if number % 2]
 
-    def _notice(self, names: list[str], state: MemberState, lost: bool) -> None:
+    def _notify_members(self, names: list[str], state: MemberState, lost: bool) -> None:
         """Notify some gateways that a member is lost or alive, each after a random delay."""
         for name in names:
             if name == state.name:
                 continue
-            after = self._rng.uniform(*_NOTICE_SECONDS)
-            self._loop.call_later(after, self._heard, name, state, lost)
+            delay = self._rng.uniform(*_NOTICE_SECONDS)
+            self._loop.call_later(delay, self._update_member, name, state, lost)
 
-    def _heard(self, name: str, state: MemberState, lost: bool) -> None:
+    def _update_member(self, name: str, state: MemberState, lost: bool) -> None:
         members = self._gateways[name].members
         if lost:
-            members.lose(state.name)
+            members.mark_lost(state.name)
         else:
-            members.hear(state)
+            members.mark_alive(state)
 
-    def _later(self, work: Any) -> None:
-        task = asyncio.create_task(work)
+    def _start_task(self, coroutine: Any) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def allowed(rate: float) -> float:
+def max_requests_per_window(rate: float) -> float:
     """Return the maximum number of requests per window guaranteed to an engine under any fault."""
-    return 1.5 * rate * WINDOW + 5.0 if rate < NO_LIMIT else NO_LIMIT
+    return 1.5 * rate * WINDOW_SECONDS + 5.0 if rate < NO_LIMIT else NO_LIMIT
--- a/src/lotushill/load/limits/emulated_members.py
+++ b/src/lotushill/load/limits/emulated_members.py
@@ -38,12 +38,12 @@
         """Return this gateway and all members that were ever seen."""
         return [self._own, *self._others.values()]
 
-    def hear(self, state: MemberState) -> None:
+    def mark_alive(self, state: MemberState) -> None:
         """Mark a member as alive, with the given state."""
         self._others[state.name] = state
         self.composition_version += 1
 
-    def lose(self, name: str) -> None:
+    def mark_lost(self, name: str) -> None:
         """Mark a member as lost."""
         if name in self._others:
             self._others[name] = replace(self._others[name], phase=MemberPhase.LOST)
--- a/src/lotushill/load/limits/ways.py
+++ b/src/lotushill/load/limits/schemes.py
@@ -30,15 +30,15 @@
     from lotushill.routing.rate_limit import RateLimit
     from lotushill.routing.upstream import Upstream
 
-WAYS = ("permits", "shares", "few")
-TEAM = "team"
+SCHEMES = ("permits", "shares", "few")
+TEAM_SCHEME = "team"
 """Name of the scheme for a team's limit, which is configured and not stated by an engine."""
-_SHARE_DEPTH = 1.0
-_TEAM_PATIENCE = 0.4
+_BUCKET_DEPTH = 1.0
+_MAX_TEAM_WAIT_SECONDS = 0.4
 """Time that a request waits for a permit under the limit of its team."""
 
 
-class Way(Protocol):
+class Scheme(Protocol):
     """The admission decisions of one gateway under one scheme."""
 
     limits: FleetLimits
@@ -81,25 +81,25 @@
         self.limits = limits
         self._limit = limit
         self._clock = clock
-        self._own = TeamLimits(counting_gateways(members), limits.client, rng, clock)
+        self._team_limits = TeamLimits(make_limit_owners(members), limits.client, rng, clock)
 
     async def admit(self, tier: int) -> bool:
         """Request a permit of the team until it is granted or the request stops waiting."""
-        ends = self._clock() + _TEAM_PATIENCE
+        deadline = self._clock() + _MAX_TEAM_WAIT_SECONDS
         while True:
-            pause = await self._own.request_permit(self._limit, tier)
+            pause = await self._team_limits.request_permit(self._limit, tier)
             if pause <= 0.0:
                 return True
-            if self._clock() + pause > ends:
+            if self._clock() + pause > deadline:
                 return False
             await asyncio.sleep(pause)
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
         """Answer a permit request if this gateway is the owner of the limit."""
-        return self._own.answer(ask)
+        return self._team_limits.answer(ask)
 
 
-class Shares:
+class EqualShares:
     """Each gateway uses an equal fraction of the limit, without coordination."""
 
     def __init__(
@@ -109,8 +109,8 @@
         self._upstream = upstream
         self._members = members
         self._clock = clock
-        self._level = _SHARE_DEPTH
-        self._at = 0.0
+        self._tokens = _BUCKET_DEPTH
+        self._updated_at = 0.0
 
     async def admit(self, tier: int) -> bool:
         """Take a token from the fraction of the limit that this gateway has."""
@@ -123,15 +123,15 @@
 
     def _take(self, rate: float) -> bool:
         now = self._clock()
-        self._level = min(_SHARE_DEPTH, self._level + rate * (now - self._at))
-        self._at = now
-        if self._level < 1.0:
+        self._tokens = min(_BUCKET_DEPTH, self._tokens + rate * (now - self._updated_at))
+        self._updated_at = now
+        if self._tokens < 1.0:
             return False
-        self._level -= 1.0
+        self._tokens -= 1.0
         return True
 
 
-class Few(Shares):
+class SelectedShares(EqualShares):
     """A few gateways, chosen by hash, use equal fractions of the limit; the others send nothing.
 
     There is about one such gateway for each request per second of the limit.
@@ -143,41 +143,41 @@
         if rate == NO_LIMIT:
             return True
         names = [item.name for item in self._members.live()]
-        few = ranked(self._upstream.id, names, max(1, min(len(names), round(rate))))
-        return self._members.own.name in few and self._take(rate / len(few))
+        selected = ranked(self._upstream.id, names, max(1, min(len(names), round(rate))))
+        return self._members.own.name in selected and self._take(rate / len(selected))
 
 
-def limits_of(
+def make_limits(
     members: Members,
     upstream: Upstream,
     send: Callable[[PermitAsk, str], None],
-    tell: Callable[[LimitNews], None],
+    broadcast: Callable[[LimitNews], None],
     rng: random.Random,
     clock: Callable[[], float],
 ) -> FleetLimits:
     """Return the limits of one gateway, built from the classes that production uses."""
     view = UpstreamView()
     view.replace([upstream], 1)
-    counting = counting_gateways(members)
+    owners = make_limit_owners(members)
     log, stated = EventLog(members.own.name, lambda _: None), StatedLimits()
     ranks = PermitRanks(Fleet(members.own.hall), stated, view.of)
-    return FleetLimits(view, counting, stated, ranks, send, tell, log, rng, clock)
+    return FleetLimits(view, owners, stated, ranks, send, broadcast, log, rng, clock)
 
 
-def counting_gateways(members: Members) -> LimitOwners:
+def make_limit_owners(members: Members) -> LimitOwners:
     """Return the limit owners as one gateway sees them."""
     return LimitOwners(members, Schedulers(members), lambda: 0)
 
 
-def make_way(
+def make_scheme(
     name: str,
     limits: FleetLimits,
     members: Members,
     upstream: Upstream,
     clock: Callable[[], float],
-) -> Way:
-    """Return the decisions of one gateway under one of the schemes in `WAYS`."""
+) -> Scheme:
+    """Return the decisions of one gateway under one of the schemes in `SCHEMES`."""
     if name == "permits":
         return Permits(limits, upstream)
-    kind = {"shares": Shares, "few": Few}[name]
-    return kind(limits, upstream, members, clock)
+    scheme_class = {"shares": EqualShares, "few": SelectedShares}[name]
+    return scheme_class(limits, upstream, members, clock)
--- a/src/lotushill/load/limits/virtual_loop.py
+++ b/src/lotushill/load/limits/virtual_loop.py
@@ -33,7 +33,7 @@
         super()._run_once()  # type: ignore[misc]
 
 
-def run_virtually(work: Coroutine[Any, Any, T]) -> T:
+def run_in_virtual_time(coroutine: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine to completion in virtual time and return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(work)
+        return runner.run(coroutine)
--- a/src/lotushill/load/policy/arrivals.py
+++ b/src/lotushill/load/policy/arrivals.py
@@ -17,21 +17,21 @@
     from lotushill.load.policy.scenario import RequestClass
     from lotushill.load.policy.scenario import Scenario
 
-_PROMPT_CAP = 8.0
+_MAX_LENGTH_FACTOR = 8.0
 """Maximum length of a prompt or an answer, as a multiple of the mean of its class."""
-_GUESS_SPREAD = 0.5
+_OUTPUT_ESTIMATE_SPREAD = 0.5
 """Standard deviation of the logarithm of the error in the expected answer length.
 
 The expected length is right in the median, and often far off.
 """
-_FLAT, _BY_SIZE = 0.3, 0.7
+_FIXED_WORTH, _SIZE_WORTH = 0.3, 0.7
 """Fixed part of a request's credit, and the part proportional to its size.
 
 The size is relative to the mean of the request's class.
 """
-_OUTPUT_WORTH = 10.0
-_MOST_TIMES_WORTH = 4.0
-_PARTS = 1000
+_OUTPUT_TOKEN_WEIGHT = 10.0
+_MAX_WORTH = 4.0
+_CLIENT_GROUPS = 1000
 """Number of groups into which clients are divided by their number to select the impatient ones."""
 
 
@@ -45,18 +45,18 @@
 
     def next_after(self, kind: RequestClass, now: float) -> float:
         """Return the arrival time of the next request of a class."""
-        rate = self._scenario.rate(kind, now) * self._teams.times(kind, now)
+        rate = self._scenario.rate(kind, now) * self._teams.rate_factor(kind, now)
         return now + self._rngs[kind.name].expovariate(rate)
 
     def draw(self, kind: RequestClass, now: float) -> Client:
         """Return a new request of a class that arrives now."""
         rng = self._rngs[kind.name]
-        own = int(_lognormal(rng, kind.prompt, kind.prompt_spread))
+        own_tokens = int(_lognormal(rng, kind.prompt, kind.prompt_spread))
         output = max(1, int(_lognormal(rng, kind.output, kind.output_spread)))
         subject = rng.randrange(kind.subjects)
-        base = xxhash.xxh32_intdigest(f"{kind.name}/{subject}")
-        parts = [PromptPart(base, int(kind.shared))] if kind.shared else []
-        parts.append(PromptPart(rng.getrandbits(60), max(1, own)))
+        prefix_id = xxhash.xxh32_intdigest(f"{kind.name}/{subject}")
+        parts = [PromptPart(prefix_id, int(kind.shared))] if kind.shared else []
+        parts.append(PromptPart(rng.getrandbits(60), max(1, own_tokens)))
         team = self._teams.draw(kind, now)
         need = Need(
             service="llm",
@@ -66,7 +66,7 @@
             time_left=kind.deadline,
             stream=True,
             prompt_tokens=sum(part.tokens for part in parts),
-            output_tokens=max(1, int(output * rng.lognormvariate(0.0, _GUESS_SPREAD))),
+            output_tokens=max(1, int(output * rng.lognormvariate(0.0, _OUTPUT_ESTIMATE_SPREAD))),
             parts=tuple(parts),
             tier=kind.tier,
             caller=parts[-1].id + 1,
@@ -75,7 +75,7 @@
         )
         worth = _worth(kind, need.prompt_tokens, output)
         scheduler = self._draw_scheduler(rng)
-        impatient = need.caller % _PARTS < _PARTS * kind.impatient
+        impatient = need.caller % _CLIENT_GROUPS < _CLIENT_GROUPS * kind.impatient
         return Client(
             kind, need, output, now, worth, scheduler, impatient=impatient, waited_since=now
         )
@@ -95,11 +95,11 @@
 
 
 def _worth(kind: RequestClass, prompt: int, output: int) -> float:
-    mean = kind.prompt + kind.shared + _OUTPUT_WORTH * kind.output
-    size = (prompt + _OUTPUT_WORTH * output) / mean
-    return min(_MOST_TIMES_WORTH, _FLAT + _BY_SIZE * size)
+    mean = kind.prompt + kind.shared + _OUTPUT_TOKEN_WEIGHT * kind.output
+    size = (prompt + _OUTPUT_TOKEN_WEIGHT * output) / mean
+    return min(_MAX_WORTH, _FIXED_WORTH + _SIZE_WORTH * size)
 
 
 def _lognormal(rng: random.Random, mean: float, spread: float) -> float:
     drawn = rng.lognormvariate(math.log(mean) - spread * spread / 2, spread)
-    return min(_PROMPT_CAP * mean, drawn)
+    return min(_MAX_LENGTH_FACTOR * mean, drawn)
--- a/src/lotushill/load/policy/client.py
+++ b/src/lotushill/load/policy/client.py
@@ -34,11 +34,11 @@
     run: Run | None = None
     choice: Choice | None = None
     sent_at: float = 0.0
-    due: float = 0.0
+    queued_prefill_seconds: float = 0.0
     """Prefill work in seconds that was queued at the same engine at the latest event."""
-    over: bool = False
+    finished: bool = False
     excluded: frozenset[str] = frozenset()
-    key: int = 0
+    queue_key: int = 0
     """Key of the queue entry, the same for all tries of the request."""
-    rejected: int = 0
+    rejections: int = 0
     """Number of engines that have rejected the current try."""
--- a/src/lotushill/load/policy/comparison.py
+++ b/src/lotushill/load/policy/comparison.py
@@ -21,7 +21,7 @@
 _PACKAGE = "lotushill."
 
 
-class UnknownFigureError(Exception):
+class UnknownConstantError(Exception):
     """Raised if a variant names a constant that no module defines."""
 
 
@@ -52,11 +52,11 @@
     for name in dict.fromkeys(item.variant for item in outcomes):
         results = [item.result for item in outcomes if item.variant == name]
         credits = [result.credit for result in results]
-        worst = statistics.mean(result.worst_windows() for result in results)
-        busiest = statistics.mean(result.busiest for result in results)
-        again = statistics.mean(result.refused_again for result in results)
+        worst = statistics.mean(result.worst_windows_credit() for result in results)
+        busiest = statistics.mean(result.busiest_ratio for result in results)
+        again = statistics.mean(result.refused_again_fraction for result in results)
         classes = "  ".join(
-            f"{kind} {_in_time(results, kind):.2f} in time" for kind in results[0].classes
+            f"{kind} {_on_time_fraction(results, kind):.2f} in time" for kind in results[0].classes
         )
         lines.append(
             f"{name:20} credit {statistics.mean(credits):.3f} "
@@ -64,45 +64,45 @@
             f"busiest {busiest:.2f}  {classes}  "
             f"refused again {again:.2f}  "
             f"put behind {sum(len(result.put_behind) for result in results)}"
-            f"{_teams(results)}"
+            f"{_format_teams(results)}"
         )
     return "\n".join(lines)
 
 
-def _teams(results: list[Result]) -> str:
+def _format_teams(results: list[Result]) -> str:
     """Return the mean credit of teams without a burst, and that of the worst tenth of them."""
-    found = [result.other_teams() for result in results]
-    if not all(found):
+    team_credits = [result.other_team_credits() for result in results]
+    if not all(team_credits):
         return ""
-    means = [statistics.mean(shares) for shares in found]
-    tenths = [statistics.mean(shares[: max(1, len(shares) // 10)]) for shares in found]
+    means = [statistics.mean(shares) for shares in team_credits]
+    tenths = [statistics.mean(shares[: max(1, len(shares) // 10)]) for shares in team_credits]
     return f"  other teams {statistics.mean(means):.3f}, worst {statistics.mean(tenths):.3f}"
 
 
-def _in_time(results: list[Result], kind: str) -> float:
+def _on_time_fraction(results: list[Result], kind: str) -> float:
     asked = sum(result.classes[kind].asked for result in results)
     return sum(result.classes[kind].in_time for result in results) / max(1, asked)
 
 
-def _play(scenario: Scenario, name: str, figures: Mapping[str, float], seed: int) -> Outcome:
-    with figures_in_force(figures):
+def _play(scenario: Scenario, name: str, overrides: Mapping[str, float], seed: int) -> Outcome:
+    with overridden_constants(overrides):
         return Outcome(name, seed, Replay(scenario, seed).play())
 
 
 @contextmanager
-def figures_in_force(figures: Mapping[str, float]) -> Iterator[None]:
+def overridden_constants(overrides: Mapping[str, float]) -> Iterator[None]:
     """Override constants within the context; keys are `module.CONSTANT` within the package."""
-    former = {}
-    for path, value in figures.items():
+    originals = {}
+    for path, value in overrides.items():
         module_name, _, constant = path.rpartition(".")
         try:
             module = importlib.import_module(_PACKAGE + module_name)
-            former[module, constant] = getattr(module, constant)
+            originals[module, constant] = getattr(module, constant)
         except (ImportError, AttributeError) as error:
-            raise UnknownFigureError(path) from error
+            raise UnknownConstantError(path) from error
         setattr(module, constant, value)
     try:
         yield
     finally:
-        for (module, constant), value in former.items():
+        for (module, constant), value in originals.items():
             setattr(module, constant, value)
--- a/src/lotushill/load/policy/engine.py
+++ b/src/lotushill/load/policy/engine.py
@@ -12,7 +12,7 @@
 
     from lotushill.placement.prefix_cache_model import Chain
 
-_MOST_STEPS = 10
+_MAX_MERGED_STEPS = 10
 """Maximum number of decoding steps simulated as one while there is no prefill.
 
 The events of a stream are about that many steps apart.
@@ -45,7 +45,7 @@
 
     begins: float
     ends: float
-    times: float
+    slowdown_factor: float
 
 
 @dataclass
@@ -54,19 +54,19 @@
 
     number: int
     tier: int
-    unread: int
+    remaining_prompt_tokens: int
     output: int
     context: int
     chain: Chain = ()
-    written: int = 0
+    generated_tokens: int = 0
     arrived: float = 0.0
     events: list[float] = field(default_factory=list)
     """Times of the events sent so far."""
 
     @property
-    def done(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the answer is complete."""
-        return self.written >= self.output
+        return self.generated_tokens >= self.output
 
 
 class Engine:
@@ -85,9 +85,9 @@
         self._on_end = on_end
         self.running: list[Run] = []
         self.waiting: list[Run] = []
-        self._kept: OrderedDict[int, int] = OrderedDict()
-        self._kept_tokens = 0
-        self.read_tokens = 0
+        self._prefix_cache: OrderedDict[int, int] = OrderedDict()
+        self._cached_tokens = 0
+        self.prefilled_tokens = 0
         """Number of prompt tokens processed so far."""
         self.work_seconds = 0.0
         """Work done so far, in seconds of the engine's full capacity.
@@ -108,90 +108,97 @@
 
     def drop(self, run: Run) -> None:
         """Remove a request whose client has disconnected."""
-        for held in (self.running, self.waiting):
-            if run in held:
-                held.remove(run)
+        for runs in (self.running, self.waiting):
+            if run in runs:
+                runs.remove(run)
 
     def step(self, now: float) -> float | None:
         """Run one step and return the time at which it ends, None if no request runs."""
         self._admit()
         if not self.running:
             return None
-        reading = min(
-            (run for run in self.running if run.unread > 0),
+        prefilling = min(
+            (run for run in self.running if run.remaining_prompt_tokens > 0),
             key=lambda run: (run.tier, run.arrived),
             default=None,
         )
         slowness = self.slowness_at(now)
-        steps = 1 if reading or self.waiting else self._quiet_steps()
+        steps = 1 if prefilling or self.waiting else self._steps_without_prefill()
         seconds = steps * self._step_seconds()
-        writing = sum(run.unread <= 0 for run in self.running)
-        self.work_seconds += seconds * slowness * writing / self.figures.slots
-        if reading is not None:
-            piece = min(self.figures.piece, reading.unread)
-            reading.unread -= piece
-            self.read_tokens += piece
-            seconds += piece / self.figures.read_rate
-            self.work_seconds += slowness * piece / self.figures.read_rate
+        decoding = sum(run.remaining_prompt_tokens <= 0 for run in self.running)
+        self.work_seconds += seconds * slowness * decoding / self.figures.slots
+        if prefilling is not None:
+            chunk_tokens = min(self.figures.piece, prefilling.remaining_prompt_tokens)
+            prefilling.remaining_prompt_tokens -= chunk_tokens
+            self.prefilled_tokens += chunk_tokens
+            seconds += chunk_tokens / self.figures.read_rate
+            self.work_seconds += slowness * chunk_tokens / self.figures.read_rate
         ends = now + seconds * slowness
         for run in list(self.running):
-            if run.unread <= 0:
-                self._write(run, steps, ends)
+            if run.remaining_prompt_tokens <= 0:
+                self._generate(run, steps, ends)
         return ends
 
     def slowness_at(self, now: float) -> float:
         """Return the factor by which the engine is slower than usual at a given time."""
-        seen = self.disturbance
-        if seen is None or not seen.begins <= now < seen.ends:
+        latest = self.disturbance
+        if latest is None or not latest.begins <= now < latest.ends:
             return self.slowness
-        return self.slowness * seen.times
+        return self.slowness * latest.slowdown_factor
 
-    def _quiet_steps(self) -> int:
+    def _steps_without_prefill(self) -> int:
         stride = self.figures.tokens_per_event
-        due = min(
-            min(run.output - run.written, stride - run.written % stride) for run in self.running
+        steps_to_event = min(
+            min(run.output - run.generated_tokens, stride - run.generated_tokens % stride)
+            for run in self.running
         )
-        return max(1, min(_MOST_STEPS, due))
+        return max(1, min(_MAX_MERGED_STEPS, steps_to_event))
 
     def _step_seconds(self) -> float:
         figures = self.figures
-        context = sum(run.context + run.written for run in self.running)
+        context = sum(run.context + run.generated_tokens for run in self.running)
         each = figures.step_seconds_each * len(self.running)
         return figures.step_seconds + each + figures.context_seconds * context
 
-    def _write(self, run: Run, tokens: int, now: float) -> None:
-        first = run.written == 0
-        before = run.written // self.figures.tokens_per_event
-        run.written += tokens
-        if first or run.done or run.written // self.figures.tokens_per_event > before:
+    def _generate(self, run: Run, tokens: int, now: float) -> None:
+        first = run.generated_tokens == 0
+        events_before = run.generated_tokens // self.figures.tokens_per_event
+        run.generated_tokens += tokens
+        if (
+            first
+            or run.is_complete
+            or run.generated_tokens // self.figures.tokens_per_event > events_before
+        ):
             run.events.append(now)
             self._on_event(run, now)
-        if run.done:
+        if run.is_complete:
             self.running.remove(run)
             self._on_end(run, now)
 
     def _admit(self) -> None:
         while self.waiting and len(self.running) < self.figures.slots:
             run = self.waiting.pop(0)
-            run.unread = max(1, run.unread - self._find(run.chain))
-            self._keep(run.chain)
+            run.remaining_prompt_tokens = max(
+                1, run.remaining_prompt_tokens - self._count_cached(run.chain)
+            )
+            self._add_to_cache(run.chain)
             self.running.append(run)
 
-    def _find(self, chain: Chain) -> int:
-        found = 0
+    def _count_cached(self, chain: Chain) -> int:
+        cached = 0
         for key, part in chain:
-            if key not in self._kept:
-                return found
-            found += part.tokens
-        return found
+            if key not in self._prefix_cache:
+                return cached
+            cached += part.tokens
+        return cached
 
-    def _keep(self, chain: Chain) -> None:
-        held = sum(run.context + run.output for run in self.running)
+    def _add_to_cache(self, chain: Chain) -> None:
+        run_tokens = sum(run.context + run.output for run in self.running)
         for key, part in chain:
-            if key not in self._kept:
-                self._kept[key] = part.tokens
-                self._kept_tokens += part.tokens
-            self._kept.move_to_end(key)
-        while self._kept and self._kept_tokens > self.figures.memory_tokens - held:
-            _, tokens = self._kept.popitem(last=False)
-            self._kept_tokens -= tokens
+            if key not in self._prefix_cache:
+                self._prefix_cache[key] = part.tokens
+                self._cached_tokens += part.tokens
+            self._prefix_cache.move_to_end(key)
+        while self._prefix_cache and self._cached_tokens > self.figures.memory_tokens - run_tokens:
+            _, tokens = self._prefix_cache.popitem(last=False)
+            self._cached_tokens -= tokens
--- a/src/lotushill/load/policy/known_paces.py
+++ b/src/lotushill/load/policy/known_paces.py
@@ -33,7 +33,9 @@
         """Ignore learned paces, since the true pace is known."""
 
 
-def tell(fleets: Sequence[Fleet], upstreams: Sequence[Upstream], engines: Sequence[Engine]) -> None:
+def set_known_paces(
+    fleets: Sequence[Fleet], upstreams: Sequence[Upstream], engines: Sequence[Engine]
+) -> None:
     """Set the true paces in the models of all schedulers, in place of learned ones."""
     for fleet in fleets:
         for upstream, engine in zip(upstreams, engines):
--- a/src/lotushill/load/policy/result.py
+++ b/src/lotushill/load/policy/result.py
@@ -13,15 +13,15 @@
     from lotushill.load.policy.client import Client
     from lotushill.load.policy.scenario import Scenario
 
-_TIER_SECONDS = 5.0
-_TIER_LEAST = 10
-_TIER_SHARE = 1.0 / 12.0
-_TIER_TIMES = 2.0
+_PUT_BEHIND_WINDOW_SECONDS = 5.0
+_MIN_UNSERVED = 10
+_MIN_UNSERVED_FRACTION = 1.0 / 12.0
+_MIN_SIZE_FACTOR = 2.0
 """Conditions under which requests count as put behind less urgent, larger ones.
 
-Within `_TIER_SECONDS`, at least `_TIER_LEAST` requests of a class and more than the fraction
-`_TIER_SHARE` of them get no answer, while less urgent requests of more than `_TIER_TIMES` times
-their size begin.
+Within the window, at least `_MIN_UNSERVED` requests of a class and more than the fraction
+`_MIN_UNSERVED_FRACTION` of them get no answer, while less urgent requests of more than
+`_MIN_SIZE_FACTOR` times their size begin.
 """
 
 
@@ -37,13 +37,13 @@
     refused_once: int = 0
     """Requests that were refused on their first try and received a retry time."""
     failed: int = 0
-    why: Counter[str] = field(default_factory=Counter)
+    causes: Counter[str] = field(default_factory=Counter)
     """Causes of late and failed requests, with their counts."""
     earned: float = 0.0
     owed: float = 0.0
 
     @property
-    def share(self) -> float:
+    def credit_fraction(self) -> float:
         """Return the credit earned as a fraction of the credit owed."""
         return self.earned / self.owed if self.owed else 1.0
 
@@ -55,7 +55,7 @@
     name: str
     second: int
     asked: int
-    nothing: int
+    unserved: int
     larger: int
 
 
@@ -67,25 +67,25 @@
     windows: dict[int, Tally]
     """Counts by arrival time, in windows of two seconds keyed by their start."""
     put_behind: list[PutBehind]
-    turned_away: int = 0
+    cooldown_refusals: int = 0
     """Number of requests that engines refused with a request for a cooldown."""
     teams: dict[str, Tally] = field(default_factory=dict)
     """Counts by team, empty if requests name no team."""
     bursting: frozenset[str] = frozenset()
     """Teams that send more requests than usual."""
-    served_impatient: float = 0.0
+    impatient_served_fraction: float = 0.0
     """Served fraction of the clients that returned at once and often, ignoring retry times."""
-    served_patient: float = 0.0
+    patient_served_fraction: float = 0.0
     """Served fraction of all other clients."""
-    shed: int = 0
+    full_queue_refusals: int = 0
     """Number of requests that engines refused because their queues were full."""
     sent: int = 0
     """Number of sends to engines; a request that was sent repeatedly counts each time."""
-    work: list[float] = field(default_factory=list)
+    work_seconds: list[float] = field(default_factory=list)
     """Work that each engine has done, in seconds of its full capacity."""
 
     @property
-    def refused_again(self) -> float:
+    def refused_again_fraction(self) -> float:
         """Return the fraction of the requests refused once that were refused finally."""
         once = sum(item.refused_once for item in self.classes.values())
         return sum(item.refused for item in self.classes.values()) / max(1, once)
@@ -96,10 +96,10 @@
         return sum(item.in_time + item.late for item in self.classes.values())
 
     @property
-    def busiest(self) -> float:
+    def busiest_ratio(self) -> float:
         """Return the work of the busiest engine relative to the mean of all engines."""
-        mean = sum(self.work) / max(1, len(self.work))
-        return max(self.work) / mean if mean else 1.0
+        mean = sum(self.work_seconds) / max(1, len(self.work_seconds))
+        return max(self.work_seconds) / mean if mean else 1.0
 
     @property
     def credit(self) -> float:
@@ -107,41 +107,43 @@
         owed = sum(item.owed for item in self.classes.values())
         return sum(item.earned for item in self.classes.values()) / owed if owed else 1.0
 
-    def other_teams(self) -> list[float]:
+    def other_team_credits(self) -> list[float]:
         """Return the earned fractions of the credit of teams without a burst, ascending."""
-        found = [tally.share for name, tally in self.teams.items() if name not in self.bursting]
-        return sorted(found)
+        credits = [
+            tally.credit_fraction for name, tally in self.teams.items() if name not in self.bursting
+        ]
+        return sorted(credits)
 
-    def worst_windows(self) -> float:
+    def worst_windows_credit(self) -> float:
         """Return the mean earned fraction of the two worst windows."""
-        shares = sorted(item.share for item in self.windows.values() if item.asked)
-        return sum(shares[:2]) / max(1, len(shares[:2]))
+        fractions = sorted(item.credit_fraction for item in self.windows.values() if item.asked)
+        return sum(fractions[:2]) / max(1, len(fractions[:2]))
 
 
-def share_served(clients: Sequence[Client], impatient: bool) -> float:
+def served_fraction(clients: Sequence[Client], impatient: bool) -> float:
     """Return the served fraction of the impatient clients, or of the patient ones."""
-    own = [client for client in clients if client.impatient is impatient]
-    return sum(client.served for client in own) / max(1, len(own))
+    group = [client for client in clients if client.impatient is impatient]
+    return sum(client.served for client in group) / max(1, len(group))
 
 
-def put_behind(scenario: Scenario, clients: Sequence[Client]) -> list[PutBehind]:
+def find_put_behind(scenario: Scenario, clients: Sequence[Client]) -> list[PutBehind]:
     """Return the periods in which requests got no answer while less urgent, larger ones began."""
-    found = []
+    periods = []
     for kind in scenario.classes:
-        own = [client for client in clients if client.kind is kind]
+        class_clients = [client for client in clients if client.kind is kind]
         size = kind.prompt + kind.shared
-        for second in range(int(scenario.seconds - _TIER_SECONDS) + 1):
-            ends = second + _TIER_SECONDS
-            asked = [client for client in own if second <= client.arrived < ends]
-            nothing = sum(not client.served for client in asked)
-            if nothing < _TIER_LEAST or nothing <= _TIER_SHARE * len(asked):
+        for second in range(int(scenario.seconds - _PUT_BEHIND_WINDOW_SECONDS) + 1):
+            ends = second + _PUT_BEHIND_WINDOW_SECONDS
+            asked = [client for client in class_clients if second <= client.arrived < ends]
+            unserved = sum(not client.served for client in asked)
+            if unserved < _MIN_UNSERVED or unserved <= _MIN_UNSERVED_FRACTION * len(asked):
                 continue
             larger = sum(
                 client.kind.tier > kind.tier
-                and client.need.prompt_tokens > _TIER_TIMES * size
+                and client.need.prompt_tokens > _MIN_SIZE_FACTOR * size
                 and second <= client.began_at < ends
                 for client in clients
             )
             if larger:
-                found.append(PutBehind(kind.name, second, len(asked), nothing, larger))
-    return found
+                periods.append(PutBehind(kind.name, second, len(asked), unserved, larger))
+    return periods
--- a/src/lotushill/load/policy/scenario.py
+++ b/src/lotushill/load/policy/scenario.py
@@ -211,13 +211,13 @@
         power_losses=tuple(PowerLoss(**item) for item in value.get("power_losses", ())),
         figures=EngineFigures(**value.get("figures", {})),
         paces=tuple(value.get("paces", Scenario.paces)),
-        disturbances=_one(Disturbances, value.get("disturbances")),
-        wave=_one(Wave, value.get("wave")),
+        disturbances=_parse_optional(Disturbances, value.get("disturbances")),
+        wave=_parse_optional(Wave, value.get("wave")),
         pauses_learned=bool(value.get("pauses_learned", False)),
         hall_demand=tuple(value.get("hall_demand", ())),
         variants={name: dict(figures) for name, figures in value.get("variants", {}).items()},
     )
 
 
-def _one(kind: Callable[..., _Kind], value: Any) -> _Kind | None:
+def _parse_optional(kind: Callable[..., _Kind], value: Any) -> _Kind | None:
     return None if value is None else kind(**value)
--- a/src/lotushill/load/policy/teams.py
+++ b/src/lotushill/load/policy/teams.py
@@ -17,36 +17,36 @@
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self._bursts = scenario.team_bursts
-        self._teams = [one for item in scenario.teams for one in _single(item)]
+        self._teams = [one for item in scenario.teams for one in _expand(item)]
         self._rngs = {
             item.name: random.Random(f"{seed}/{item.name}/team") for item in scenario.classes
         }
 
-    def times(self, kind: RequestClass, now: float) -> float:
+    def rate_factor(self, kind: RequestClass, now: float) -> float:
         """Return the request rate of a class as a multiple of its usual rate."""
         if not self._teams:
             return 1.0
-        return sum(self._parts(kind, now)) / sum(item.part for item in self._teams)
+        return sum(self._weights(kind, now)) / sum(item.part for item in self._teams)
 
     def draw(self, kind: RequestClass, now: float) -> Team | None:
         """Return the team of a new request of a class, None if the scenario has no teams."""
         if not self._teams:
             return None
-        return self._rngs[kind.name].choices(self._teams, self._parts(kind, now))[0]
+        return self._rngs[kind.name].choices(self._teams, self._weights(kind, now))[0]
 
-    def _parts(self, kind: RequestClass, now: float) -> list[float]:
-        return [item.part * self._times(item, kind, now) for item in self._teams]
+    def _weights(self, kind: RequestClass, now: float) -> list[float]:
+        return [item.part * self._team_rate_factor(item, kind, now) for item in self._teams]
 
-    def _times(self, team: Team, kind: RequestClass, now: float) -> float:
-        times = 1.0
+    def _team_rate_factor(self, team: Team, kind: RequestClass, now: float) -> float:
+        factor = 1.0
         for burst in self._bursts:
-            meant = burst.team == team.name and burst.name in ("", kind.name)
-            if meant and burst.at <= now < burst.at + burst.seconds:
-                times *= burst.times
-        return times
+            matches = burst.team == team.name and burst.name in ("", kind.name)
+            if matches and burst.at <= now < burst.at + burst.seconds:
+                factor *= burst.times
+        return factor
 
 
-def _single(team: Team) -> list[Team]:
+def _expand(team: Team) -> list[Team]:
     if team.count == 1:
         return [team]
     return [replace(team, name=f"{team.name}-{n}", count=1) for n in range(team.count)]
--- a/src/lotushill/load/slopes.py
+++ b/src/lotushill/load/slopes.py
@@ -38,8 +38,8 @@
     from collections.abc import Callable
 
 _ROUNDS = 5
-_MICRO = 1e6
-_BATCHED = 15
+_MICROSECONDS_PER_SECOND = 1e6
+_BATCH_EVENTS = 15
 """Number of events in the measured batch."""
 _SENDER = "front-hall-tlaque-11"
 _UPSTREAM = "i-8f4d9a85d0"
@@ -95,36 +95,43 @@
         Load(_SENDER, False, ended=(Ended(1),)),
     )
 
-    def tell() -> bytes:
+    def pack() -> bytes:
         return seal.sign(to_datagram(LoadNews(pack_load(loads[0]))))
 
-    data = tell()
-    records = b"".join(pack_load(loads[index % len(loads)]) for index in range(_BATCHED))
+    data = pack()
+    records = b"".join(pack_load(loads[index % len(loads)]) for index in range(_BATCH_EVENTS))
     batch = seal.sign(to_datagram(LoadBatch(_SENDER, records)))
 
-    def hear(packet: bytes) -> list[Load]:
+    def unpack(packet: bytes) -> list[Load]:
         message = from_datagram(seal.open(packet))
         assert isinstance(message, LoadNews | LoadBatch)
         return unpack_loads(message.records, known.get)
 
     fleet = Fleet("h")
-    heard = hear(batch)
+    unpacked = unpack(batch)
 
-    def take() -> None:
-        for number in range(_BATCHED):
+    def apply_events() -> None:
+        for number in range(_BATCH_EVENTS):
             fleet.start(placed, _SERVICE, float(number))
             fleet.begin(Began(1, 0.2), float(number))
             fleet.end(Ended(1), float(number))
 
     return [
-        Slope("tell of one request placed", _best(tell, repeats), len(data)),
-        Slope("hear of one request placed", _best(lambda: hear(data), repeats), len(data)),
+        Slope("tell of one request placed", _best_microseconds(pack, repeats), len(data)),
         Slope(
-            f"hear of one event, in a batch of {_BATCHED}",
-            _best(lambda: hear(batch), repeats) / len(heard),
-            len(batch) // _BATCHED,
+            "hear of one request placed",
+            _best_microseconds(lambda: unpack(data), repeats),
+            len(data),
+        ),
+        Slope(
+            f"hear of one event, in a batch of {_BATCH_EVENTS}",
+            _best_microseconds(lambda: unpack(batch), repeats) / len(unpacked),
+            len(batch) // _BATCH_EVENTS,
+        ),
+        Slope(
+            "take start, begin and end into the model",
+            _best_microseconds(apply_events, repeats) / _BATCH_EVENTS,
         ),
-        Slope("take start, begin and end into the model", _best(take, repeats) / _BATCHED),
     ]
 
 
@@ -137,7 +144,7 @@
     data = encode(message)
     return Slope(
         "a heartbeat with six states, both ways",
-        _best(lambda: decode(encode(message)), repeats),
+        _best_microseconds(lambda: decode(encode(message)), repeats),
         len(data),
     )
 
@@ -153,7 +160,7 @@
     def choose() -> object:
         return fleet.choose(need, _SERVICE, upstreams, nothing, 1.0)
 
-    return Slope(f"choose among {count} upstreams", _best(choose, repeats))
+    return Slope(f"choose among {count} upstreams", _best_microseconds(choose, repeats))
 
 
 def _view(count: int, repeats: int) -> Slope:
@@ -163,15 +170,15 @@
     def read() -> object:
         return [parse_upstream(name, item) for name, item in json.loads(text).items()]
 
-    return Slope(f"read a view of {count} upstreams", _best(read, repeats), len(text))
+    return Slope(f"read a view of {count} upstreams", _best_microseconds(read, repeats), len(text))
 
 
-def _best(call: Callable[[], object], repeats: int) -> float:
+def _best_microseconds(call: Callable[[], object], repeats: int) -> float:
     """Return the processor time of one call in microseconds, the lowest of several rounds."""
-    found = float("inf")
+    best_seconds = float("inf")
     for _ in range(_ROUNDS):
         began = time.process_time()
         for _ in range(repeats):
             call()
-        found = min(found, (time.process_time() - began) / repeats)
-    return found * _MICRO
+        best_seconds = min(best_seconds, (time.process_time() - began) / repeats)
+    return best_seconds * _MICROSECONDS_PER_SECOND
--- a/tests/availability/test_wait_policy.py
+++ b/tests/availability/test_wait_policy.py
@@ -47,4 +47,4 @@
         scenario = parse_scenario(parse_file(SCENARIOS / "all-rest-long.yaml"))
         result = Replay(scenario, 1).play()
         # Each of nine gateways may be rejected once by each of ten engines, and by three earlier.
-        self.assertLessEqual(result.turned_away, 9 * (10 + 3) + 10)
+        self.assertLessEqual(result.cooldown_refusals, 9 * (10 + 3) + 10)
--- a/tests/limits/test_limit_owners.py
+++ b/tests/limits/test_limit_owners.py
@@ -54,7 +54,7 @@
             members, owners = view_of(known, number)
             for item in known:
                 if item not in side:
-                    members.lose(item.name)
+                    members.mark_lost(item.name)
             fractions.append(owners.usable_fraction())
         self.assertLessEqual(sum(fractions), 1.0 + 1e-9)
 
--- a/tests/limits/test_team_limits.py
+++ b/tests/limits/test_team_limits.py
@@ -11,8 +11,8 @@
 from lotushill.load.limits.emulated_fleet import Fault
 from lotushill.load.limits.emulated_fleet import Outcome
 from lotushill.load.limits.emulated_fleet import Play
-from lotushill.load.limits.emulated_fleet import allowed
-from lotushill.load.limits.ways import TEAM
+from lotushill.load.limits.emulated_fleet import max_requests_per_window
+from lotushill.load.limits.schemes import TEAM_SCHEME
 
 MIN_USED_FRACTION = 0.8
 
@@ -25,7 +25,7 @@
     seconds: float = 24.0,
     demand: float = 4.0,
 ) -> Outcome:
-    scenario = Play(gateways, rate, TEAM, fault, seed, demand, seconds)
+    scenario = Play(gateways, rate, TEAM_SCHEME, fault, seed, demand, seconds)
     return EmulatedFleet(scenario).run()
 
 
@@ -34,8 +34,8 @@
         for gateways, rate in ((1, 4), (9, 4), (81, 4), (9, 50)):
             with self.subTest(gateways=gateways, rate=rate):
                 outcome = simulate(gateways, rate)
-                self.assertLessEqual(outcome.most, 4 * rate + 3)
-                self.assertGreater(outcome.used, MIN_USED_FRACTION)
+                self.assertLessEqual(outcome.max_in_window, 4 * rate + 3)
+                self.assertGreater(outcome.used_fraction, MIN_USED_FRACTION)
 
     def test_kills_partitions_freezes_and_joins_do_not_break_the_limit(self) -> None:
         faults = (Fault.KILL, Fault.FREEZE, Fault.CUT, Fault.JOIN, Fault.ROLL)
@@ -43,18 +43,18 @@
             for gateways, rate, seed in ((9, 1, 1), (9, 4, 2), (9, 50, 1), (81, 4, 3)):
                 with self.subTest(fault=fault, gateways=gateways, rate=rate):
                     outcome = simulate(gateways, rate, fault, seed, 16.0)
-                    self.assertLessEqual(outcome.most, allowed(rate))
+                    self.assertLessEqual(outcome.max_in_window, max_requests_per_window(rate))
 
     def test_with_two_limit_owners_at_once_the_limit_is_at_most_doubled(self) -> None:
         """Half of the gateways hold one for lost that is alive, throughout the test."""
         for rate in (4, 50):
             with self.subTest(rate=rate):
                 outcome = simulate(9, rate, Fault.DISAGREE, seconds=16.0)
-                self.assertLessEqual(outcome.most, 2 * 4 * rate + 5)
+                self.assertLessEqual(outcome.max_in_window, 2 * 4 * rate + 5)
 
     def test_a_team_within_its_limit_is_hardly_ever_delayed(self) -> None:
-        self.assertGreater(simulate(9, 20, demand=0.5).used, 0.9 * 0.5)
+        self.assertGreater(simulate(9, 20, demand=0.5).used_fraction, 0.9 * 0.5)
 
     def test_permit_requests_are_bounded_whatever_the_demand(self) -> None:
         calm, pressed = (simulate(9, 4, demand=demand) for demand in (4.0, 100.0))
-        self.assertLess(pressed.datagrams, 4 * calm.datagrams + 50)
+        self.assertLess(pressed.datagrams_per_second, 4 * calm.datagrams_per_second + 50)
--- a/tests/load/policy/test_replay.py
+++ b/tests/load/policy/test_replay.py
@@ -23,7 +23,7 @@
 
 SCENARIOS = Path(__file__).parents[3] / "bench" / "scenarios"
 
-AFTER_LOSSES = 15
+AFTER_LOSSES_SECOND = 15
 """First second after the engine losses in the scenario `hall-withdrawn`."""
 
 
@@ -37,7 +37,7 @@
     return replace(scenario("overlapping-bursts"), engines=engines, seconds=12.0, bursts=bursts)
 
 
-def share_in_time(result: Result, name: str) -> float:
+def on_time_fraction(result: Result, name: str) -> float:
     tally = result.classes[name]
     return tally.in_time / tally.asked
 
@@ -45,8 +45,8 @@
 class TestBursts(unittest.TestCase):
     def test_urgent_requests_find_slots_in_a_burst_of_long_ones(self) -> None:
         result = Replay(scenario("overlapping-bursts"), 1).play()
-        self.assertGreater(share_in_time(result, "query"), 0.85)
-        self.assertGreater(share_in_time(result, "triage"), 0.95)
+        self.assertGreater(on_time_fraction(result, "query"), 0.85)
+        self.assertGreater(on_time_fraction(result, "triage"), 0.95)
         self.assertGreater(result.credit, 0.64)
 
     def test_more_urgent_ones_do_not_get_nothing_while_larger_ones_begin(self) -> None:
@@ -82,7 +82,7 @@
         load = scenario("overlapping-bursts")
         letters = tuple(item for item in load.classes if item.name == "letter")
         result = Replay(replace(load, classes=letters, seconds=6.0), 1).play()
-        self.assertGreater(share_in_time(result, "letter"), 0.7)
+        self.assertGreater(on_time_fraction(result, "letter"), 0.7)
 
 
 class TestWithdrawn(unittest.TestCase):
@@ -97,12 +97,12 @@
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 result = Replay(scenario("hall-withdrawn"), seed).play()
-                after = [item for item in result.put_behind if item.second >= AFTER_LOSSES]
+                after = [item for item in result.put_behind if item.second >= AFTER_LOSSES_SECOND]
                 self.assertEqual([], after)
 
-    def test_engines_turn_hardly_anything_away(self) -> None:
+    def test_engines_refuse_almost_no_requests(self) -> None:
         result = Replay(scenario("hall-withdrawn"), 2).play()
-        self.assertLess(result.shed, 0.01 * result.sent)
+        self.assertLess(result.full_queue_refusals, 0.01 * result.sent)
 
 
 class TestLimits(unittest.TestCase):
@@ -111,24 +111,24 @@
     Guards against a failure where the requests for half of the engines went to the others.
     """
 
-    def test_where_half_take_one_a_second_hardly_anybody_loses(self) -> None:
+    def test_few_requests_fail_if_half_of_the_engines_take_one_per_second(self) -> None:
         """With permits for the most urgent, a seventh of the letters were refused or late."""
         result = Replay(scenario("limited-half"), 1).play()
         self.assertGreater(result.credit, 0.98)
-        self.assertGreater(share_in_time(result, "letter"), 0.95)
+        self.assertGreater(on_time_fraction(result, "letter"), 0.95)
 
-    def test_where_the_others_are_full_no_urgent_one_is_put_behind(self) -> None:
+    def test_no_urgent_request_is_put_behind_if_the_other_engines_are_full(self) -> None:
         result = Replay(scenario("limited-most"), 1).play()
         self.assertEqual([], result.put_behind)
-        self.assertGreater(share_in_time(result, "query"), 0.9)
+        self.assertGreater(on_time_fraction(result, "query"), 0.9)
 
     def test_nor_where_all_have_limits(self) -> None:
         self.assertEqual([], Replay(scenario("limited-all"), 1).play().put_behind)
 
-    def test_where_all_have_limits_the_urgent_ones_come_first(self) -> None:
+    def test_urgent_requests_come_first_if_all_engines_have_limits(self) -> None:
         result = Replay(scenario("limited-all"), 1).play()
-        self.assertGreater(share_in_time(result, "query"), 0.85)
-        self.assertGreater(share_in_time(result, "query"), share_in_time(result, "letter"))
+        self.assertGreater(on_time_fraction(result, "query"), 0.85)
+        self.assertGreater(on_time_fraction(result, "query"), on_time_fraction(result, "letter"))
 
 
 class TestReturns(unittest.TestCase):
@@ -141,7 +141,7 @@
     def test_in_a_brief_wave_few_are_refused_again_and_more_are_served(self) -> None:
         """Constant retry times gave 0.34 refused again, a credit of 0.818 and 1,191 served."""
         results = [Replay(scenario("brief-wave"), seed).play() for seed in (1, 2, 3)]
-        again = sum(result.refused_again for result in results) / len(results)
+        again = sum(result.refused_again_fraction for result in results) / len(results)
         self.assertLess(again, 0.28)
         self.assertGreater(sum(result.served for result in results), 1191)
         self.assertGreater(sum(result.credit for result in results) / len(results), 0.82)
@@ -149,7 +149,7 @@
     def test_in_a_long_one_no_less_is_earned(self) -> None:
         results = [Replay(scenario("long-wave"), seed).play() for seed in (1, 2)]
         self.assertGreater(sum(result.credit for result in results) / len(results), 0.7)
-        self.assertLess(max(result.refused_again for result in results), 0.5)
+        self.assertLess(max(result.refused_again_fraction for result in results), 0.5)
 
     def test_who_comes_at_once_and_often_gains_nothing(self) -> None:
         load = scenario("long-wave")
@@ -157,7 +157,7 @@
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 result = Replay(replace(load, classes=classes), seed).play()
-                self.assertLess(result.served_impatient, result.served_patient)
+                self.assertLess(result.impatient_served_fraction, result.patient_served_fraction)
                 self.assertEqual([], result.put_behind)
 
 
@@ -174,16 +174,16 @@
                 with self.subTest(gateways=gateways, seed=seed):
                     load = replace(scenario("all-stopped"), schedulers=gateways)
                     result = Replay(load, seed).play()
-                    self.assertGreater(result.windows[0].share, 0.85)
+                    self.assertGreater(result.windows[0].credit_fraction, 0.85)
                     self.assertEqual(0, sum(item.failed for item in result.classes.values()))
 
-    def test_each_by_its_own_requests_was_worse(self) -> None:
+    def test_choosing_by_own_requests_only_earns_less(self) -> None:
         result = Replay(replace(scenario("all-stopped"), drawn=False), 1).play()
-        self.assertLess(result.windows[0].share, 0.7)
+        self.assertLess(result.windows[0].credit_fraction, 0.7)
 
 
 class TestComparable(unittest.TestCase):
-    def test_the_same_requests_come_whatever_is_decided(self) -> None:
+    def test_arrivals_do_not_depend_on_decisions(self) -> None:
         load = replace(scenario("overlapping-bursts"), seconds=3.0)
         few = replace(load, engines=4)
         asked = [
--- a/tests/load/policy/test_uneven_engines.py
+++ b/tests/load/policy/test_uneven_engines.py
@@ -22,7 +22,7 @@
 
 SCENARIOS = Path(__file__).parents[3] / "bench" / "scenarios"
 SEEDS = (1, 2, 3)
-SLOW = {"e0", "e4", "e8"}
+SLOW_ENGINES = {"e0", "e4", "e8"}
 
 
 def uneven() -> Scenario:
@@ -49,38 +49,38 @@
                 with self.subTest(seed=seed):
                     paces = fleet.engine_paces.for_service("llm").deviating_paces()
                     slow = {item.upstream for item in paces if item.step_slowness > 1.5}
-                    self.assertEqual(SLOW, slow)
+                    self.assertEqual(SLOW_ENGINES, slow)
 
-    def test_where_engines_are_even_the_choices_are_those_without_lasting_paces(self) -> None:
+    def test_long_term_paces_do_not_change_choices_among_even_engines(self) -> None:
         even = replace(uneven(), paces=(1.0,), disturbances=None, seconds=12.0)
         result = Replay(even, 1).play()
-        with mock.patch.object(engine_pace, "_LEAST_ENGINES", 1_000):
+        with mock.patch.object(engine_pace, "_MIN_ENGINES", 1_000):
             without = Replay(even, 1).play()
         self.assertEqual(without.classes, result.classes)
-        self.assertEqual(without.work, result.work)
+        self.assertEqual(without.work_seconds, result.work_seconds)
 
 
 class TestHalls(unittest.TestCase):
     """The demand on one hall is over twice its capacity, on the others half of theirs or less."""
 
-    def test_halls_lend_to_each_other(self) -> None:
+    def test_an_overloaded_hall_uses_the_capacity_of_others(self) -> None:
         even = replace(uneven(), hall_demand=(1.0, 1.0, 1.0, 1.0))
         skewed = replace(uneven(), hall_demand=(3.5, 1.2, 0.8, 0.5))
         self.assertGreater(mean_credit(skewed), mean_credit(even) - 0.02)
         result = Replay(skewed, 1).play()
-        halls = [sum(result.work[hall :: skewed.halls]) for hall in range(skewed.halls)]
+        halls = [sum(result.work_seconds[hall :: skewed.halls]) for hall in range(skewed.halls)]
         self.assertLess(max(halls), 1.25 * statistics.mean(halls))
 
 
 class TestDisturbances(unittest.TestCase):
-    def test_they_strike_the_same_engines_whatever_is_decided(self) -> None:
-        struck = []
+    def test_disturbed_engines_do_not_depend_on_decisions(self) -> None:
+        disturbances = []
         for rate in (1.0, 4.0):
             kinds = tuple(replace(kind, rate=rate) for kind in uneven().classes)
             replay = Replay(replace(uneven(), classes=kinds, seconds=3.0), 7)
             replay.play()
-            struck.append([engine.disturbance for engine in replay.engines])
-        self.assertEqual(*struck)
+            disturbances.append([engine.disturbance for engine in replay.engines])
+        self.assertEqual(*disturbances)
 
 
 if __name__ == "__main__":
--- a/tests/load/test_slopes.py
+++ b/tests/load/test_slopes.py
@@ -9,7 +9,7 @@
 
 
 class TestSlopes(unittest.TestCase):
-    def test_each_mechanism_is_measured_and_told(self) -> None:
+    def test_each_mechanism_is_measured_and_reported(self) -> None:
         slopes = measure(upstream_counts=(2, 3), repeats=3)
         names = [item.name for item in slopes]
         self.assertEqual(len(names), len(set(names)))
