--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -52,7 +52,7 @@
 from lotushill.waiting.admission_queue import AdmissionQueue
 from lotushill.waiting.entry import Queued
 from lotushill.waiting.entry import QueueEntry
-from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS as WAITING_NEWS_SECONDS
+from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS
 from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
@@ -309,7 +309,9 @@
 
         self._schedule(self.now + _NEWS_SECONDS, receive)
         if self._polled[scheduler]:
-            self._schedule(self.now + WAITING_NEWS_SECONDS, lambda: self._publish_queue(scheduler))
+            self._schedule(
+                self.now + QUEUE_REPORT_INTERVAL_SECONDS, lambda: self._publish_queue(scheduler)
+            )
 
     def _choose(self, client: Client) -> Choice | NoChoice | Queued:
         cooldowns, denials = self._cooldowns[client.scheduler], self._denials[client.scheduler]
