--- a/src/lotushill/load/limits/ways.py
+++ b/src/lotushill/load/limits/schemes.py
@@ -1,4 +1,4 @@
-"""Ways in which gateways may keep to a limit together; `permits` is the one in force."""
+"""Schemes by which gateways can jointly keep to a limit; production uses `permits`."""
 
 from __future__ import annotations
 
@@ -30,45 +30,45 @@
     from lotushill.routing.rate_limit import RateLimit
     from lotushill.routing.upstream import Upstream
 
-WAYS = ("permits", "shares", "few")
-TEAM = "team"
-"""The way of a team's limit, which no engine names."""
-_SHARE_DEPTH = 1.0
-_TEAM_PATIENCE = 0.4
-"""Seconds that a request waits for the limit of its team."""
+SCHEMES = ("permits", "shares", "few")
+TEAM_SCHEME = "team"
+"""Name of the scheme for a team's limit, which is configured and not stated by an engine."""
+_BUCKET_DEPTH = 1.0
+_MAX_TEAM_WAIT_SECONDS = 0.4
+"""Time that a request waits for a permit under the limit of its team."""
 
 
-class Way(Protocol):
-    """One gateway's decisions."""
+class Scheme(Protocol):
+    """The admission decisions of one gateway under one scheme."""
 
     limits: FleetLimits
-    """Where words are kept and told; asked for permits in one way only."""
+    """Stores and publishes limit reports; only the scheme `permits` requests permits from it."""
 
     async def admit(self, tier: int) -> bool:
-        """Return whether a request may be sent to the upstream now."""
+        """Return whether a request of a tier may be sent to the upstream now."""
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer another gateway."""
+        """Answer the permit request of another gateway."""
 
 
 class Permits:
-    """One gateway counts, and all ask it."""
+    """One gateway owns the limit and counts requests; all gateways request permits from it."""
 
     def __init__(self, limits: FleetLimits, upstream: Upstream) -> None:
         self.limits = limits
         self._upstream = upstream
 
     async def admit(self, tier: int) -> bool:
-        """Ask for a permit."""
+        """Request a permit for the upstream."""
         return await self.limits.admit(PermitRequest(self._upstream, f"tier-{tier}", tier))
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer as the one that counts, if this gateway is."""
+        """Answer a permit request if this gateway is the owner of the limit."""
         return self.limits.answer(ask)
 
 
 class TeamPermits:
-    """One gateway counts for the limit of a team, and all ask it."""
+    """One gateway owns the limit of a team; all gateways request permits from it."""
 
     def __init__(
         self,
@@ -81,26 +81,26 @@
         self.limits = limits
         self._limit = limit
         self._clock = clock
-        self._own = TeamLimits(counting_gateways(members), limits.client, rng, clock)
+        self._team_limits = TeamLimits(make_limit_owners(members), limits.client, rng, clock)
 
     async def admit(self, tier: int) -> bool:
-        """Ask whether the limit lets one through, for as long as a request waits."""
-        ends = self._clock() + _TEAM_PATIENCE
+        """Request a permit of the team until it is granted or the request stops waiting."""
+        deadline = self._clock() + _MAX_TEAM_WAIT_SECONDS
         while True:
-            pause = await self._own.request_permit(self._limit, tier)
+            pause = await self._team_limits.request_permit(self._limit, tier)
             if pause <= 0.0:
                 return True
-            if self._clock() + pause > ends:
+            if self._clock() + pause > deadline:
                 return False
             await asyncio.sleep(pause)
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer as the one that counts, if this gateway is."""
-        return self._own.answer(ask)
+        """Answer a permit request if this gateway is the owner of the limit."""
+        return self._team_limits.answer(ask)
 
 
-class Shares:
-    """Each gateway spends an equal part of the limit by itself."""
+class EqualShares:
+    """Each gateway uses an equal fraction of the limit, without coordination."""
 
     def __init__(
         self, limits: FleetLimits, upstream: Upstream, members: Members, clock: Callable[[], float]
@@ -109,72 +109,75 @@
         self._upstream = upstream
         self._members = members
         self._clock = clock
-        self._level = _SHARE_DEPTH
-        self._at = 0.0
+        self._tokens = _BUCKET_DEPTH
+        self._updated_at = 0.0
 
     async def admit(self, tier: int) -> bool:
-        """Take one of the own part."""
+        """Take a token from the fraction of the limit that this gateway has."""
         rate = self.limits.stated.rate(self._upstream.id)
         return rate == NO_LIMIT or self._take(rate / len(self._members.all()))
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer an ask, which nobody sends."""
+        """Answer a permit request; no gateway sends one in this scheme."""
         return self.limits.answer(ask)
 
     def _take(self, rate: float) -> bool:
         now = self._clock()
-        self._level = min(_SHARE_DEPTH, self._level + rate * (now - self._at))
-        self._at = now
-        if self._level < 1.0:
+        self._tokens = min(_BUCKET_DEPTH, self._tokens + rate * (now - self._updated_at))
+        self._updated_at = now
+        if self._tokens < 1.0:
             return False
-        self._level -= 1.0
+        self._tokens -= 1.0
         return True
 
 
-class Few(Shares):
-    """Few gateways by hash, about one for each request a second, spend equal parts; others none."""
+class SelectedShares(EqualShares):
+    """A few gateways, chosen by hash, use equal fractions of the limit; the others send nothing.
+
+    There is about one such gateway for each request per second of the limit.
+    """
 
     async def admit(self, tier: int) -> bool:
-        """Take one of the own part, if this gateway has any."""
+        """Take a token if this gateway is one of those that have a fraction of the limit."""
         rate = self.limits.stated.rate(self._upstream.id)
         if rate == NO_LIMIT:
             return True
         names = [item.name for item in self._members.live()]
-        few = ranked(self._upstream.id, names, max(1, min(len(names), round(rate))))
-        return self._members.own.name in few and self._take(rate / len(few))
+        selected = ranked(self._upstream.id, names, max(1, min(len(names), round(rate))))
+        return self._members.own.name in selected and self._take(rate / len(selected))
 
 
-def limits_of(
+def make_limits(
     members: Members,
     upstream: Upstream,
     send: Callable[[PermitAsk, str], None],
-    tell: Callable[[LimitNews], None],
+    broadcast: Callable[[LimitNews], None],
     rng: random.Random,
     clock: Callable[[], float],
 ) -> FleetLimits:
-    """Return what one gateway has of the mechanism in force."""
+    """Return the limits of one gateway, built from the classes that production uses."""
     view = UpstreamView()
     view.replace([upstream], 1)
-    counting = counting_gateways(members)
+    owners = make_limit_owners(members)
     log, stated = EventLog(members.own.name, lambda _: None), StatedLimits()
     ranks = PermitRanks(Fleet(members.own.hall), stated, view.of)
-    return FleetLimits(view, counting, stated, ranks, send, tell, log, rng, clock)
+    return FleetLimits(view, owners, stated, ranks, send, broadcast, log, rng, clock)
 
 
-def counting_gateways(members: Members) -> LimitOwners:
-    """Return who counts for whom as one gateway sees it."""
+def make_limit_owners(members: Members) -> LimitOwners:
+    """Return the limit owners as one gateway sees them."""
     return LimitOwners(members, Schedulers(members), lambda: 0)
 
 
-def make_way(
+def make_scheme(
     name: str,
     limits: FleetLimits,
     members: Members,
     upstream: Upstream,
     clock: Callable[[], float],
-) -> Way:
-    """Return one gateway's decisions in one of `WAYS`."""
+) -> Scheme:
+    """Return the decisions of one gateway under one of the schemes in `SCHEMES`."""
     if name == "permits":
         return Permits(limits, upstream)
-    kind = {"shares": Shares, "few": Few}[name]
-    return kind(limits, upstream, members, clock)
+    scheme_class = {"shares": EqualShares, "few": SelectedShares}[name]
+    return scheme_class(limits, upstream, members, clock)
--- a/tests/load/policy/test_replay.py
+++ b/tests/load/policy/test_replay.py
@@ -1,8 +1,8 @@
-"""Loads at their worst, replayed before emulated engines: what waits, is refused and is served.
+"""Peak loads replayed on emulated engines: which requests wait, are refused and are served.
 
-Seen on a fleet whose long prompts came at 2.6 times their rate while a burst of the most urgent
-requests followed: engines were filled with long requests, urgent ones waited for their slots, and
-of these over a third were late and some got nothing, though hardly anybody was refused.
+Guards against a failure where long prompts arrived at 2.6 times their rate and a burst of the most
+urgent requests followed: engines were filled with long requests and urgent ones waited for slots.
+Over a third of the urgent ones were late and some got no answer, though almost none were refused.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 SCENARIOS = Path(__file__).parents[3] / "bench" / "scenarios"
 
-AFTER_LOSSES = 15
-"""The first second without a crash, on the load of a hall withdrawn."""
+AFTER_LOSSES_SECOND = 15
+"""First second after the engine losses in the scenario `hall-withdrawn`."""
 
 
 def scenario(name: str) -> Scenario:
@@ -32,12 +32,12 @@
 
 
 def scarce(engines: int) -> Scenario:
-    """Return a load of two bursts that overlap, before far too few engines."""
+    """Return a load of two overlapping bursts with far too few engines."""
     bursts = (Burst(1.0, 9.0, 3.0, "letter"), Burst(4.0, 6.0, 2.9, "query"))
     return replace(scenario("overlapping-bursts"), engines=engines, seconds=12.0, bursts=bursts)
 
 
-def share_in_time(result: Result, name: str) -> float:
+def on_time_fraction(result: Result, name: str) -> float:
     tally = result.classes[name]
     return tally.in_time / tally.asked
 
@@ -45,8 +45,8 @@
 class TestBursts(unittest.TestCase):
     def test_urgent_requests_find_slots_in_a_burst_of_long_ones(self) -> None:
         result = Replay(scenario("overlapping-bursts"), 1).play()
-        self.assertGreater(share_in_time(result, "query"), 0.85)
-        self.assertGreater(share_in_time(result, "triage"), 0.95)
+        self.assertGreater(on_time_fraction(result, "query"), 0.85)
+        self.assertGreater(on_time_fraction(result, "triage"), 0.95)
         self.assertGreater(result.credit, 0.64)
 
     def test_more_urgent_ones_do_not_get_nothing_while_larger_ones_begin(self) -> None:
@@ -55,16 +55,16 @@
                 self.assertEqual(Replay(scarce(engines), seed).play().put_behind, [])
 
     def test_nor_where_a_third_of_the_engines_needed_is_left(self) -> None:
-        """Two larger ones that began before a burst of the most urgent held slots through it.
+        """Two larger requests begin before a burst of the most urgent and occupy slots through it.
 
-        Nobody could know of the burst; but engines whose slots they held were taken for empty, so
-        that requests of the middle tier, predicted to begin there after 0.08 s, got nothing for
-        2.4 s: 12 of 98. Counted as held they went where slots came free.
+        The burst is not predictable. Engines whose slots these requests occupied were considered
+        empty, so requests of the middle tier, predicted to begin there after 0.08 s, got no answer
+        for 2.4 s: 12 of 98. With the slots counted as occupied, they go to slots that become free.
         """
         self.assertEqual(Replay(scarce(6), 2).play().put_behind, [])
 
     def test_nor_with_other_seeds_of_that_load(self) -> None:
-        """No larger one was sent after the first that got nothing had come; none could be known."""
+        """No larger one is sent after the first unanswered one has arrived; none is predictable."""
         for seed in (1, 3, 4, 5, 6, 7, 8):
             with self.subTest(seed=seed):
                 self.assertEqual(Replay(scarce(6), seed).play().put_behind, [])
@@ -78,67 +78,70 @@
         self.assertGreater(result.credit, 0.93)
 
     def test_a_burst_of_long_requests_alone_takes_all_slots(self) -> None:
-        """Without more urgent requests nothing is left free for them."""
+        """No slots are reserved for more urgent requests if there are none."""
         load = scenario("overlapping-bursts")
         letters = tuple(item for item in load.classes if item.name == "letter")
         result = Replay(replace(load, classes=letters, seconds=6.0), 1).play()
-        self.assertGreater(share_in_time(result, "letter"), 0.7)
+        self.assertGreater(on_time_fraction(result, "letter"), 0.7)
 
 
 class TestWithdrawn(unittest.TestCase):
-    """Engines of a hall are taken away, a part of the others crashes, and urgent ones come at once.
+    """Engines of a hall are withdrawn, some of the others crash, and urgent requests burst.
 
-    Seen where 220 of 664 short urgent requests got nothing while longer ones began: engines turned
-    them away, since all schedulers had filled their queues, or they were refused for want of room
-    while longer ones stood in the engines' queues.
+    Guards against a failure where 220 of 664 short urgent requests got no answer while longer ones
+    began: engines refused them, since all schedulers had filled the engines' queues, or schedulers
+    refused them for lack of capacity while longer requests waited in those queues.
     """
 
     def test_urgent_ones_do_not_get_nothing_while_longer_ones_begin(self) -> None:
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 result = Replay(scenario("hall-withdrawn"), seed).play()
-                after = [item for item in result.put_behind if item.second >= AFTER_LOSSES]
+                after = [item for item in result.put_behind if item.second >= AFTER_LOSSES_SECOND]
                 self.assertEqual([], after)
 
-    def test_engines_turn_hardly_anything_away(self) -> None:
+    def test_engines_refuse_almost_no_requests(self) -> None:
         result = Replay(scenario("hall-withdrawn"), 2).play()
-        self.assertLess(result.shed, 0.01 * result.sent)
+        self.assertLess(result.full_queue_refusals, 0.01 * result.sent)
 
 
 class TestLimits(unittest.TestCase):
-    """Engines name limits; seen on a day when requests for half of them went to the others."""
+    """Engines state limits.
 
-    def test_where_half_take_one_a_second_hardly_anybody_loses(self) -> None:
+    Guards against a failure where the requests for half of the engines went to the others.
+    """
+
+    def test_few_requests_fail_if_half_of_the_engines_take_one_per_second(self) -> None:
         """With permits for the most urgent, a seventh of the letters were refused or late."""
         result = Replay(scenario("limited-half"), 1).play()
         self.assertGreater(result.credit, 0.98)
-        self.assertGreater(share_in_time(result, "letter"), 0.95)
+        self.assertGreater(on_time_fraction(result, "letter"), 0.95)
 
-    def test_where_the_others_are_full_no_urgent_one_is_put_behind(self) -> None:
+    def test_no_urgent_request_is_put_behind_if_the_other_engines_are_full(self) -> None:
         result = Replay(scenario("limited-most"), 1).play()
         self.assertEqual([], result.put_behind)
-        self.assertGreater(share_in_time(result, "query"), 0.9)
+        self.assertGreater(on_time_fraction(result, "query"), 0.9)
 
     def test_nor_where_all_have_limits(self) -> None:
         self.assertEqual([], Replay(scenario("limited-all"), 1).play().put_behind)
 
-    def test_where_all_have_limits_the_urgent_ones_come_first(self) -> None:
+    def test_urgent_requests_come_first_if_all_engines_have_limits(self) -> None:
         result = Replay(scenario("limited-all"), 1).play()
-        self.assertGreater(share_in_time(result, "query"), 0.85)
-        self.assertGreater(share_in_time(result, "query"), share_in_time(result, "letter"))
+        self.assertGreater(on_time_fraction(result, "query"), 0.85)
+        self.assertGreater(on_time_fraction(result, "query"), on_time_fraction(result, "letter"))
 
 
 class TestReturns(unittest.TestCase):
-    """Long requests want 1.3 times the room that comes free; clients come back once.
+    """Long requests demand 1.3 times the capacity that becomes free; refused clients return once.
 
-    Told constant pauses, four in ten of those that were refused came back into the same crowd and
-    were refused for good, half of them in a longer wave.
+    With constant retry times, four in ten of the refused clients returned into the same overload
+    and were refused finally; in a longer wave, half of them.
     """
 
     def test_in_a_brief_wave_few_are_refused_again_and_more_are_served(self) -> None:
-        """With constant pauses 0.34 were refused again, credit was 0.818, 1,191 were served."""
+        """Constant retry times gave 0.34 refused again, a credit of 0.818 and 1,191 served."""
         results = [Replay(scenario("brief-wave"), seed).play() for seed in (1, 2, 3)]
-        again = sum(result.refused_again for result in results) / len(results)
+        again = sum(result.refused_again_fraction for result in results) / len(results)
         self.assertLess(again, 0.28)
         self.assertGreater(sum(result.served for result in results), 1191)
         self.assertGreater(sum(result.credit for result in results) / len(results), 0.82)
@@ -146,7 +149,7 @@
     def test_in_a_long_one_no_less_is_earned(self) -> None:
         results = [Replay(scenario("long-wave"), seed).play() for seed in (1, 2)]
         self.assertGreater(sum(result.credit for result in results) / len(results), 0.7)
-        self.assertLess(max(result.refused_again for result in results), 0.5)
+        self.assertLess(max(result.refused_again_fraction for result in results), 0.5)
 
     def test_who_comes_at_once_and_often_gains_nothing(self) -> None:
         load = scenario("long-wave")
@@ -154,15 +157,15 @@
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 result = Replay(replace(load, classes=classes), seed).play()
-                self.assertLess(result.served_impatient, result.served_patient)
+                self.assertLess(result.impatient_served_fraction, result.patient_served_fraction)
                 self.assertEqual([], result.put_behind)
 
 
 class TestAllStopped(unittest.TestCase):
-    """All gateways start at once, know no other for 0.6 s, and all callers come back.
+    """All gateways start at once, receive nothing from others for 0.6 s, and all callers return.
 
-    Each chose by its own few requests, so that all sent to the same few upstreams: of 301 requests
-    154 were in time and 10 got nothing, with half of the first events after 0.56 s.
+    When each chose by its own few requests only, all sent to the same few upstreams: of 301
+    requests, 154 were on time and 10 got no answer; half of the first events came after 0.56 s.
     """
 
     def test_the_first_seconds_are_served(self) -> None:
@@ -171,16 +174,16 @@
                 with self.subTest(gateways=gateways, seed=seed):
                     load = replace(scenario("all-stopped"), schedulers=gateways)
                     result = Replay(load, seed).play()
-                    self.assertGreater(result.windows[0].share, 0.85)
+                    self.assertGreater(result.windows[0].credit_fraction, 0.85)
                     self.assertEqual(0, sum(item.failed for item in result.classes.values()))
 
-    def test_each_by_its_own_requests_was_worse(self) -> None:
+    def test_choosing_by_own_requests_only_earns_less(self) -> None:
         result = Replay(replace(scenario("all-stopped"), drawn=False), 1).play()
-        self.assertLess(result.windows[0].share, 0.7)
+        self.assertLess(result.windows[0].credit_fraction, 0.7)
 
 
 class TestComparable(unittest.TestCase):
-    def test_the_same_requests_come_whatever_is_decided(self) -> None:
+    def test_arrivals_do_not_depend_on_decisions(self) -> None:
         load = replace(scenario("overlapping-bursts"), seconds=3.0)
         few = replace(load, engines=4)
         asked = [
