--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -1,12 +1,12 @@
-"""Switches off one mechanism of placement at a time and prints what each is worth.
+"""Disable one placement mechanism at a time and print how much each contributes.
 
     python scripts/ablate.py BENCH SITE... --days DAY,... [--seeds N,...] [--only WORD] [--jobs N]
 
 BENCH is the users' bench program and SITE their site files; neither is part of this repository.
-Each variant is played in a copy of the committed sources under target/, without processor time, so
-that a play mostly repeats; the copies' journal entries are added to journal/. A cell is the mean
-worth over days and seeds less that of the sources as they are: what is below 0 is lost without the
-mechanism.
+Each variant runs in a copy of the committed sources under target/, without processor time, so that
+a run is mostly reproducible; the journal entries of the copies are added to journal/. A table cell
+is the mean worth over days and seeds minus that of the unchanged sources: a value below 0 is lost
+without the mechanism.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """The sources with one mechanism switched off."""
+    """The sources with one mechanism disabled; an empty `file` leaves them unchanged."""
 
     name: str
     file: str = ""
@@ -38,7 +38,7 @@
 
 PLACEMENT = "placement"
 VARIANTS = (
-    Variant("as it is"),
+    Variant("unchanged"),
     Variant(
         "order of upstreams",
         f"{PLACEMENT}/fleet.py",
@@ -46,13 +46,13 @@
         "0.0",
     ),
     Variant(
-        "copies of prompt parts",
+        "fetched prefixes",
         f"{PLACEMENT}/fleet.py",
         "if not engine.link_rate:",
         "if True:",
     ),
     Variant(
-        "copies of runs",
+        "backups of runs",
         f"{PLACEMENT}/fleet.py",
         "if engine is None or not engine.can_back_up_memory:",
         "if True:",
@@ -64,19 +64,19 @@
         "_FAILURE_LOSS = 0.0",
     ),
     Variant(
-        "slowness of steps",
+        "step slowness",
         f"{PLACEMENT}/upstream_load.py",
         "return 1.0 + (self._step_slowness - 1.0) * fresh",
         "return 1.0 + 0.0 * fresh",
     ),
     Variant(
-        "harm to the streams beside",
+        "interference cost",
         f"{PLACEMENT}/weigher.py",
         "return _LONG_PAUSE_LOSS * expected_misses",
         "return 0.0 * expected_misses",
     ),
     Variant(
-        "own pauses",
+        "pauses of the request itself",
         f"{PLACEMENT}/weigher.py",
         "if not target_gap:",
         "if True:",
@@ -88,49 +88,49 @@
         "waiting",
     ),
     Variant(
-        "memory of upstreams",
+        "engine memory",
         f"{PLACEMENT}/weigher.py",
         "_FULL_MEMORY_LOSS = 1.0",
         "_FULL_MEMORY_LOSS = 0.0",
     ),
     Variant(
-        "parts read again",
+        "reread tokens",
         f"{PLACEMENT}/weigher.py",
         "_REREAD_LOSS_PER_TOKEN = 2.0e-4",
         "_REREAD_LOSS_PER_TOKEN = 0.0",
     ),
     Variant(
-        "reading at all",
+        "prefill cost",
         f"{PLACEMENT}/weigher.py",
         "_PREFILL_LOSS_PER_TOKEN = 1e-5",
         "_PREFILL_LOSS_PER_TOKEN = 0.0",
     ),
     Variant(
-        "size beside the usual",
+        "size relative to the typical request",
         f"{PLACEMENT}/usual_request.py",
         "if typical <= 0:",
         "if True:",
     ),
     Variant(
-        "nearer halls first",
+        "preference for the own hall",
         f"{PLACEMENT}/weigher.py",
         "_OTHER_HALL_LOSS = 0.01",
         "_OTHER_HALL_LOSS = 0.0",
     ),
     Variant(
-        "tiers at engines",
+        "tiers sent to engines",
         "platform/request_head.py",
         "_TEAM_LEVELS * urgency.tier + team",
         "1",
     ),
     Variant(
-        "refusal of the longest",
+        "load shedding of the longest",
         f"{PLACEMENT}/shedding.py",
         "overload = self.is_long(need) and is_late",
         "overload = False",
     ),
     Variant(
-        "free slots for the longest",
+        "free slots required for the longest",
         f"{PLACEMENT}/shedding.py",
         "is_late = not with_free_slot or wait_seconds",
         "is_late = wait_seconds",
@@ -142,7 +142,7 @@
         "if True:",
     ),
     Variant(
-        "lists of load",
+        "load snapshots",
         "scheduling/shared_load.py",
         "if now < self._snapshot_due_at:",
         "if True:",
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True)
 class Play:
-    """One play of one variant."""
+    """One bench run of one variant."""
 
     variant: Variant
     site: Path
@@ -162,7 +162,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What a play brought."""
+    """Outcome of one bench run."""
 
     play: Play
     worth: float
@@ -170,7 +170,7 @@
 
 
 def make_copy(variant: Variant) -> Path:
-    """Return a copy of the committed sources with the variant's mechanism switched off."""
+    """Return a copy of the committed sources with the variant's mechanism disabled."""
     folder = COPIES / variant.name.replace(" ", "-")
     if folder.exists():
         shutil.rmtree(folder)
@@ -180,14 +180,16 @@
         target = folder / "src" / "lotushill" / variant.file
         text = target.read_text(encoding="utf-8")
         if variant.code not in text:
-            raise SystemExit(f"{variant.name}: the code to switch off is not there")
+            raise SystemExit(
+                f"{variant.name}: the code to disable was not found in the source file"
+            )
         target.write_text(text.replace(variant.code, variant.off), encoding="utf-8")
     subprocess.run(["git", "-C", str(folder), "add", "--all"], check=True)
     return folder
 
 
 def run(bench: Path, play: Play) -> Result:
-    """Play one day; the bench's own report tells the worth."""
+    """Run one day on the bench and read the worth from its report."""
     folder = COPIES / play.variant.name.replace(" ", "-")
     command = [str(bench), "run", str(play.site), play.day, "--no-cpu"]
     command += ["--seed", play.seed] if play.seed else []
@@ -195,13 +197,15 @@
     done = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
     worth = _WORTH.search(done.stdout)
     if worth is None:
-        raise SystemExit(f"{play}: no worth told: {(done.stdout + done.stderr)[-300:]}")
+        raise SystemExit(
+            f"{play}: no worth reported; end of the output: {(done.stdout + done.stderr)[-300:]}"
+        )
     broken = _BROKEN.search(done.stdout)
     return Result(play, float(worth["worth"]), broken["rules"] if broken else "")
 
 
 def keep_journal(variant: Variant) -> None:
-    """Add the entries of a copy's journal to this one."""
+    """Copy the journal entries of a variant's copy into this repository's journal."""
     source = COPIES / variant.name.replace(" ", "-") / "journal"
     for entry in source.rglob("*"):
         target = ROOT / "journal" / entry.relative_to(source)
@@ -211,7 +215,7 @@
 
 
 def print_table(results: list[Result], variants: list[Variant], sites: list[Path]) -> None:
-    """Print a line for each variant, a column for each site."""
+    """Print a table with a row for each variant and a column for each site."""
     print("| without | " + " | ".join(site.stem for site in sites) + " | rules broken |")
     print("|---" * (len(sites) + 2) + "|")
     base: dict[Path, float] = {}
@@ -231,13 +235,17 @@
 
 
 def main() -> None:
-    """Play all variants and print the table."""
+    """Run all variants and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("bench", type=Path)
     parser.add_argument("sites", type=Path, nargs="+")
     parser.add_argument("--days", default="scale-1")
-    parser.add_argument("--seeds", default="", help="the sites' own where none is given")
-    parser.add_argument("--only", default="", help="variants whose names hold this word")
+    parser.add_argument(
+        "--seeds", default="", help="comma-separated; default: the seeds of the site files"
+    )
+    parser.add_argument(
+        "--only", default="", help="run only the variants whose names contain this word"
+    )
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
     bench = options.bench.resolve()
--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -1,7 +1,7 @@
-"""Breaks one rule at a time in a scratch copy and shows that its proof fails.
+"""Break one rule at a time in a temporary copy and show that its tests fail.
 
-Each line of the table names the rule, the file, the code that keeps it, what it is replaced by,
-and the tests that must fail then. Run outside CI: `python scripts/break_rules.py`.
+Each entry names the rule, the file, the code that enforces the rule, the replacement for that code
+and the tests that must fail with it. Not part of CI; run `python scripts/break_rules.py`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Break:
-    """One rule, broken."""
+    """A source edit that breaks one rule, and the tests that detect it."""
 
     rule: str
     file: str
@@ -33,14 +33,14 @@
 
 BREAKS = (
     Break(
-        "gateways that know nothing of each other spread",
+        "gateways without a model spread their requests",
         "starting/draw.py",
         "return [rng.choice(with_credit).upstream]",
         "return [with_credit[0].upstream]",
         "tests.starting",
     ),
     Break(
-        "a scheduler that was told nothing does not choose by its model",
+        "a scheduler that has received no model does not choose by it",
         "starting/startup_phase.py",
         "return has_model",
         "return True",
@@ -68,14 +68,14 @@
         "tests.returns.test_promises",
     ),
     Break(
-        "a healed cut is noticed",
+        "the end of a partition is detected",
         "membership/membership.py",
         "self._ping_queue = alive + self._rng.sample(lost, min(1, len(lost)))",
         "self._ping_queue = alive; self._rechecks.clear()",
         "tests.membership.test_membership",
     ),
     Break(
-        "a member taken for lost speaks up",
+        "a member that is reported lost refutes it",
         "membership/roster.py",
         "if newer or contradicts:\n            self.own",
         "if False:\n            self.own",
@@ -103,21 +103,21 @@
         "tests.contracts",
     ),
     Break(
-        "gateway: what an unfinished event left is dropped before a resume",
+        "gateway: a partial event is discarded before a stream is resumed",
         "requests/event_stream.py",
         '        self._buffer = b""\n\n    @property',
         "        pass\n\n    @property",
         "tests.requests.test_event_stream",
     ),
     Break(
-        "gateway: the answer's id is checked",
+        "gateway: the request id of an answer is checked",
         "requests/upstream_connection.py",
         "self._skipping = self._answered_id(self._headers) != self._request_id",
         "self._skipping = False",
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: a reset answer without length is not whole",
+        "gateway: a reset answer without a length is incomplete",
         "requests/upstream_connection.py",
         "        if self._error is None and not self._complete:\n            self._error",
         "        self._complete = self._complete or self._until_end\n"
@@ -125,14 +125,14 @@
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: an encoded body is not passed on",
+        "gateway: an encoded body is not forwarded",
         "requests/attempt.py",
         'name == b"content-encoding"',
         'name == b"x-none"',
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: what may not be repeated runs once",
+        "gateway: a request that may not be repeated runs once",
         "requests/exchange.py",
         "if not route.repeatable or self.runs",
         "if self.runs",
@@ -160,70 +160,70 @@
         "tests.requests.test_retry_budget",
     ),
     Break(
-        "gateway: what may have run is not called not run",
+        "gateway: a request that may have run is not reported as not run",
         "requests/exchange.py",
         "await self._answer.send_own_answer(_BAD_GATEWAY)",
         "await self._answer.send_own_answer(_UNAVAILABLE, 1.0)",
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: the key stays here",
+        "gateway: the client's key is not forwarded",
         "platform/request_head.py",
         "        names.AUTHORIZATION,\n",
         "",
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: a client's team is not believed",
+        "gateway: a team header of the client is ignored",
         "platform/request_head.py",
         "        names.TENANT,\n        names.TARGET",
         "        names.TARGET",
         "tests.platform.test_request_head",
     ),
     Break(
-        "gateway: a client that leaves ends the work",
+        "gateway: a client disconnect ends the work of the upstream",
         "requests/client_application.py",
         "            connection.on_lost = disconnect_handler.on_disconnect\n",
         "",
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: the unknown is not denied by an old view",
+        "gateway: an unknown route or key is not denied while the view may be stale",
         "requests/client_application.py",
         "if not self._parts.view_is_fresh():",
         "if False:",
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: the configuration never goes back",
+        "gateway: the configuration never reverts to an older revision",
         "views/configuration_view.py",
         "        if revision <= self.revision:\n            return False\n",
         "",
         "tests.views.test_views",
     ),
     Break(
-        "gateway: a draining upstream never comes back",
+        "gateway: a draining upstream never becomes available again",
         "views/upstream_view.py",
         "return known if known is not None and known.draining else upstream",
         "return upstream",
         "tests.views.test_views",
     ),
     Break(
-        "gateway: a held-back change is not skipped",
+        "gateway: a deferred change is not skipped",
         "views/watcher.py",
         "            self._revision = max(self._revision, revision)\n        # Without",
         "        self._revision = max(self._revision, revision)\n        # Without",
         "tests.views.test_watcher",
     ),
     Break(
-        "gateway: a prompt is unread until its first event",
+        "gateway: a prompt counts as prefill until its first event",
         "placement/prefill_queue.py",
         "return min(float(tokens), max(0.0, now - self._current_since) * read_rate)",
         "return max(0.0, now - self._current_since) * read_rate",
         "tests.placement.test_upstream_load",
     ),
     Break(
-        "gateway: a short request is not refused while longer ones begin",
+        "gateway: a short request is not refused while longer ones are started",
         "placement/shedding.py",
         "overload = self.is_long(need) and is_late",
         "overload = is_late",
@@ -237,126 +237,126 @@
         "tests.scheduling.test_shared_load",
     ),
     Break(
-        "gateway: logs are bounded",
+        "gateway: the rate of log lines is limited",
         "event_log.py",
         "        if self._credit < 1.0:",
         "        if False:",
         "tests.test_event_log",
     ),
     Break(
-        "gateway: entries that lapsed in an outage are kept for a while",
+        "gateway: entries that lapsed in an outage are retained for a while",
         "following/upstreams.py",
         "return {item.id: failed_at + _LAPSED_RETENTION_SECONDS for item in self.view.all()}",
         "return {}",
         "tests.platform.test_object_store",
     ),
     Break(
-        "gateway: one that leaves reading to others makes no call",
+        "gateway: a passive gateway makes no calls to the store",
         "views/watcher.py",
         "            if not self.active:",
         "            if False:",
         "tests.views.test_watcher",
     ),
     Break(
-        "gateway: those turned away are no readers",
+        "gateway: gateways that the store rejects are not counted as readers",
         "membership/readers.py",
         "sum(member.contact is not StoreContact.AWAY for",
         "sum(True for",
         "tests.membership.test_readers",
     ),
     Break(
-        "gateway: a scheduler passes on what others tell it",
+        "gateway: a scheduler relays load updates that it receives",
         "peering/peers.py",
         "            self._relay.collect(message.records, now)",
         "            pass",
         "tests.peering.test_peers",
     ),
     Break(
-        "gateway: groups that formed apart come together",
+        "gateway: groups of members that formed separately merge",
         "membership/membership.py",
         "return [ping, *self._ping_unknown_seed()]",
         "return [ping]",
         "tests.membership.test_membership",
     ),
     Break(
-        "gateway: an outage counts from when the call that failed began",
+        "gateway: an outage starts when the failed call was sent",
         "views/watcher.py",
         "self._last_failure_at = self._call_sent_at",
         "self._last_failure_at = self._clock()",
         "tests.views.test_watcher",
     ),
     Break(
-        "gateway: the tree only narrows how often a request may run",
+        "gateway: the settings tree can only reduce the number of attempts",
         "contracts/effective.py",
         'min(route.max_attempts, values["max_attempts"])',
         'values["max_attempts"]',
         "tests.contracts.test_effective",
     ),
     Break(
-        "gateway: a run whose copy is missing is not run again",
+        "gateway: a run whose backup is missing is not run again",
         "requests/continuation.py",
         "return end if end.kind is EndKind.WHOLE else interrupted",
         "return end",
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: a run goes on only after its first event",
+        "gateway: a run is continued only after its first event",
         "requests/continuation.py",
         "return is_known and is_healthy and is_accepting and self._splitter.event_count > 0",
         "return is_known and is_healthy and is_accepting",
         "tests.requests.test_request_path",
     ),
     Break(
-        "gateway: a run goes on at no upstream that has just failed",
+        "gateway: a run is not continued at an upstream that has just failed",
         "requests/continuation.py",
         "return is_known and is_healthy and is_accepting and self._splitter.event_count > 0",
         "return is_known and is_accepting and self._splitter.event_count > 0",
         "tests.requests.test_request_path",
     ),
     Break(
-        "moves: a run is stopped only once its memory has room elsewhere",
+        "moves: a run is stopped only after its memory was copied to a target",
         "requests/handover.py",
         "if await self._copy(last=False):\n                await self._stop()",
         "await self._stop()",
         "tests.requests.test_moves",
     ),
     Break(
-        "moves: a run is stopped only with a repeat that it can go on by",
+        "moves: a run is stopped only if a retry is left for its continuation",
         "requests/handover.py",
         "if not self._may_stop():",
         "if False:",
         "tests.requests.test_moves",
     ),
     Break(
-        "moves: what is held for nobody is freed",
+        "moves: memory that no run needs any more is freed",
         "requests/handover.py",
         "if self._is_finished or self.phase is Phase.GIVEN_UP:\n            await self.free()",
         "if False:\n            await self.free()",
         "tests.requests.test_moves",
     ),
     Break(
-        "moves: a run that its target does not take goes back to its source",
+        "moves: a run that its target refuses returns to its source",
         "requests/continuation.py",
         "returns_to_source=run_memory.upstream.id == run_memory.source.id",
         "returns_to_source=False",
         "tests.requests.test_moves",
     ),
     Break(
-        "moves: a client that takes nothing makes no run stand still",
+        "moves: a run is not taken for stalled while its client does not read",
         "requests/movable_run.py",
         "self._last_at = now\n        self._delivered_at = math.inf\n\n    def note_delivered",
         "self._last_at = now\n        self._delivered_at = now\n\n    def note_delivered",
         "tests.requests.test_moves",
     ),
     Break(
-        "moves: no move costs more than it saves",
+        "moves: a move that costs more than it saves is not made",
         "moves/move_plan.py",
         "return Move(cause, worth, time_limit) if worth > 0.0 else None",
         "return Move(cause, worth, time_limit)",
         "tests.moves.test_move_plan",
     ),
     Break(
-        "moves: room at a target is counted in from the choice on",
+        "moves: a run counts as load of its target as soon as the target is chosen",
         "requests/mover.py",
         "self._shared_load.start(placed, request.service, announced)",
         "pass",
@@ -370,63 +370,63 @@
         "tests.views.test_watcher",
     ),
     Break(
-        "a pause beside readings is bounded",
+        "the pause during prefill is bounded",
         "placement/pauses.py",
         "(queued_seconds if queued_seconds < self._bound else self._bound)",
         "queued_seconds",
         "tests.placement.test_pauses",
     ),
     Break(
-        "views that change do not fill the packets of all",
+        "a changed view alone is not gossiped to all members",
         "membership/roster.py",
         "return state.phase is not former.phase or state.contact is not former.contact",
         "return True",
         "tests.membership.test_membership",
     ),
     Break(
-        "a newcomer asks few for the roster",
+        "a joining member requests the roster from few seeds",
         "membership/membership.py",
         "return [self._ping(seed) for seed in self._rng.sample(self._seeds, seed_count)]",
         "return [self._ping(seed) for seed in self._seeds]",
         "tests.membership.test_large_fleet",
     ),
     Break(
-        "a roster that gossip left incomplete is pulled",
+        "a roster that is still incomplete after gossip is pulled",
         "membership/roster_sync.py",
         "return (settled or overdue) and since_pull >= options.pull_interval",
         "return False",
         "tests.membership.test_large_fleet",
     ),
     Break(
-        "members that come and go take a bounded number of lines",
+        "membership changes are logged in a bounded number of lines",
         "peering/member_log.py",
         "if self._lines >= _MAX_SINGLE_LINES:",
         "if False:",
         "tests.peering.test_member_log",
     ),
     Break(
-        "only schedulers hear of load in a large fleet",
+        "only schedulers receive load updates in a large fleet",
         "membership/schedulers.py",
         "self._is_small = len(members) <= MAX_SMALL_FLEET_GATEWAYS",
         "self._is_small = True",
         "tests.peering.test_peers",
     ),
     Break(
-        "an answer that comes too late is given up",
+        "the placement of an answer that arrives too late is released",
         "scheduling/placement_client.py",
         "        elif answer.upstream and answer.request not in self._used_answers:",
         "        elif False:",
         "tests.scheduling.test_placement_client",
     ),
     Break(
-        "a silent scheduler is passed over",
+        "a scheduler that does not respond is skipped",
         "scheduling/placement_client.py",
         "self._schedulers.note_silent(scheduler.name, self._clock())",
         "pass",
         "tests.scheduling.test_placement_client",
     ),
     Break(
-        "how a request ended is learned by all that place",
+        "outcomes of requests update the model of every gateway that places requests",
         "placement/fleet.py",
         "        load.failures.note(ended.outcome is not Outcome.WHOLE, now, weight)",
         "        pass",
@@ -440,7 +440,7 @@
         "tests.peering.test_peers",
     ),
     Break(
-        "a start loads no library that serving does not need",
+        "a start imports no library that serving does not need",
         "contracts/settings_view.py",
         "from lotushill.contracts.effective import resolve\n",
         "from lotushill.contracts.effective import resolve\n"
@@ -448,14 +448,14 @@
         "tests.gateway.test_start",
     ),
     Break(
-        "a gateway that restarts does not spend its part of the budget twice",
+        "a restarted gateway does not spend its part of the retry budget twice",
         "availability/retry_budget.py",
         "if not gateways or now - self._started < self._window:",
         "if not gateways:",
         "tests.requests.test_retry_budget",
     ),
     Break(
-        "gateway: a slow head is ended",
+        "gateway: a connection with a slow request head is closed",
         "requests/client_protocol.py",
         "self._set_timer(self._limits().header_seconds, self._close_slow_connection)\n"
         "\n"
@@ -464,77 +464,77 @@
         "tests.requests.test_client_protocol",
     ),
     Break(
-        "tiers: engines are told the tier of the route first",
+        "tiers: the priority sent to engines is ordered by the tier of the route first",
         "platform/request_head.py",
         "_TEAM_LEVELS * urgency.tier + team",
         "team",
         "tests.requests.test_tiers",
     ),
     Break(
-        "tiers: no team's requests go before those of another tier",
+        "tiers: the rank of a team does not override the tier",
         "contracts/effective.py",
         'Urgency(values["tier"], _team_rank(team))',
         "Urgency(_team_rank(team))",
         "tests.contracts.test_effective",
     ),
     Break(
-        "tiers: nothing is refused while less urgent, larger ones begin",
+        "tiers: nothing is refused while less urgent, larger requests are started",
         "placement/shedding.py",
         "        if self.must_serve(need, now):\n            return None\n",
         "",
         "tests.placement.test_shedding",
     ),
     Break(
-        "tiers: what is long is told by what all gateways send",
+        "tiers: requests of all gateways decide which prompts count as long",
         "placement/fleet.py",
         "self.shedding.note(placed, service.name, now)",
         "pass",
         "tests.requests.test_tiers",
     ),
     Break(
-        "tiers: the longest take no slot that is not free",
+        "tiers: the longest requests are sent only to free slots",
         "placement/shedding.py",
         "is_late = not with_free_slot or wait_seconds",
         "is_late = wait_seconds",
         "tests.placement.test_shedding",
     ),
     Break(
-        "tiers: the more urgent overtake what waits to be read",
+        "tiers: more urgent prompts overtake others in the prefill queue",
         "placement/prefill_queue.py",
         "if other <= tier)",
         "if other >= 0)",
         "tests.placement.test_prefill_queue",
     ),
     Break(
-        "the usual pause is never 0",
+        "the baseline pause is never 0",
         "placement/baseline_pause.py",
         "seconds = max(_MIN_SECONDS, seconds)",
         "pass",
         "tests.placement.test_pauses",
     ),
     Break(
-        "duties: engines that are taken away are replaced",
+        "duties: reclaimed engines are replaced",
         "duties/engine_sizing.py",
         "missing = sum(self._lost_engines.count(hall) for hall in short_halls) - cover",
         "missing = 0",
         "tests.duties.test_reclaim",
     ),
     Break(
-        "duties: a successor waits a whole lease",
+        "duties: a candidate waits a full lease before it takes over",
         "duties/lease.py",
         "return now - self._revision_changed_at >= self._options.seconds + extra_wait",
         "return True",
         "tests.duties",
     ),
     Break(
-        "duties: one that lost stays out",
+        "duties: a holder that lost the lease backs off",
         "duties/lease.py",
         "_BACKOFF_LEASES = 2.0",
         "_BACKOFF_LEASES = 0.0",
         "tests.duties",
     ),
     Break(
-        "duties: acts end with the lease where tokens are not checked",
+        "duties: work ends with the lease if fencing tokens are not checked",
         "duties/lease.py",
         "return is_fresh or self._options.fenced",
         "return True",
@@ -571,119 +571,119 @@
         "tests.process.test_side_tasks",
     ),
     Break(
-        "tiers: long requests leave slots to the more urgent",
+        "tiers: slots are reserved for requests more urgent than long ones",
         "placement/reserve.py",
         "_MAX_RESERVED_FRACTION = 0.4",
         "_MAX_RESERVED_FRACTION = 0.0",
         "tests.placement.test_reserve",
     ),
     Break(
-        "a request is the same whatever its id",
+        "the identity of a request does not depend on its id",
         "quarantine/identity.py",
         "for part in (team.encode(),",
         'for part in (__import__("os").urandom(8),',
         "tests.requests.test_quarantine",
     ),
     Break(
-        "a request that ends upstreams is held after three",
+        "a request is held after three upstream failures",
         "quarantine/suspect.py",
         "return len(self.failed_upstreams) >= FAILURES_TO_HOLD\n\n    def is_clear",
         "return False\n\n    def is_clear",
         "tests.quarantine.test_quarantine",
     ),
     Break(
-        "what one gateway saw is told to all",
+        "an upstream failure that one gateway observes is reported to all",
         "peering/quarantine_gossip.py",
         "self._update_schedule.schedule_failure(interrupted.identity, now)",
         "pass",
         "tests.quarantine.test_fleet",
     ),
     Break(
-        "a request that was answered whole is judged by rounds of ends",
+        "failures of a request that is known good are counted in rounds",
         "quarantine/suspect.py",
         "if at - last >= _ROUND_SECONDS:",
         "if True:",
         "tests.quarantine",
     ),
     Break(
-        "a whole answer clears a suspect",
+        "a complete response clears a suspect",
         "requests/exchange.py",
         "self._parts.quarantine.record_completion(request)",
         "pass",
         "tests.requests.test_quarantine",
     ),
     Break(
-        "a planned end blames no request",
+        "no request is blamed for a planned shutdown",
         "peering/quarantine_gossip.py",
         "return Listing.LEAVING if listed.draining else Listing.SERVING",
         "return Listing.SERVING",
         "tests.requests.test_quarantine",
     ),
     Break(
-        "a reset blames no request while its upstream goes on",
+        "no request is blamed for a reset while its upstream keeps running",
         "requests/upstream_pool.py",
         "connection.close()\n        return False",
         "connection.close()\n        return True",
         "tests.requests.test_quarantine",
     ),
     Break(
-        "a suspect is not sent on after two ends",
+        "a suspect is not retried after two failures",
         "peering/quarantine_gossip.py",
         "_FAILURES_TO_STOP_RETRIES = 2",
         "_FAILURES_TO_STOP_RETRIES = 20",
         "tests.requests.test_quarantine",
     ),
     Break(
-        "a hold that is released in the store is released here",
+        "a hold that is released in the store is released at the gateway",
         "quarantine/quarantine.py",
         "suspect.release()",
         "pass",
         "tests.quarantine",
     ),
     Break(
-        "suspects of one team cannot push out those of another",
+        "suspects of one team cannot evict those of another",
         "quarantine/quarantine.py",
         "_MAX_SUSPECTS_PER_TEAM = 256",
         "_MAX_SUSPECTS_PER_TEAM = 10**9",
         "tests.quarantine",
     ),
     Break(
-        "an entry without a usable address names nothing",
+        "an entry without a usable address is rejected",
         "platform/upstreams.py",
         'address=fields.address("address")',
         'address=str(fields.raw("address"))',
         "tests.platform.test_upstreams",
     ),
     Break(
-        "one bad entry costs none beside it",
+        "a malformed entry does not affect the others",
         "following/upstreams.py",
         "except MalformedEntryError as error:",
         "except ZeroDivisionError as error:",
         "tests.platform.test_upstreams",
     ),
     Break(
-        "a new life of an instance is another upstream",
+        "a new incarnation of an instance is another upstream",
         "platform/upstreams.py",
         'if not fields.has("born"):',
         "if True:",
         "tests.platform.test_upstreams",
     ),
     Break(
-        "a fault in reading ends no following",
+        "an error while an object is read does not stop the watcher",
         "views/watcher.py",
         "except Exception as error:",
         "except OverflowError as error:",
         "tests.views.test_watcher",
     ),
     Break(
-        "a suspension is noticed",
+        "a suspension of the host is detected",
         "process/suspension.py",
         "if gap >= _MIN_SUSPENSION_SECONDS:",
         "if False:",
         "tests.requests.test_suspension",
     ),
     Break(
-        "requests end when their time is up after a suspension",
+        "deadlines of requests hold after a suspension",
         "requests/client_application.py",
         "scope.deadline -= seconds",
         "scope.deadline -= 0.0",
@@ -697,14 +697,14 @@
         "tests.requests.test_suspension",
     ),
     Break(
-        "a signal while a gateway starts ends nothing",
+        "a signal during the start does not terminate the gateway",
         "console/gateway.py",
         "    signals.install()\n",
         "",
         "tests.console.test_gateway_program",
     ),
     Break(
-        "settings that were to be read again while it started are",
+        "a reload requested during the start is carried out",
         "gateway/gateway.py",
         "if is_reload_requested():",
         "if False:",
@@ -718,35 +718,35 @@
         "tests.platform.test_object_store",
     ),
     Break(
-        "the time without the holds counts while the store answers, not from the start",
+        "the time without the holds is counted while the store responds, not from the start",
         "gateway/store_views.py",
         "since = self._watchers[ViewKind.UPSTREAMS].answering_since",
         "since = 0.0",
         "tests.platform.test_object_store",
     ),
     Break(
-        "nothing is sent while it is not known what is held",
+        "no request is sent before the holds are known",
         "requests/client_application.py",
         " or not self._parts.knows_holds()",
         "",
         "tests.requests.test_quarantine",
     ),
     Break(
-        "a rest that is asked for is read",
+        "a cooldown stated in an answer is read",
         "platform/upstream_answer.py",
         "refused = status == _UNAVAILABLE",
         "refused = False",
         "tests.requests.test_cooldowns",
     ),
     Break(
-        "nothing is written to an upstream that rests, whoever chose it",
+        "no request is sent to an upstream in cooldown, no matter what chose it",
         "requests/attempt.py",
         "if not self._parts.gate.authorize_send(self._permit):",
         "if False:",
         "tests.requests.test_cooldowns",
     ),
     Break(
-        "a run does not go on where a rest was asked for",
+        "a run is not continued at an upstream in cooldown",
         "requests/continuation.py",
         "is_accepting = self._parts.gate.accepts_requests(backup.id)",
         "is_accepting = True",
@@ -788,14 +788,14 @@
         "tests.availability.test_wait_policy",
     ),
     Break(
-        "one that says that it leaves gets nothing more",
+        "an upstream that announces that it leaves gets no more requests",
         "platform/upstream_answer.py",
         "name == _SERVER_LEAVING and",
         "False and",
         "tests.requests.test_leaving",
     ),
     Break(
-        "an entry does not take back what an upstream said",
+        "an entry does not revoke the announcement of an upstream",
         "views/upstream_view.py",
         "if upstream.id in self._leaving:",
         "if False:",
@@ -816,14 +816,14 @@
         "tests.peering.test_leaving_gossip",
     ),
     Break(
-        "a limit that an upstream names is read",
+        "a limit that an upstream states is read",
         "platform/upstream_answer.py",
         "if name == _SERVER_LIMIT]",
         "if False]",
         "tests.requests.test_limit",
     ),
     Break(
-        "no request is written without a permit",
+        "no request is sent without a permit",
         "requests/exchange.py",
         "if permit is None:\n                self._defer(placement)\n                continue",
         "if permit is None:\n                permit = Permit(choice.upstream.id)",
@@ -851,14 +851,14 @@
         "tests.limits.test_permit_buckets",
     ),
     Break(
-        "a team over its share leaves room to the others",
+        "a team over its share leaves slots to the others",
         "placement/fleet.py",
         "return Refusal.SHARE if self.shares.is_over_share(need, now) else None",
         "return None",
         "tests.placement.test_team_reserve",
     ),
     Break(
-        "no share stands above a tier",
+        "a share does not override a tier",
         "placement/fleet.py",
         "return self.shares.is_over_share(need, now) and not self.shedding.must_serve(need, now)",
         "return self.shares.is_over_share(need, now)",
@@ -928,49 +928,49 @@
         "tests.limits.test_permit_rank",
     ),
     Break(
-        "groups under which upstreams end are kept apart",
+        "groups under which upstreams fail are isolated",
         "requests/isolation_policy.py",
         "if isolated_upstream is None or service not in self._isolation.isolated_services(now):",
         "if True:",
         "tests.requests.test_isolation_policy",
     ),
     Break(
-        "of what is kept apart one request runs at a time",
+        "isolated requests run one at a time",
         "requests/isolation_policy.py",
         "if self._isolation.is_empty or not choice.running:",
         "if True:",
         "tests.requests.test_isolation_policy",
     ),
     Break(
-        "after an end apart nothing of the group is tried for a pause",
+        "after a failure during isolation the group is not sent for the retry delay",
         "quarantine/isolation.py",
         "evidence.paused_until = now + evidence.pause",
         "evidence.paused_until = now",
         "tests.quarantine.test_isolation",
     ),
     Break(
-        "whole answers speak for a group that was beside the ends",
+        "complete responses clear a group that was only present at failures",
         "quarantine/isolation.py",
         "_BYSTANDER_COMPLETIONS_PER_FAILURE = 2.0",
         "_BYSTANDER_COMPLETIONS_PER_FAILURE = 1e9",
         "tests.quarantine.test_isolation",
     ),
     Break(
-        "the smallest group that was at the ends explains them",
+        "the smallest group present at all failures explains them",
         "quarantine/isolation.py",
         "if other.is_within(group)",
         "if False",
         "tests.quarantine.test_isolation",
     ),
     Break(
-        "a gateway that starts anew hears what is kept apart",
+        "a restarted gateway is notified of the isolated groups",
         "peering/group_gossip.py",
         "elif self._isolated_timer.is_due(now):",
         "elif False:",
         "tests.quarantine.test_fleet",
     ),
     Break(
-        "signals during a planned stop cut nothing",
+        "signals during a planned stop interrupt no request",
         "gateway/gateway.py",
         "self._stopping = True\n",
         "self._stopping = True; signal.signal(signal.SIGHUP, signal.SIG_DFL)\n",
@@ -1019,35 +1019,35 @@
         "tests.scheduling.test_queueing_client",
     ),
     Break(
-        "larger ones that begin late are held against refusals",
+        "starts of larger requests that are late prevent refusals",
         "placement/fleet.py",
         "self.shedding.starts.note(location.service.name, placed.tier, placed.prompt, now)",
         "pass",
         "tests.waiting.test_admission_queue",
     ),
     Break(
-        "a disturbance does not change what lasts",
+        "a short disturbance does not change the long-term pace",
         "placement/engine_pace.py",
         "        self.median = statistics.median(self._slots)",
         "        self.median = seconds",
         "tests.placement.test_engine_pace",
     ),
     Break(
-        "the usual pace is that of the median upstream",
+        "the reference pace is that of the median upstream",
         "placement/engine_pace.py",
         "return statistics.median(known) if",
         "return min(known) * 1.7 if",
         "tests.placement.test_engine_pace",
     ),
     Break(
-        "an upstream of which nothing is known is tried with little",
+        "an upstream with an unknown pace gets few requests",
         "placement/weigher.py",
         "len(load.running) < _UNKNOWN_PACE_FRACTION * slots",
         "True",
         "tests.placement.test_uneven_fleet",
     ),
     Break(
-        "a newcomer is told the paces",
+        "a joining gateway receives the paces",
         "peering/peers.py",
         "self._hooks.on_paces(unpack_paces(",
         "list(unpack_paces(",
@@ -1057,7 +1057,7 @@
 
 
 def proof_fails(item: Break) -> tuple[bool, str]:
-    """Return whether the tests fail on a copy with the rule broken, and their last line."""
+    """Return whether the tests fail on a copy in which the rule is broken, and their last line."""
     with tempfile.TemporaryDirectory(prefix="lotushill-break-") as folder:
         copy = Path(folder)
         for part in ("src", "tests", "scripts"):
@@ -1065,13 +1065,13 @@
         target = copy / "src" / "lotushill" / item.file
         text = target.read_text(encoding="utf-8")
         if item.code not in text:
-            return False, "the code to break is not there"
+            return False, "the code to break was not found in the file"
         target.write_text(text.replace(item.code, item.broken), encoding="utf-8")
         try:
             done = _run_tests(copy, item.tests)
         except subprocess.TimeoutExpired:
-            return False, f"not over after {_SECONDS} s"
-        last = (done.stdout.strip().splitlines() or ["nothing printed"])[-1]
+            return False, f"the tests did not end within {_SECONDS} s"
+        last = (done.stdout.strip().splitlines() or ["no output"])[-1]
         return done.returncode == 1 and " failed" in last and not last.endswith(" 0 failed"), last
 
 
@@ -1088,7 +1088,7 @@
 
 
 def main() -> int:
-    """Break every rule and print a table; exit 1 if any proof still passes."""
+    """Break every rule and print a table; return 1 if the tests of any rule still pass."""
     chosen = [item for item in BREAKS if not sys.argv[1:] or sys.argv[1] in item.rule]
     with ThreadPoolExecutor(_PARALLEL) as pool:
         results = list(pool.map(proof_fails, chosen))
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a fleet on stand-ins, with an engine killed and a gateway stopped on the way."""
+"""Demo of a fleet on stand-ins in which an engine is killed and a gateway is stopped."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of request that the demo makes."""
+    """One kind of request that the demo sends."""
 
     route: str
     a_second: float
@@ -43,7 +43,7 @@
 
 
 def configuration() -> dict[str, object]:
-    """Return what the operator of the platform hands out."""
+    """Return the configuration that the platform's operator publishes."""
 
     def route(name: str, service: str, kind: str, **more: object) -> dict[str, object]:
         return {
@@ -77,16 +77,16 @@
 
 @dataclass
 class Tally:
-    """What clients got."""
+    """Outcomes of the requests, as the clients saw them."""
 
     ends: Counter[str] = field(default_factory=Counter)
     first: dict[str, list[float]] = field(default_factory=dict)
     refused: str = ""
-    """A request that was refused or failed."""
+    """Id of the last request that was refused or failed; empty if none was."""
 
 
 class Demo:
-    """Makes requests at the gateways and disturbs the fleet."""
+    """Sends requests to the gateways and injects faults into the fleet."""
 
     def __init__(self, fleet: Fleet, gateways: list[Program], engine: Program) -> None:
         self._fleet = fleet
@@ -99,19 +99,20 @@
         self.tally = Tally()
 
     async def run(self) -> None:
-        """Make all requests."""
+        """Send all requests while the faults are injected."""
         async with httpcore.AsyncConnectionPool(max_connections=200) as pool:
             calls = [asyncio.create_task(self._disturb())]
             calls += [asyncio.create_task(self._arrive(pool, kind)) for kind in KINDS]
             await asyncio.gather(*calls)
 
     def summary(self) -> str:
-        """Return in a sentence what the demo showed."""
+        """Return a one-sentence summary of the demo."""
         total = sum(self.tally.ends.values())
         served = sum(count for end, count in self.tally.ends.items() if end.endswith(" served"))
         return (
-            f"{served} of {total} requests were served whole, while {self._engine.name} was killed "
-            f"amid its streams and {self._stopped} stopped as planned (so it gives no answer above)"
+            f"{served} of {total} requests were served completely, while {self._engine.name} was "
+            f"killed during its streams and {self._stopped} shut down as planned (so it does not "
+            "respond in the status above)"
         )
 
     async def _disturb(self) -> None:
@@ -124,7 +125,7 @@
         await asyncio.sleep(STOP_GATEWAY_AT - KILL_ENGINE_AT)
         leaving = self._open.pop()
         self._stopped = leaving.name
-        print(f"{leaving.name} is stopped as planned")
+        print(f"{leaving.name} is shut down as planned")
         leaving.signal(signal.SIGTERM)
 
     async def _arrive(self, pool: httpcore.AsyncConnectionPool, kind: Kind) -> None:
@@ -178,7 +179,7 @@
 
 
 def main() -> None:
-    """Start the fleet, run the demo, and show what became of it."""
+    """Start the fleet, run the demo and print its outcome."""
     with Fleet() as fleet:
         fleet.put("config", "main", configuration())
         engines = [
@@ -188,14 +189,14 @@
         fleet.start_upstream("ledger-0", "service", "orders", HALLS[0], work=0.02)
         gateways = [fleet.start_gateway(f"gateway-{index}", HALLS[index % 2]) for index in range(3)]
         fleet.wait_ready(*gateways)
-        print(f"{len(gateways)} gateways, {len(engines)} engines and a ledger are up")
+        print(f"{len(gateways)} gateways, {len(engines)} engines and a ledger are running")
         demo = Demo(fleet, gateways, engines[0])
         asyncio.run(demo.run())
         for name, count in sorted(demo.tally.ends.items()):
             print(f"{count:5d}  {name}")
         for route, times in demo.tally.first.items():
             times.sort()
-            print(f"first event of {route}: {times[len(times) // 2] * 1000:.0f} ms in the median")
+            print(f"first event of {route}: {times[len(times) // 2] * 1000:.0f} ms (median)")
         print(fleet.operator("get", "team/bodas", "--effective", "drafts/suite-wording"))
         print(fleet.operator("status"))
         if demo.tally.refused:
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet on one machine: the stand-ins and gateways as processes of their own."""
+"""Starts a small fleet on one machine; each stand-in and gateway runs in its own process."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def free_address() -> str:
-    """Return an address on the loopback that nothing listens on now."""
+    """Return a loopback address on which nothing listens at the moment."""
     with socket.socket() as found:
         found.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{found.getsockname()[1]}"
@@ -30,7 +30,7 @@
 
 @dataclass
 class Program:
-    """A running program with the settings that it was given."""
+    """A started program with its settings and its log file."""
 
     name: str
     settings: dict[str, Any]
@@ -38,18 +38,18 @@
     output: Path
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
 
 class Fleet:
-    """Starts programs and ends those that it started."""
+    """Starts programs and terminates those that it started."""
 
     def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="lotushill-")
         self.programs: list[Program] = []
         self.store = ""
-        """Address of the stand-in of the platform's store."""
+        """Address of the stand-in for the platform's store."""
 
     def __enter__(self) -> Fleet:
         """Start the store."""
@@ -59,7 +59,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End everything."""
+        """Kill all running programs and delete their files."""
         for program in self.programs:
             if program.process.poll() is None:
                 program.signal(signal.SIGKILL)
@@ -68,7 +68,7 @@
         self._folder.cleanup()
 
     def start_upstream(self, name: str, kind: str, service: str, hall: str, **more: Any) -> Program:
-        """Start an engine or an instance of a plain service."""
+        """Start the stand-in for an engine or for an instance of a plain service."""
         settings = {
             "kind": kind,
             "name": name,
@@ -81,7 +81,7 @@
         return self._start(name, "standin", settings)
 
     def start_gateway(self, name: str, hall: str) -> Program:
-        """Start a gateway."""
+        """Start a gateway in a hall."""
         settings = {
             "name": name,
             "hall": hall,
@@ -95,13 +95,13 @@
         return self._start(name, "gateway", settings)
 
     def wait_ready(self, *gateways: Program) -> None:
-        """Return when all gateways are ready."""
+        """Wait until all gateways report that they are ready."""
         for gateway in gateways:
             address = gateway.settings["readiness"]
             _wait_for(lambda address=address: _answers(f"http://{address}/readyz"))
 
     def put(self, kind: str, name: str, spec: Any) -> None:
-        """Make an object in the store."""
+        """Create an object in the store."""
         body = json.dumps({"metadata": {"name": name}, "spec": spec}).encode()
         request = urllib.request.Request(
             f"http://{self.store}/objects/{kind}", data=body, method="POST"
@@ -109,7 +109,7 @@
         urllib.request.urlopen(request, timeout=5).close()
 
     def operator(self, *arguments: str) -> str:
-        """Run one command of `lotushill` and return what it prints."""
+        """Run one `lotushill` command and return its output."""
         command = [sys.executable, "-m", "lotushill.console.operator", "--store", self.store]
         done = subprocess.run([*command, *arguments], capture_output=True, text=True, check=False)
         return (done.stdout + done.stderr).strip()
--- a/scripts/near_misses.py
+++ b/scripts/near_misses.py
@@ -1,11 +1,12 @@
-"""Prints how near each play came to serving less urgent requests ahead of more urgent ones.
+"""Prints how close each run came to serving less urgent requests before more urgent ones.
 
     python scripts/near_misses.py LOG...
 
-A LOG holds the lines of all gateways of a play, each with the simulated time and the gateway's
-name before the structured line. For each route, and each window of five seconds, it counts requests
-that got nothing beside less urgent ones of over twice their mean prompt that were sent to an engine
-of the same service. The windows with most of both come first.
+A LOG contains the log lines of all gateways of a run, each with the simulated time and the
+gateway's name before the structured line. For each route and each window of five seconds, the
+script counts the requests that were not served, and the less urgent requests that were sent to an
+engine of the same service in that window with prompts over twice the mean of those. The windows
+with the highest counts of both are printed first.
 """
 
 from __future__ import annotations
@@ -21,30 +22,30 @@
 WINDOW_SECONDS = 5.0
 STEP_SECONDS = 1.0
 LEAST_FAILED = 3
-"""Windows with fewer requests that got nothing are left out."""
+"""Windows with fewer requests that were not served are omitted."""
 SHOWN = 5
 TIMES_LARGER = 2.0
 
 
 @dataclass
 class Seen:
-    """What the logs tell of one request."""
+    """What the logs contain about one request."""
 
     route: str = ""
     service: str = ""
     tier: int = -1
     prompt: int = 0
     began: float | None = None
-    """When it was sent to an engine, in seconds of simulated time."""
+    """Simulated time in seconds at which it was first sent to an engine; None if it never was."""
     ended: float = 0.0
     outcome: str = ""
     reason: str = ""
-    """Why no upstream was chosen."""
+    """Reason for which no upstream was chosen."""
 
 
 @dataclass
 class Window:
-    """One route's requests of five seconds."""
+    """Requests of one route in a window of five seconds."""
 
     start: float
     route: str
@@ -52,17 +53,17 @@
     asked: int
     failed: int
     larger: int
-    """Less urgent ones of over twice the size that were sent to an engine."""
+    """Number of less urgent requests over twice as large that were sent to an engine."""
     why: Counter[str] = field(default_factory=Counter)
 
     @property
     def share(self) -> float:
-        """Return the share of the requests that got nothing."""
+        """Return the fraction of the requests that were not served."""
         return self.failed / self.asked
 
 
 def read(path: Path) -> list[Seen]:
-    """Return the requests of a play."""
+    """Return the requests found in the log of a run."""
     seen: defaultdict[str, Seen] = defaultdict(Seen)
     for line in path.read_text(encoding="utf-8", errors="replace").splitlines():
         words = line.split(maxsplit=2)
@@ -71,7 +72,7 @@
         try:
             at, note = float(words[0]), json.loads(words[2])
         except ValueError:
-            # A line of the play's own report, or one that was cut off.
+            # A line of the bench report, or a truncated log line.
             continue
         if "request" in note:
             _take(seen[note["request"]], note, at)
@@ -95,7 +96,7 @@
 
 
 def windows(requests: list[Seen]) -> list[Window]:
-    """Return the windows of every route in which some got nothing."""
+    """Return the windows of all routes in which requests were not served."""
     routes = _routes(requests)
     found = []
     end = max((item.ended for item in requests), default=0.0)
@@ -117,7 +118,7 @@
 
 
 def _routes(requests: list[Seen]) -> dict[str, tuple[str, int]]:
-    """Return service and usual tier of each route that was ever served by an engine."""
+    """Return the service and the most frequent tier of each route that an engine has served."""
     votes: defaultdict[str, Counter[tuple[str, int]]] = defaultdict(Counter)
     for item in requests:
         if item.service and item.prompt:
@@ -158,7 +159,7 @@
             why = ", ".join(f"{count} {reason}" for reason, count in item.why.most_common(3))
             print(
                 f"  {item.start:6.1f} s  {item.route} (tier {item.tier}): {item.failed} of"
-                f" {item.asked} got nothing beside {item.larger} larger ones; {why}"
+                f" {item.asked} not served, {item.larger} larger ones sent to engines; {why}"
             )
 
 
--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -1,10 +1,10 @@
-"""Plays each day of bench/days on one site or several and prints a table, a line a day and site.
+"""Runs each day of bench/days on one or more sites and prints a row for each day and site.
 
     python scripts/play_days.py BENCH SITE... [--jobs N] [--only PREFIX] [--no-cpu] [--table FILE]
 
 BENCH is the users' bench program and SITE their site files; neither is part of this repository.
-Most days hold one kind of trouble, those with two names two that meet. Exits with 1 if a rule was
-broken.
+Most days contain one kind of fault; days with two names combine two kinds. Exits with 1 if a rule
+was broken.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 _BROKEN = re.compile(r"^rules broken: (?P<rules>.*)$", re.MULTILINE)
 _DETAIL = re.compile(r"^(?P<line>[A-Z]+ at .*)$", re.MULTILINE)
 _TAIL = 120
-"""Characters of the report that are shown where a day was not played."""
+"""Number of characters of the report that are shown if a day could not be run."""
 
 
 @dataclass(frozen=True)
 class Played:
-    """What a day brought on a site; shares of credit and of requests."""
+    """Outcome of a day on a site, in fractions of the credit and of the requests."""
 
     day: str
     site: str
@@ -38,24 +38,24 @@
     served: str
     refused: str
     rules: str
-    """Rules that were broken, or why the day was not played."""
+    """Rules that were broken, or the reason why the day could not be run."""
     detail: str
 
     @property
     def row(self) -> str:
-        """Return a row of the table."""
+        """Return the outcome as a table row."""
         cells = (self.day, self.site, self.worth, self.served, self.refused, self.rules or "-")
         return f"| {' | '.join(cells)} |"
 
 
 def play(bench: Path, site: Path, day: Path, options: list[str]) -> Played:
-    """Play one day."""
+    """Run one day on a site and return its outcome."""
     command = [str(bench), "run", str(site), str(day), *options, "--why", f"{day.stem} alone"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     found = _RESULT.search(done.stdout)
     if found is None:
         report = (done.stdout + done.stderr).strip().replace("\n", " ")
-        return Played(day.stem, site.stem, "", "", "", f"not played: {report[-_TAIL:]}", "")
+        return Played(day.stem, site.stem, "", "", "", f"not run: {report[-_TAIL:]}", "")
     broken = _BROKEN.search(done.stdout)
     detail = _DETAIL.search(done.stdout)
     return Played(
@@ -70,20 +70,20 @@
 
 
 def table(results: list[Played]) -> str:
-    """Return all results as a table of a page."""
+    """Return all results as a Markdown table."""
     head = "| day | site | worth | served | refused | rules broken |\n|---|---|---|---|---|---|\n"
     return head + "".join(f"{item.row}\n" for item in results)
 
 
 def main() -> int:
-    """Play the days; return 1 if any broke a rule."""
+    """Run the days; return 1 if a rule was broken or a day could not be run."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("bench", type=Path)
     parser.add_argument("sites", type=Path, nargs="+")
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--only", default="")
-    parser.add_argument("--no-cpu", action="store_true", help="charge no processor time")
-    parser.add_argument("--table", type=Path, help="write the table to this file as well")
+    parser.add_argument("--no-cpu", action="store_true", help="do not charge processor time")
+    parser.add_argument("--table", type=Path, help="also write the table to this file")
     options = parser.parse_args()
     days = sorted(DAYS.glob(f"{options.only}*.toml"))
     extra = ["--no-cpu"] if options.no_cpu else []
@@ -98,7 +98,7 @@
     if options.table:
         options.table.write_text(table(results), encoding="utf-8")
     broken = sum(bool(item.rules) for item in results)
-    print(f"{len(results)} plays, {broken} broken or not played")
+    print(f"{len(results)} runs, {broken} with broken rules or not run")
     return 1 if broken else 0
 
 
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,6 +1,6 @@
-"""Runs the tests and closes with one plain line that counts them.
+"""Runs the tests and prints one summary line with their counts at the end.
 
-Tests named in KNOWN-RED.txt are run and printed, but do not fail the run.
+Tests listed in KNOWN-RED.txt are run and their failures are printed, but do not fail the run.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def known_red() -> frozenset[str]:
-    """Return the names of the tests that are known to fail."""
+    """Return the names of the tests that are known to fail, from KNOWN-RED.txt."""
     if not KNOWN_RED.exists():
         return frozenset()
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -26,7 +26,7 @@
 
 
 def main() -> int:
-    """Run the tests under tests/."""
+    """Run the tests under tests/; return 1 if any failed or none passed."""
     arguments = ["nose2", "-s", str(ROOT / "tests"), "-t", str(ROOT), *sys.argv[1:]]
     PluggableTestProgram(argv=arguments, exit=False, module=None, plugins=["tally"])
     red = known_red()
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -1,9 +1,10 @@
-"""Runs the soak over many seeds, some at a time, and prints a line for each.
+"""Runs the soak test with many seeds, several at a time, and prints a line for each.
 
     python scripts/soak.py [--seeds 50] [--first 1] [--seconds 40] [--jobs 4] [--plain] [--limits]
 
-Real gateways before engines that come and go, with one caller whose request ends engines. Exits
-with 1 if a promise was broken, or if less than 0.97 of the ordinary requests at an end were served.
+Real gateways run in front of engines that restart, with one client whose request crashes engines.
+Exits with 1 if an invariant was violated, or if less than 0.97 of the ordinary requests at the end
+of a run were served.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 _LEAST_SERVED = 0.97
 _SPARE_SECONDS = 40.0
-"""Beyond its length that a run may take, for its start and its end."""
+"""Extra time in seconds that a run may take for its start and its shutdown."""
 
 
 def play(seed: int, seconds: float, words: bool, limits: bool) -> Result:
-    """Make one run; one that does not come to its end shows where it stands."""
+    """Run one seed; a run that does not end in time prints its stack traces."""
     faulthandler.dump_traceback_later(seconds + _SPARE_SECONDS, exit=True)
     try:
         return asyncio.run(_play(seed, seconds, words, limits))
@@ -45,16 +46,18 @@
 
 
 def main() -> int:
-    """Run all seeds."""
+    """Run all seeds; return 1 if any of them showed a fault."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=50)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=40.0)
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument(
-        "--plain", action="store_true", help="without engines that shed or leave by word"
+        "--plain",
+        action="store_true",
+        help="without engines that shed load or announce that they leave",
     )
-    parser.add_argument("--limits", action="store_true", help="with engines that name limits")
+    parser.add_argument("--limits", action="store_true", help="with engines that state limits")
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.seeds)
     bad = 0
@@ -76,12 +79,12 @@
 def _print(seed: int, result: Result) -> bool:
     wrong = [*result.faults, *result.errors]
     if result.share < _LEAST_SERVED:
-        wrong.append("too few served at the end")
+        wrong.append("too few requests were served at the end")
     print(
-        f"seed {seed}: {result.tries} tries, {result.engines_ended} engines ended by the deadly "
-        f"request, {result.late_sends} late sends, {result.ended_by_varying} by bodies that "
-        f"differ; {result.rests} rests, {result.leavings} answers that say leaving, "
-        f"{len(result.limited_runs)} lives with a limit; at the end "
+        f"seed {seed}: {result.tries} requests, {result.engines_ended} engines crashed by the "
+        f"deadly request, {result.late_sends} late sends, {result.ended_by_varying} by varying "
+        f"bodies; {result.rests} cooldowns, {result.leavings} answers that announce leaving, "
+        f"{len(result.limited_runs)} incarnations with a limit; at the end "
         f"served: ordinary "
         f"{result.served[0]}/{result.served[1]}, common "
         f"{result.common_served[0]}/{result.common_served[1]}; "
--- a/scripts/tally.py
+++ b/scripts/tally.py
@@ -1,4 +1,4 @@
-"""A nose2 plugin that counts how each test ended."""
+"""A nose2 plugin that records the outcome of each test."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Tally(Plugin):  # type: ignore[misc]
-    """Collects the ids of tests by outcome."""
+    """Collects test ids by outcome."""
 
     configSection = "tally"  # noqa: N815
     alwaysOn = True  # noqa: N815
@@ -18,7 +18,7 @@
     skipped: set[str] = set()
 
     def testOutcome(self, event: Any) -> None:  # noqa: N802
-        """Note one outcome; a test that passes against its mark counts as failed."""
+        """Record one outcome; an expected failure that passes counts as failed."""
         name = event.test.id().partition(" ")[0]
         if event.outcome == "subtest":
             if event.exc_info:
--- a/scripts/write_pages.py
+++ b/scripts/write_pages.py
@@ -1,4 +1,4 @@
-"""Writes the pages that come from the code: the settings reference and the fault matrix."""
+"""Writes the pages generated from the code: the settings reference and the fault matrix."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Setting:
-    """One value of a settings file."""
+    """One key of a settings file."""
 
     name: str
     kind: str
@@ -55,7 +55,7 @@
 
 
 def pages() -> dict[str, str]:
-    """Return each page by its path."""
+    """Return the text of each page by its path."""
     return {
         "docs/configuration.md": _configuration(),
         "docs/fault-matrix.md": fault_matrix.page(),
@@ -66,8 +66,8 @@
     lines = [
         "# Configuration",
         "",
-        "Written from the settings' own definitions by `python scripts/write_pages.py`, and held",
-        "against them in CI. Each fault is told by its path.",
+        "Generated from the definitions of the settings by `python scripts/write_pages.py`, and",
+        "checked against them in CI. Each error is reported with the path of its key.",
         "",
         "## The settings tree",
         "",
@@ -76,14 +76,14 @@
         "platform's route to the root, its services and their classes, then to the team, its",
         "services and their classes; the nearest level that sets a value wins.",
         "`lotushill get team/NAME --effective SERVICE/CLASS` shows each value with the level that",
-        "it comes from. Unknown keys are errors. Edits are in force at all gateways within",
-        "seconds; `lotushill status` shows where.",
+        "it comes from. Unknown keys are errors. Edits take effect at all gateways within",
+        "seconds; `lotushill status` shows which gateways have applied them.",
         "",
     ]
     for model in _TREE:
         lines += _table(model)
-    lines += ["## The programs' own settings files", ""]
-    lines += ["`lotushill-gateway` passes over keys that it does not know.", ""]
+    lines += ["## Settings files of the programs", ""]
+    lines += ["`lotushill-gateway` ignores unknown keys.", ""]
     for model in _PROGRAMS:
         lines += _table(model)
     return "\n".join(lines).rstrip() + "\n"
@@ -123,7 +123,7 @@
 
 
 def _kind(annotation: Any) -> str:
-    """Return a type as an operator reads it."""
+    """Return the name of a type as shown to operators."""
     origin = typing.get_origin(annotation)
     if origin is typing.Annotated:
         return _kind(typing.get_args(annotation)[0])
@@ -142,7 +142,7 @@
 
 
 def _attribute_notes(model: type[Any]) -> dict[str, str]:
-    """Return the texts that stand under the fields in the source."""
+    """Return the docstrings placed below the fields in the source, by field name."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(model))).body[0]
     assert isinstance(tree, ast.ClassDef)
     notes: dict[str, str] = {}
