--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,7 +1,7 @@
-"""The tests; they mirror the source tree.
+"""Tests of lotushill; their folders mirror the source tree.
 
-Examples are derived from the tests alone, so that every run gives the same verdict. With
-LOTUSHILL_SHRINK=1 a failing example is made small, which may take minutes.
+Hypothesis derives its examples from the tests alone, so that every run gives the same result. With
+LOTUSHILL_SHRINK=1 it shrinks failing examples, which may take minutes.
 """
 
 from __future__ import annotations
--- a/tests/entries.py
+++ b/tests/entries.py
@@ -1,4 +1,4 @@
-"""Entries of upstreams as the platform's store has them."""
+"""Entries of upstreams in the form in which the platform's store contains them."""
 
 from __future__ import annotations
 
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,3 +1,3 @@
-"""A fleet of real gateways under overlapping faults, and what must hold through them."""
+"""Soak test: a fleet of real gateways under overlapping faults, and the invariants it must keep."""
 
 from __future__ import annotations
--- a/tests/soak/client.py
+++ b/tests/soak/client.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: each uses its connection until it is gone, and then another gateway's."""
+"""Clients of the soak test: each uses a connection until it closes, then picks a gateway anew."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Client:
-    """Sends one request after the other, some of them with the same body."""
+    """Sends one request after another, some of them with the same body as other clients."""
 
     _numbers = itertools.count(1)
 
@@ -49,7 +49,10 @@
         self._stream: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def run(self, pause: float, only: str = "") -> None:
-        """Send until cancelled, some `pause` seconds apart; without `only`, all ordinary kinds."""
+        """Send requests about `pause` seconds apart until cancelled.
+
+        Sends requests of kind `only`; if empty, all ordinary kinds.
+        """
         while True:
             await self._try(only or self._rng.choice(_KINDS))
             await asyncio.sleep(pause * self._rng.uniform(0.5, 1.5))
@@ -100,7 +103,7 @@
         return self._stream
 
     def close(self) -> None:
-        """Give the connection up."""
+        """Close the connection; the next request opens another."""
         if self._stream is not None:
             self._stream[1].close()
             self._stream = None
--- a/tests/soak/engine.py
+++ b/tests/soak/engine.py
@@ -1,4 +1,4 @@
-"""Engines of the soak: they come back under their names, and end under a deadly body."""
+"""Engines of the soak test: they restart under their names and crash on deadly bodies."""
 
 from __future__ import annotations
 
@@ -29,19 +29,20 @@
 _BACK_SECONDS = 1.5
 _DRAIN_SECONDS = 1.0
 _REST_DECIMALS = 2
-"""Rests are told as they are kept: one that was told 2 ms shorter looked broken by those that came
-right at its end."""
+"""Decimals of a cooldown. It is recorded as rounded in the header: with a header 2 ms shorter,
+requests that arrived right at its end looked like violations."""
 _LEAVE_SECONDS = 6.0
-"""Some time after the last request that may still be sent to one that leaves."""
+"""Delay from the announcement to the shutdown; longer than the time for which requests may still be
+sent to an engine that leaves."""
 
 
 def events(attempt: str) -> list[bytes]:
-    """Return all events of a stream."""
+    """Return all events of the stream of one attempt."""
     return [f"id: {n}\ndata: {attempt} {n}\n\n".encode() for n in range(1, _EVENTS + 1)]
 
 
 class Engine:
-    """One instance, life after life, at addresses that change."""
+    """One engine instance through all its incarnations, at changing addresses."""
 
     def __init__(self, name: str, store: MetadataStore, ledger: Ledger, rng: random.Random) -> None:
         self.name = name
@@ -53,42 +54,42 @@
         self._sheds_until = 0.0
         self._rest = 0.0
         self._leaving = ""
-        """The life that says in its answers that it leaves, empty for none."""
+        """Incarnation that announces in its answers that it leaves; empty if none."""
         self._limit = math.inf
-        """Requests a second that it says it takes, infinity for no limit."""
+        """Requests per second that the engine states as its limit; infinite for no limit."""
         self._limited = ""
-        """The life that names the limit."""
+        """Incarnation that states the limit; empty if none."""
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def life(self) -> str:
-        """Return which life this is."""
+        """Return the id of the current incarnation."""
         return f"{self.name}@{self._born}"
 
     async def start(self) -> None:
-        """Begin a life and tell of it."""
+        """Start a new incarnation and write its entry."""
         self._born = max(self._born + 1, time.time_ns() // 1_000_000)
         self._server = ScriptedUpstream([self._answer])
         await self._server.start()
         self.tell()
 
     def tell(self, **changes: object) -> None:
-        """Write the entry, with some fields changed."""
+        """Write the entry to the store, with some fields changed."""
         assert self._server is not None
         spec = entry("app", self._server.address, born=self._born, **changes)
         self._store.put(KIND, self.name, spec)
 
     def spoil(self) -> None:
-        """Overwrite the entry with what no reader can use."""
+        """Overwrite the entry with one that no reader accepts."""
         self._store.put(KIND, self.name, {"service": "app", "address": None, "slots": "many"})
 
     def tell_again(self) -> None:
-        """Write the entry as it should be, if this life goes on."""
+        """Restore the correct entry if the engine is running."""
         if self._server is not None:
             self.tell()
 
     async def end(self) -> None:
-        """End without a word, and come back after a while."""
+        """Crash without an announcement and restart after a delay."""
         if self._server is None:
             return
         server, self._server = self._server, None
@@ -96,22 +97,25 @@
         self._later(self._come_back())
 
     async def drain(self) -> None:
-        """Say that this life leaves, and end it some time later."""
+        """Mark the entry as draining and shut down after a delay."""
         if self._server is not None:
             self.tell(state="draining")
             self._later(self._end_drained())
 
     def shed(self, seconds: float) -> None:
-        """Turn all away for so long, and ask for as much rest each time."""
+        """Reject all requests for `seconds` with a Retry-After header of the same length."""
         self._rest = round(seconds, _REST_DECIMALS)
         self._sheds_until = time.monotonic() + self._rest
 
     def limit(self, rate: float) -> None:
-        """Name a limit from now on in this life, none with infinity."""
+        """State a limit in all further answers of this incarnation; infinity ends it."""
         self._limit, self._limited = rate, self.life
 
     async def leave_by_word(self) -> None:
-        """Say in answers that this life leaves, while its entry says `ready`, and end it later."""
+        """Announce only in answers that the engine leaves, and end it later.
+
+        The entry still says `ready`.
+        """
         if self._server is not None:
             self._leaving = self.life
             self._later(self._end_left(self.life))
@@ -122,7 +126,7 @@
             await self.end()
 
     async def stop(self) -> None:
-        """End for good."""
+        """Stop for the end of the test, without a restart."""
         for task in self._tasks:
             task.cancel()
         if self._server is not None:
@@ -173,7 +177,7 @@
         seen.answer_whole(f"{seen.id} done".encode(), f"200 OK{self._words(seen)}")
 
     def _words(self, seen: ReceivedRequest) -> str:
-        """Return what an answer says of its engine, as headers, and note that it was said."""
+        """Return the headers on leaving and on the limit, and record what they state."""
         now, words = time.monotonic(), ""
         if self._leaving == self.life:
             self._ledger.leavings.append(Arrival(seen.id, self.life, now))
@@ -184,7 +188,7 @@
         return words if self._limit == math.inf else f"{words}\r\nServer-Limit: {self._limit:g}"
 
     async def _stream_events(self, seen: ReceivedRequest) -> None:
-        """Send the events that come after the last one that the request names."""
+        """Send the events after the one in the request's Last-Event-ID header."""
         seen.answer(f"200 OK{self._words(seen)}\r\nTransfer-Encoding: chunked\r\n{SIGNED}")
         done = int(seen.headers.get("last-event-id") or 0)
         for event in events(seen.id)[done:]:
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -1,4 +1,4 @@
-"""The gateways of the soak: real processes that are killed, stopped, frozen and started again."""
+"""Gateways of the soak test: real processes that are killed, stopped, frozen and restarted."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 _CAUGHT = (signal.SIGHUP, signal.SIGTERM)
 _AGAIN_SECONDS = 0.3
 _ABOUT_SECONDS = 1.0
-"""Around a kill, and after standing still, in which nothing is asked of a gateway."""
+"""Margin around a kill, and after a freeze, in which a gateway is not held to any invariant."""
 
 
 @dataclass
 class Gateway:
-    """One gateway and its process of the moment."""
+    """One gateway and its current process."""
 
     name: str
     clients: str
@@ -35,11 +35,11 @@
     process: asyncio.subprocess.Process | None = None
     frozen: bool = False
     uncaught: int = 0
-    """A signal that was sent before the interpreter had come to the program's first line."""
+    """Number of a signal that was sent before the program installed its handlers; 0 if none."""
 
 
 class Gateways:
-    """Starts gateways, and starts each again that has ended."""
+    """Starts gateways and restarts each one that has ended."""
 
     def __init__(self, folder: Path, store: str, count: int) -> None:
         self._folder = folder
@@ -47,13 +47,13 @@
         self._over = False
         self.all = [self._new(f"gw-{number}", store) for number in range(count)]
         self.lines: list[dict[str, object]] = []
-        """Everything that the gateways logged."""
+        """Log lines of all gateways."""
         self.on_absence: Callable[[str, float, float], None] = lambda *_: None
-        """Hears of a gateway, by its address, that was killed or stood still between two times."""
+        """Called after a kill or freeze with the address of the gateway, its start and its end."""
         self.on_restart: Callable[[str, float], None] = lambda *_: None
-        """Hears of a gateway, by its address, that starts with nothing it knew."""
+        """Called with the address of a gateway that starts with empty state, and the time."""
         self.errors: list[str] = []
-        """Traces on standard error, and ends of their own."""
+        """Tracebacks on standard error, and processes that ended by themselves."""
 
     def _new(self, name: str, store: str) -> Gateway:
         clients, readiness = free_address(), free_address()
@@ -74,7 +74,7 @@
         return Gateway(name, clients, readiness, path)
 
     async def start(self) -> None:
-        """Start all, and return when they are ready."""
+        """Start all gateways and wait until they are ready."""
         for gateway in self.all:
             await self._start(gateway)
         for gateway in self.all:
@@ -100,27 +100,31 @@
             try:
                 self.lines.append(json.loads(line))
             except ValueError:
-                # The last line of a killed process may be cut.
+                # The last line of a killed process may be truncated.
                 continue
         if b"Traceback" in errors:
-            # A line that a peer has gone is no fault: peers are killed here.
+            # Other lines on standard error are no fault: peers are killed here, and gateways
+            # report that they are gone.
             self.errors.append(f"{gateway.name}: {errors.decode()[-2000:]}")
-        # Before its first line no program can take a signal: seen in seed 114, four times in four.
+        # Before its first line a program cannot handle a signal and is terminated by it. Seed 114
+        # showed this in four of four runs.
         allowed = (0, -signal.SIGKILL, -gateway.uncaught)
         if process.returncode not in allowed:
-            self.errors.append(f"{gateway.name}: ended by itself with {process.returncode}")
+            self.errors.append(
+                f"{gateway.name}: process ended by itself with status {process.returncode}"
+            )
         await asyncio.sleep(_AGAIN_SECONDS)
         if not self._over:
             await self._start(gateway)
 
     def kill(self, gateway: Gateway) -> None:
-        """Kill one at once."""
+        """Kill a gateway immediately."""
         now = time.monotonic()
         self.on_absence(gateway.clients, now - _ABOUT_SECONDS, now + _ABOUT_SECONDS)
         self.signal(gateway, signal.SIGKILL)
 
     def signal(self, gateway: Gateway, number: int) -> None:
-        """Send a signal to one that runs."""
+        """Send a signal to a gateway, if it is running."""
         if gateway.process is None or gateway.process.returncode is not None:
             return
         if number in _CAUGHT and not _catches(gateway.process.pid, number):
@@ -128,7 +132,7 @@
         gateway.process.send_signal(number)
 
     async def freeze(self, gateway: Gateway, seconds: float) -> None:
-        """Let one stand still for a while."""
+        """Suspend a gateway for some seconds."""
         process = gateway.process
         if process is None or gateway.frozen:
             return
@@ -142,7 +146,7 @@
             process.send_signal(signal.SIGCONT)
 
     async def end(self) -> None:
-        """End all for good."""
+        """Kill all gateways without a restart and wait for their processes."""
         self._over = True
         for gateway in self.all:
             self.signal(gateway, signal.SIGKILL)
@@ -156,7 +160,7 @@
 
 
 def _catches(pid: int, number: int) -> bool:
-    """Return whether a process takes a signal itself."""
+    """Return whether a process has a handler for a signal."""
     status = Path(f"/proc/{pid}/status").read_text(encoding="ascii")
     mask = next(line.split()[1] for line in status.splitlines() if line.startswith("SigCgt:"))
     return bool(int(mask, 16) >> (number - 1) & 1)
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What clients and engines saw, and what of it must not be."""
+"""Records what clients and engines observed, and checks it against the invariants."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 from dataclasses import field
 
 DEADLINE_SECONDS = 3.0
-"""Told with each try."""
+"""Deadline in seconds that each request states."""
 _LATE_SECONDS = 1.0
-"""What an answer may take beyond the deadline, on a machine that other runs share."""
+"""Time that an answer may take beyond the deadline, since other runs share the machine."""
 CONTACT_SECONDS = 3.0
-"""After its third engine, every gateway knows within so long that a request is held."""
+"""Time after the third engine failure within which every gateway knows that a request is held."""
 _LATE_SENDS = 3
 _ENDS_TO_KNOW = 3
 _GRACE_SECONDS = 0.5
 _SENT_IN_REST = 2
-"""After the grace, what may still be under way to an engine that asked for rest."""
+"""Maximum number of requests that may still reach an engine in cooldown after the grace period."""
 _LEAVE_SECONDS = 2.0
 _LIMIT_WINDOW = 4.0
 _LIMIT_RATIO = 1.5
 _LIMIT_SLACK = 5
-"""Of what a limit allows in a window, and beyond it, what may reach an engine that names it."""
+"""Requests that may reach an engine with a limit in one window: `_LIMIT_RATIO` times what the limit
+allows, plus `_LIMIT_SLACK`."""
 _REFUSED = frozenset((408, 421, 429, 503))
 
 
 @dataclass(frozen=True)
 class Answer:
-    """What one try of a client got; status 0 for a connection that ended without an answer."""
+    """Answer to one request of a client; status 0 if the connection ended without an answer."""
 
     attempt: str
     kind: str
@@ -37,17 +38,17 @@
     status: int
     whole: bool
     own: bool
-    """Whether signature and body are those of this very try."""
+    """Whether signature and body belong to this request."""
     gateway: str = ""
-    """Address of the gateway that it went to."""
+    """Address of the gateway that received the request."""
     ended_at: float = 0.0
     in_order: bool = True
-    """Of a stream, whether the events that came are the first ones, each once."""
+    """Whether the received events of a stream are its first ones, each once; else true."""
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request as it reached an engine."""
+    """Arrival of one request at an engine incarnation."""
 
     attempt: str
     engine: str
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Rest:
-    """One request that an engine turned away, asking for rest."""
+    """Cooldown that an engine requested when it rejected a request."""
 
     attempt: str
     engine: str
@@ -66,18 +67,18 @@
 
 @dataclass(frozen=True)
 class LimitWord:
-    """One answer of an engine, by when it was sent, with the limit that it names."""
+    """Limit that an engine stated in one answer, with the time at which the answer was sent."""
 
     attempt: str
     engine: str
     at: float
     rate: float
-    """Requests a second, infinity where it names none."""
+    """Limit in requests per second; infinite if the answer states none."""
 
 
 @dataclass(frozen=True)
 class Absence:
-    """A time in which a gateway was killed, or stood still."""
+    """Period in which a gateway was killed or frozen."""
 
     gateway: str
     since: float
@@ -86,7 +87,7 @@
 
 @dataclass
 class Ledger:
-    """Everything that was seen; times are seconds of one clock."""
+    """All observations of a run; times are seconds of one monotonic clock."""
 
     answers: list[Answer] = field(default_factory=list)
     runs: list[Arrival] = field(default_factory=list)
@@ -95,21 +96,21 @@
     varying_sends: list[float] = field(default_factory=list)
     varying_ends: list[float] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    """All that reached an engine, run or not."""
+    """Requests that reached an engine, whether they were run or rejected."""
     rests: list[Rest] = field(default_factory=list)
     leavings: list[Arrival] = field(default_factory=list)
-    """Answers in which an engine said that it leaves, by when it was said."""
+    """Answers in which an engine announced that it leaves, with the time of the announcement."""
     limit_words: list[LimitWord] = field(default_factory=list)
     absences: list[Absence] = field(default_factory=list)
     restarts: list[Absence] = field(default_factory=list)
-    """Starts of gateways, which know nothing of before."""
+    """Starts of gateways, which begin with empty state."""
     odd_requests: int = 0
-    """Requests that came to an address which only an odd entry names."""
+    """Number of requests sent to the decoy, whose address only malformed entries contain."""
 
     def faults(self) -> list[str]:
-        """Return what broke a promise, whatever the faults of the run."""
+        """Return violations of the invariants, which hold under every fault of the run."""
         found = [
-            f"{answer.attempt}: an answer that is not its own"
+            f"{answer.attempt}: answered with the response of another request"
             for answer in self.answers
             if answer.status == 200 and answer.whole and not answer.own
         ]
@@ -118,26 +119,28 @@
             if answer.kind == "once" and runs[answer.attempt] > 1:
                 found.append(f"{answer.attempt}: ran {runs[answer.attempt]} times")
             if answer.kind == "once" and answer.status in _REFUSED and runs[answer.attempt]:
-                found.append(f"{answer.attempt}: refused with {answer.status} though it ran")
+                found.append(f"{answer.attempt}: refused with {answer.status} although it ran")
         found += [
-            f"{answer.attempt}: a stream whose events are not in order"
+            f"{answer.attempt}: stream events out of order"
             for answer in self.answers
             if not answer.in_order
         ]
-        found += [f"{answer.attempt}: ran, and got no answer" for answer in self._lost(runs)]
-        found += [f"{answer.attempt}: answered late" for answer in self._late()]
+        found += [
+            f"{answer.attempt}: ran without an answer to the client" for answer in self._lost(runs)
+        ]
+        found += [f"{answer.attempt}: answered after the deadline" for answer in self._late()]
         found += self._broken_rests() + self._sent_to_leaving() + self.over_limits()
         if self.odd_requests:
-            found.append(f"{self.odd_requests} requests sent where only an odd entry points")
+            found.append(f"{self.odd_requests} requests sent to an address from a malformed entry")
         late = self.late_sends()
         if late > _LATE_SENDS:
             found.append(
-                f"a request under which three engines had ended was sent {late} times more"
+                f"a request under which three engines had failed was sent {late} more times"
             )
         return found
 
     def _broken_rests(self) -> list[str]:
-        """Return rests in which the same gateway sent more than may have been under way."""
+        """Return cooldowns in which the notified gateway sent more than was in transit."""
         gateways = {answer.attempt: answer.gateway for answer in self.answers}
         found = []
         for rest in self.rests:
@@ -152,11 +155,13 @@
                 for item in self.arrivals
             )
             if sent > _SENT_IN_REST:
-                found.append(f"{rest.engine}: {sent} requests in a rest of {rest.seconds:.1f} s")
+                found.append(
+                    f"{rest.engine}: {sent} requests in a cooldown of {rest.seconds:.1f} s"
+                )
         return found
 
     def _sent_to_leaving(self) -> list[str]:
-        """Return requests that were sent to an engine long after it said that it leaves."""
+        """Return requests that were sent to an engine long after it announced that it leaves."""
         answers = {answer.attempt: answer for answer in self.answers}
         said: dict[tuple[str, str], float] = {}
         for item in self.leavings:
@@ -173,11 +178,13 @@
             if at is None or answer.sent_at <= at + _LEAVE_SECONDS:
                 continue
             if not self._has_forgotten(answer.gateway, at, item.at):
-                found.append(f"{item.attempt}: sent to {item.engine}, which had said it leaves")
+                found.append(
+                    f"{item.attempt}: sent to {item.engine}, which had announced that it leaves"
+                )
         return found
 
     def over_limits(self) -> list[str]:
-        """Return engines that got more than they had named, all gateways that knew together."""
+        """Return engines that got more than their limit from all notified gateways together."""
         found = []
         for engine in sorted({word.engine for word in self.limit_words if word.rate < math.inf}):
             words = sorted(
@@ -196,12 +203,12 @@
         return found
 
     def limited_runs(self) -> dict[str, int]:
-        """Return how many requests ran at each engine that ever named a limit."""
+        """Return how many requests ran at each engine that ever stated a limit."""
         limited = {word.engine for word in self.limit_words if word.rate < math.inf}
         return {engine: sum(run.engine == engine for run in self.runs) for engine in limited}
 
     def _sent_by_told(self, engine: str, words: list[LimitWord]) -> list[float]:
-        """Return when requests reached an engine from gateways that had passed on its limit."""
+        """Return arrival times of requests from gateways that had relayed the limit."""
         gateways = {answer.attempt: answer.gateway for answer in self.answers}
         sent = []
         for item in self.arrivals:
@@ -220,7 +227,7 @@
         return sorted(sent)
 
     def _has_forgotten(self, gateway: str, since: float, until: float) -> bool:
-        """Return whether a gateway was away, or started anew, in some time."""
+        """Return whether a gateway was absent or restarted, and so lost state, in a period."""
         started = any(
             item.gateway == gateway and since <= item.since <= until for item in self.restarts
         )
@@ -233,7 +240,7 @@
         )
 
     def _lost(self, runs: Counter[str]) -> list[Answer]:
-        """Return tries that ran and ended without an answer, though their gateway was there."""
+        """Return requests that ran and got no answer although their gateway was available."""
         return [
             answer
             for answer in self.answers
@@ -241,7 +248,7 @@
         ]
 
     def _late(self) -> list[Answer]:
-        """Return tries that waited beyond their deadline, though their gateway was there."""
+        """Return requests answered after their deadline although their gateway was available."""
         return [
             answer
             for answer in self.answers
@@ -253,19 +260,19 @@
         return self._was_away(answer.gateway, answer.sent_at, answer.ended_at)
 
     def late_sends(self) -> int:
-        """Return how often the deadly request reached engines after all must have known."""
+        """Return how often the deadly request reached engines after all gateways must hold it."""
         if len(self.deadly_ends) < _ENDS_TO_KNOW:
             return 0
         known = sorted(self.deadly_ends)[_ENDS_TO_KNOW - 1] + CONTACT_SECONDS
         return sum(at > known for at in self.deadly_sends)
 
     def served(self, kind: str, since: float) -> tuple[int, int]:
-        """Return how many tries of a kind were served of those sent since a time."""
+        """Return how many requests of a kind were served and how many sent since a time."""
         tries = [item for item in self.answers if item.kind == kind and item.sent_at >= since]
         return sum(item.status == 200 and item.own for item in tries), len(tries)
 
     def engines_used(self, since: float) -> set[str]:
-        """Return the engines that ran anything since a time."""
+        """Return the engine incarnations that ran any request since a time."""
         used: defaultdict[str, int] = defaultdict(int)
         for run in self.runs:
             if run.at >= since:
@@ -274,7 +281,7 @@
 
 
 def _rate_around(words: list[LimitWord], start: float) -> float:
-    """Return the highest limit that held in a window, or was about to end when it began."""
+    """Return the highest limit stated in a window, or last before it."""
     before = [word for word in words if word.at < start]
     within = [word.rate for word in words if start <= word.at < start + _LIMIT_WINDOW]
     return max(within + [word.rate for word in before[-1:]])
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,4 +1,4 @@
-"""What happens to the fleet and when, drawn from a seed."""
+"""Fault plan of a soak run, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 from enum import Enum
 
 QUIET_SECONDS = 5.0
-"""At the end nothing more happens for so long, so that what is served then can be judged."""
+"""Time at the end of a run without new faults, in which the fraction of served requests is
+measured."""
 _LONGEST_FAULT = 3.0
 
 
 class Deed(Enum):
-    """One thing that happens."""
+    """Kind of a step in the plan."""
 
     KILL_GATEWAY = "kill a gateway"
-    STOP_GATEWAY = "stop a gateway as planned"
-    FREEZE_GATEWAY = "let a gateway stand still"
-    RELOAD_GATEWAY = "let a gateway read its settings again"
+    STOP_GATEWAY = "shut down a gateway as planned"
+    FREEZE_GATEWAY = "freeze a gateway"
+    RELOAD_GATEWAY = "reload the settings of a gateway"
     KILL_ALL_GATEWAYS = "kill all gateways"
-    END_ENGINE = "end an engine"
+    END_ENGINE = "crash an engine"
     DRAIN_ENGINE = "drain an engine, then end it"
-    PUT_ODD_ENTRY = "put an entry of another writer"
-    SPOIL_ENTRY = "spoil the entry of an engine for a while"
-    CHANGE_CONFIGURATION = "put another configuration"
-    TROUBLE_STORE = "let the store be in trouble for a while"
-    SHED_ENGINE = "let an engine turn all away and ask for rest"
-    SHED_ALL_ENGINES = "let all engines turn all away and ask for rest"
-    LIMIT_ENGINE = "let an engine name a limit for all gateways together"
-    LIMIT_ALL_ENGINES = "let all engines name such a limit"
-    LIFT_LIMITS = "let no engine name a limit any more"
-    LEAVE_BY_WORD = "let an engine say in its answers alone that it leaves, then end it"
+    PUT_ODD_ENTRY = "write a malformed entry, as another writer might"
+    SPOIL_ENTRY = "make the entry of an engine unusable for a while"
+    CHANGE_CONFIGURATION = "publish another configuration"
+    TROUBLE_STORE = "inject a store fault for a while"
+    SHED_ENGINE = "make an engine reject all requests with a cooldown"
+    SHED_ALL_ENGINES = "make all engines reject all requests with a cooldown"
+    LIMIT_ENGINE = "make an engine state a limit for all gateways together"
+    LIMIT_ALL_ENGINES = "make all engines state such a limit"
+    LIFT_LIMITS = "end the limits of all engines"
+    LEAVE_BY_WORD = "make an engine announce only in answers that it leaves, then end it"
 
 
 _WEIGHTS = {
@@ -54,18 +55,21 @@
 
 @dataclass(frozen=True)
 class Step:
-    """A deed at some second; `pick` chooses among what there is then, `seconds` how long."""
+    """A planned step, at a time in seconds from the start of the run.
+
+    `pick` selects its target among the gateways, engines or variants; `seconds` is its duration.
+    """
 
     at: float
     deed: Deed
     pick: int
     seconds: float
     rate: float = 0.0
-    """Of a limit, in requests a second."""
+    """Stated limit in requests per second."""
 
 
 def draw(seed: int, seconds: float) -> list[Step]:
-    """Return steps that come in series and overlap; all gateways are killed once in the middle."""
+    """Return steps in overlapping series; all gateways are killed once, near the middle."""
     rng = random.Random(seed)
     steps = [Step(seconds * 0.4, Deed.KILL_ALL_GATEWAYS, 0, 0.0)]
     at = 2.0
@@ -80,7 +84,7 @@
 
 
 def draw_words(seed: int, seconds: float) -> list[Step]:
-    """Return steps in which engines say something of themselves, beside those of `draw`."""
+    """Return steps in which engines reject requests or leave, in addition to those of `draw`."""
     rng = random.Random(f"{seed} words")
     steps = []
     at = 2.0
@@ -92,9 +96,10 @@
 
 
 def draw_limits(seed: int, seconds: float) -> list[Step]:
-    """Return steps in which engines name limits and end them, which all are before the end.
+    """Return steps in which engines state limits; all limits end before the quiet time.
 
-    The end of a limit of one request in five seconds is heard with the next one.
+    The last step leaves time for a request after it: gateways learn of the end of a limit with the
+    next answer, and the lowest limit permits one request in five seconds.
     """
     rng = random.Random(f"{seed} limits")
     steps = []
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a plan, real gateways, engines that come and go, and clients throughout."""
+"""One soak run: a fault plan, real gateways, engines that restart, and clients throughout."""
 
 from __future__ import annotations
 
@@ -54,41 +54,41 @@
     {"born": 1.5},
     {"coldRemainingMs": -1},
 )
-"""Fields of entries that name no engine; the address of each leads to a decoy where it has one."""
+"""Fields that make an entry malformed; entries with a usable address point to a decoy."""
 _TROUBLES = (StoreFault.BUSY, StoreFault.SILENT, StoreFault.MANY)
 
 
 @dataclass(frozen=True)
 class Result:
-    """What a run showed."""
+    """Outcome of a soak run."""
 
     faults: list[str]
     errors: list[str]
     late_sends: int
     engines_ended: int
-    """By the deadly request."""
+    """Number of engines crashed by the deadly request."""
     ended_by_varying: int
-    """By requests whose deadly bodies differ."""
+    """Number of engines crashed by deadly requests with varying bodies."""
     rests: int
     leavings: int
     limited_runs: dict[str, int]
-    """Runs at each engine that ever named a limit."""
+    """Requests run at each engine incarnation that ever stated a limit."""
     served: tuple[int, int]
-    """Of ordinary requests at the end: served, and sent."""
+    """Ordinary requests in the quiet time at the end: number served, number sent."""
     common_served: tuple[int, int]
     idle_engines: set[str]
-    """Names of engines that got nothing at the end."""
+    """Names of engines that received no requests in the quiet time."""
     tries: int
 
     @property
     def share(self) -> float:
-        """Return which share of ordinary and common requests was served at the end."""
+        """Return the fraction of ordinary and common requests that were served at the end."""
         served = self.served[0] + self.common_served[0]
         return served / max(1, self.served[1] + self.common_served[1])
 
 
 class Soak:
-    """Everything that one run needs."""
+    """Store, engines, gateways and clients of one run."""
 
     def __init__(
         self,
@@ -98,10 +98,12 @@
         limits: bool = False,
         plan: list[Step] | None = None,
     ) -> None:
-        """Play `seed`; with `words`, engines shed and leave, and a second caller varies its bodies.
+        """Prepare a run with the plan drawn from `seed`.
 
-        With `limits` engines name limits as well. Without these a seed plays as it did before there
-        were any. With a `plan` of its own a run has ordinary callers alone.
+        With `words`, engines reject requests and announce that they leave, and a second client
+        sends deadly requests with varying bodies. With `limits`, engines state limits as well.
+        Neither changes the other steps of a seed. With an explicit `plan`, only ordinary clients
+        send requests.
         """
         self._words = words and plan is None
         self._deadly = plan is None
@@ -125,7 +127,7 @@
         self._own_faults: list[str] = []
 
     async def run(self) -> Result:
-        """Run to the end and return what was seen."""
+        """Run the plan to its end and return the outcome."""
         serving = asyncio.create_task(self._server.serve())
         await self._server.wait_started()
         await self._decoy.start()
@@ -206,8 +208,6 @@
     def _note_restart(self, gateway: str, at: float) -> None:
         self._ledger.restarts.append(Absence(gateway, at, at))
 
-    # Deeds
-
     async def _do(self, step: Step) -> None:
         assert self._gateways is not None
         gateway = self._gateways.all[step.pick % _GATEWAYS]
@@ -291,4 +291,4 @@
     def _finished(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._own_faults.append(f"the soak itself: {task.exception()!r}")
+            self._own_faults.append(f"task of the soak test failed: {task.exception()!r}")
--- a/tests/soak/test_limits.py
+++ b/tests/soak/test_limits.py
@@ -1,9 +1,9 @@
-"""Engines named a limit for all gateways together, and got many times as much.
+"""Limits stated by engines hold for all gateways together.
 
-Nothing read what the answers said: requests were placed as before, by four gateways that had each
-passed the limit on. At a limit of one a second two engines of eight got 14 and 21 requests in 4 s,
-where 11 may be; with nine gateways before nine engines on a working day it was 12 to 15. The
-engine alone knows what it bears, and nobody else says it: it turns nothing away.
+Guards against gateways that ignore the limit in an answer and place requests as before. Four
+gateways, each of which had passed the limit on to clients, then sent 14 and 21 requests in 4 s to
+two of eight engines with a limit of one per second, where 11 are allowed; nine gateways with nine
+engines sent 12 to 15 on a working day. Only the engine knows its capacity, and it rejects nothing.
 """
 
 from __future__ import annotations
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak; `scripts/soak.py` makes long ones of many seeds."""
+"""Short soak runs; `scripts/soak.py` makes long runs with many seeds."""
 
 from __future__ import annotations
 
--- a/tests/test_break_rules.py
+++ b/tests/test_break_rules.py
@@ -1,4 +1,8 @@
-"""What `scripts/break_rules.py` breaks stands in the code, so that each proof can be shown."""
+"""The code that `scripts/break_rules.py` replaces occurs in the sources.
+
+Guards against entries that stay behind when the code they quote changes: their rule could then no
+longer be broken, and nothing would show that its tests detect that.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 
 
 class TestBreaks(unittest.TestCase):
-    def test_each_names_code_that_is_there(self) -> None:
+    def test_every_entry_quotes_existing_code(self) -> None:
         gone = [
             item.rule
             for item in BREAKS
--- a/tests/test_directions.py
+++ b/tests/test_directions.py
@@ -1,4 +1,7 @@
-"""Packages use those below them alone, and modules have no circles; types count as well."""
+"""Packages import only from layers below them, and no imports are circular.
+
+Imports for type annotations count as well.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +25,13 @@
     ("gateway",),
     ("console",),
 )
-"""From the lowest; a package uses those of lower lines, and of its own line where that is no
-circle."""
+"""Layers from the lowest up. A package may import from lower layers, and from its own layer where
+that is not circular."""
 IMPORT = re.compile(rf"^\s*from ({PACKAGE}[\w.]*) import (\w+)", re.MULTILINE)
 
 
 def modules() -> dict[str, str]:
-    """Return the text of each module by its name."""
+    """Return the source text of each module by its name."""
     found = {}
     for path in SOURCE.rglob("*.py"):
         name = ".".join(path.relative_to(SOURCE).with_suffix("").parts)
@@ -37,7 +40,7 @@
 
 
 def imports(texts: dict[str, str]) -> dict[str, set[str]]:
-    """Return which modules each module names."""
+    """Return the modules that each module imports."""
     found = {}
     for name, text in texts.items():
         named = {
@@ -57,13 +60,13 @@
         self.imports = imports(modules())
         self.layers = {name: number for number, line in enumerate(LAYERS) for name in line}
 
-    def test_every_package_has_its_place(self) -> None:
+    def test_every_package_is_in_a_layer(self) -> None:
         found = {package(name) for name in self.imports if "." in name}
         self.assertEqual(set(self.layers), found)
 
-    def test_no_package_uses_one_above_it(self) -> None:
+    def test_no_package_imports_from_a_higher_layer(self) -> None:
         wrong = [
-            f"{name} uses {used}"
+            f"{name} imports {used}"
             for name, named in self.imports.items()
             if "." in name
             for used in named
@@ -71,11 +74,11 @@
         ]
         self.assertEqual([], wrong)
 
-    def test_no_module_reaches_itself(self) -> None:
+    def test_no_module_imports_are_circular(self) -> None:
         circles = [name for name in self.imports if name in self.reached(name)]
         self.assertEqual([], circles)
 
-    def test_nor_does_a_package(self) -> None:
+    def test_no_package_imports_are_circular(self) -> None:
         uses: dict[str, set[str]] = {}
         for name, named in self.imports.items():
             if "." in name:
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages that are written from the code are what the code says now."""
+"""Generated pages match the code that they are generated from."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
             held = (ROOT / path).read_text(encoding="utf-8")
             self.assertEqual(held, text, f"{path}: run `python scripts/write_pages.py`")
 
-    def test_every_proof_is_a_test(self) -> None:
+    def test_every_proof_is_an_existing_test(self) -> None:
         for promise in PROMISES:
             for case in promise.cases:
                 for name in case.proofs:
@@ -29,7 +29,7 @@
                     found = getattr(importlib.import_module(module), klass)
                     self.assertTrue(callable(getattr(found, method, None)), name)
 
-    def test_what_is_open_says_why(self) -> None:
+    def test_every_case_without_proofs_has_a_reason(self) -> None:
         for promise in PROMISES:
             for case in promise.cases:
                 self.assertTrue(case.proofs or case.note, f"{promise.text} {case.fault}")
