--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -1,18 +1,19 @@
-"""The promises of the product, the faults that may come, and the test that proves each.
+"""The product's promises, the faults that may occur, and the tests that prove each promise.
 
-docs/fault-matrix.md is written from this module, and a test holds it against the tests.
+docs/fault-matrix.md is generated from this module, and tests.test_pages checks that the page is up
+to date and that the tests named here exist.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-_PATH = "tests.requests.test_request_path"
+_REQUEST_PATH = "tests.requests.test_request_path"
 _STORE = "tests.platform.test_object_store"
 _MEMBER = "tests.membership.test_membership.TestMembership"
 _FLEET = "tests.placement.test_fleet.TestEngines"
 _TIERS = "tests.requests.test_tiers"
-_WAITING = "tests.scheduling.test_queueing_client.TestWaiting"
+_QUEUEING = "tests.scheduling.test_queueing_client.TestQueueing"
 _CLIENT = "tests.scheduling.test_placement_client.TestPlacementClient"
 _LOAD = "tests.scheduling.test_shared_load.TestSharedLoad"
 _EDITOR = "tests.contracts.test_editor.TestEditor"
@@ -20,30 +21,30 @@
 _VIEWS = "tests.views.test_views"
 _DUTIES = "tests.duties.test_duty_runner.TestDuties"
 _LEASE = "tests.duties.test_lease.TestLease"
-_TIME = "tests.duties.test_true_time.TestTrueTime"
+_TRUE_TIME = "tests.duties.test_true_time.TestTrueTime"
 _REPLAY = "tests.load.policy.test_replay.TestBursts"
 _RETURNS = "tests.load.policy.test_replay.TestReturns"
-_RETURN_NEWS = "tests.peering.test_return_gossip.TestReturnGossip"
+_RETURN_GOSSIP = "tests.peering.test_return_gossip.TestReturnGossip"
 _QUARANTINE = "tests.requests.test_quarantine"
-_HELD = "tests.quarantine.test_quarantine.TestQuarantine"
+_HOLDS = "tests.quarantine.test_quarantine.TestQuarantine"
 _HOLD_STORE = "tests.quarantine.test_hold_store.TestHoldStore"
 _ENTRIES = "tests.platform.test_upstreams"
-_ASLEEP = "tests.requests.test_suspension"
-_REST = "tests.requests.test_cooldowns"
-_RESTS = "tests.availability.test_cooldowns"
+_SUSPENSION = "tests.requests.test_suspension"
+_COOLDOWN = "tests.requests.test_cooldowns"
+_COOLDOWNS = "tests.availability.test_cooldowns"
 _LEAVING = "tests.requests.test_leaving.TestOneGateway"
-_LEAVING_NEWS = "tests.peering.test_leaving_gossip.TestLeavingGossip"
+_LEAVING_GOSSIP = "tests.peering.test_leaving_gossip.TestLeavingGossip"
 _LIMIT = "tests.requests.test_limit.TestOneGateway"
-_LIMITS = "tests.load.limits.test_emulated_fleet"
+_FLEET_LIMITS = "tests.load.limits.test_emulated_fleet"
 _MOVES = "tests.requests.test_moves.TestMoves"
 _TEAMS = "tests.load.policy.test_teams"
 _TEAM_LIMITS = "tests.limits.test_team_limits.TestTeamLimits"
-_WARD = "tests.requests.test_isolation_policy.TestWard"
+_ISOLATION = "tests.requests.test_isolation_policy.TestIsolationPolicy"
 
 
 @dataclass(frozen=True)
 class Case:
-    """One fault under one promise; without proofs it is open, and `note` says why."""
+    """One fault under one promise; open if it has no proofs, with the reason in `note`."""
 
     fault: str
     proofs: tuple[str, ...] = ()
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True)
 class Promise:
-    """What must hold, the rules of the users that it covers, and its cases."""
+    """One guarantee, the users' rules that it covers, and its cases."""
 
     text: str
     rules: str
@@ -61,56 +62,60 @@
 
 PROMISES = (
     Promise(
-        "Each client gets the whole answer to its own request, or none that looks whole.",
+        "Each client gets the complete answer to its own request, or none that looks complete.",
         "MIXED, ORDER",
         (
             Case(
-                "an answer cut short, or bytes that are none",
+                "a truncated answer, or bytes that are not an answer",
                 (
-                    f"{_PATH}.TestWholeAnswers.test_an_answer_cut_short_is_no_success",
-                    f"{_PATH}.TestWholeAnswers.test_bytes_that_are_no_answer_are_no_success",
+                    f"{_REQUEST_PATH}.TestCompleteAnswers.test_a_truncated_answer_is_not_a_success",
+                    f"{_REQUEST_PATH}.TestCompleteAnswers.test_malformed_answer_bytes_are_not_a_success",
                 ),
             ),
             Case(
                 "an answer without length, ended or reset",
                 (
-                    f"{_PATH}.TestWholeAnswers.test_an_answer_without_length_ends_with_its_connection",
-                    f"{_PATH}.TestWholeAnswers.test_an_answer_without_length_that_is_reset_is_not_whole",
+                    f"{_REQUEST_PATH}.TestCompleteAnswers.test_an_answer_without_length_ends_with_its_connection",
+                    f"{_REQUEST_PATH}.TestCompleteAnswers.test_a_reset_answer_without_length_is_not_complete",
                 ),
             ),
             Case(
                 "an encoded body",
-                (f"{_PATH}.TestWholeAnswers.test_an_encoded_body_is_not_the_upstreams",),
+                (f"{_REQUEST_PATH}.TestCompleteAnswers.test_an_encoded_body_is_not_forwarded",),
             ),
             Case(
-                "surplus answers, at once or late",
+                "surplus answers, immediate or late",
                 (
-                    f"{_PATH}.TestWholeAnswers.test_a_surplus_answer_is_not_given_to_the_next_request",
-                    f"{_PATH}.TestWholeAnswers."
-                    "test_a_late_surplus_answer_in_the_place_of_the_next_is_passed_over",
+                    f"{_REQUEST_PATH}.TestCompleteAnswers.test_a_surplus_answer_is_not_given_to_the_next_request",
+                    f"{_REQUEST_PATH}.TestCompleteAnswers."
+                    "test_a_late_surplus_answer_before_the_next_one_is_skipped",
                 ),
             ),
             Case(
                 "several requests on one connection",
                 (
-                    f"{_PATH}.TestWholeAnswers.test_two_requests_on_one_connection_get_their_own_answers",
+                    f"{_REQUEST_PATH}.TestCompleteAnswers.test_two_requests_on_one_connection_get_their_own_answers",
                 ),
             ),
             Case(
-                "a stream broken within an event",
+                "a stream interrupted within an event",
                 (
                     "tests.requests.test_event_stream.TestEventSplitter."
-                    "test_a_resumed_run_does_not_repeat_what_a_broken_one_left",
-                    f"{_PATH}.TestStreams.test_a_stream_goes_on_after_the_last_whole_event",
+                    "test_a_resumed_run_does_not_repeat_the_partial_event_of_a_broken_one",
+                    f"{_REQUEST_PATH}.TestStreams.test_a_stream_continues_after_the_last_complete_event",
                 ),
             ),
             Case(
-                "a broken stream that may not be resumed",
-                (f"{_PATH}.TestStreams.test_a_stream_that_may_not_be_resumed_is_visibly_cut_off",),
+                "an interrupted stream that may not be resumed",
+                (
+                    f"{_REQUEST_PATH}.TestStreams.test_a_stream_that_may_not_be_resumed_is_visibly_truncated",
+                ),
             ),
             Case(
-                "a broken stream whose memory was copied to another upstream",
-                (f"{_PATH}.TestStreams.test_a_stream_with_a_copy_goes_on_there_as_the_same_run",),
+                "an interrupted stream with a backup of its memory at another upstream",
+                (
+                    f"{_REQUEST_PATH}.TestStreams.test_a_stream_with_a_backup_continues_there_as_the_same_run",
+                ),
             ),
         ),
     ),
@@ -121,85 +126,91 @@
             Case(
                 "forged headers",
                 (
-                    f"{_PATH}.TestForwarding."
-                    "test_method_target_and_body_are_unchanged_and_the_key_stays_here",
+                    f"{_REQUEST_PATH}.TestForwarding."
+                    "test_method_target_and_body_are_unchanged_and_the_key_is_removed",
                     "tests.platform.test_request_head.TestForwarded."
-                    "test_the_key_the_forged_team_and_the_hop_stay_here",
+                    "test_the_key_the_forged_team_and_hop_headers_are_not_forwarded",
                 ),
             ),
-            Case("a chunked body", (f"{_PATH}.TestForwarding.test_a_chunked_body_arrives_whole",)),
             Case(
-                "an address used again by another service",
+                "a chunked body",
+                (f"{_REQUEST_PATH}.TestForwarding.test_a_chunked_body_arrives_complete",),
+            ),
+            Case(
+                "an address reused by another service",
                 (
-                    "tests.platform.test_upstream_answer.TestNotExecuted.test_what_promises_that_nothing_ran",
+                    "tests.platform.test_upstream_answer.TestNotExecuted.test_which_answers_state_that_nothing_ran",
                 ),
             ),
         ),
     ),
     Promise(
-        "What may not be repeated runs at most once, and what is refused has not run.",
+        "A request that may not be repeated runs at most once, and a refused request has not run.",
         "TWICE, REFUSED",
         (
             Case(
                 "a reset after the first byte",
-                (f"{_PATH}.TestAtMostOnce.test_after_a_reset_what_may_not_be_repeated_is_not",),
+                (
+                    f"{_REQUEST_PATH}.TestAtMostOnce.test_after_a_reset_a_request_that_may_run_once_is_not_retried",
+                ),
             ),
             Case(
-                "a broken stream whose copy is missing",
+                "an interrupted stream whose backup is missing",
                 (
-                    f"{_PATH}.TestStreams."
-                    "test_a_stream_whose_copy_is_missing_is_cut_and_not_run_again",
+                    f"{_REQUEST_PATH}.TestStreams."
+                    "test_a_stream_whose_backup_is_missing_is_truncated_and_not_run_again",
                 ),
             ),
             Case(
                 "an upstream that is full",
                 (
-                    f"{_PATH}.TestAtMostOnce."
-                    "test_a_rejection_is_tried_elsewhere_and_then_told_as_not_run",
+                    f"{_REQUEST_PATH}.TestAtMostOnce."
+                    "test_a_rejection_is_retried_elsewhere_and_then_reported_as_not_run",
                 ),
             ),
             Case(
-                "a dead upstream", (f"{_PATH}.TestAtMostOnce.test_a_dead_upstream_costs_no_repeat",)
+                "an unreachable upstream",
+                (f"{_REQUEST_PATH}.TestAtMostOnce.test_an_unreachable_upstream_spends_no_retry",),
             ),
             Case(
-                "time is up",
+                "the request times out",
                 (
-                    f"{_PATH}.TestTime."
-                    "test_when_time_is_up_the_answer_does_not_promise_that_nothing_ran",
+                    f"{_REQUEST_PATH}.TestTime."
+                    "test_after_a_timeout_the_answer_does_not_state_that_nothing_ran",
                 ),
             ),
             Case(
-                "the tree allows what the platform forbids",
+                "the settings tree allows more attempts than the platform",
                 (
                     "tests.contracts.test_effective.TestInheritance."
-                    "test_the_tree_never_widens_how_often_a_request_may_run",
+                    "test_the_settings_tree_never_increases_the_number_of_attempts",
                 ),
             ),
         ),
     ),
     Promise(
-        "Repeats stay within the route's bound and the fleet's budget, in every window.",
+        "Retries stay within the route's bound and the fleet's budget, in every window.",
         "BUDGET",
         (
             Case(
                 "many upstreams fail",
                 (
-                    f"{_PATH}.TestAtMostOnce.test_never_more_upstreams_than_the_route_allows",
-                    f"{_PATH}.TestAtMostOnce.test_without_budget_nothing_is_repeated",
+                    f"{_REQUEST_PATH}.TestAtMostOnce.test_never_more_upstreams_than_the_route_allows",
+                    f"{_REQUEST_PATH}.TestAtMostOnce.test_without_retry_budget_nothing_is_retried",
                 ),
             ),
             Case(
-                "all gateways repeat at once",
+                "all gateways retry at once",
                 (
                     "tests.requests.test_retry_budget.TestRetryBudget."
-                    "test_gateways_that_each_take_all_they_can_stay_within_it_together",
+                    "test_gateways_that_each_spend_the_maximum_stay_within_the_budget",
                 ),
             ),
             Case(
-                "gateways cut off from each other, or newly started",
+                "partitioned or newly started gateways",
                 (
                     "tests.requests.test_retry_budget.TestFleetOfBudgets."
-                    "test_the_sum_holds_while_gateways_come_and_start_again",
+                    "test_the_sum_stays_within_the_budget_while_gateways_join_and_restart",
                     "tests.requests.test_retry_budget.TestFleetOfBudgets."
                     "test_without_the_number_of_gateways_only_the_share_of_own_requests_is_spent",
                 ),
@@ -207,41 +218,41 @@
         ),
     ),
     Promise(
-        "A request that waits for room is placed once, or refused while that still helps.",
+        "A queued request is placed once, or refused while the client can still use the refusal.",
         "TIER",
         (
             Case(
-                "its holder is killed, frozen or cut off",
+                "the scheduler that queues it is killed, frozen or partitioned",
                 (
-                    f"{_WAITING}.test_a_lost_scheduler_is_passed_over_and_the_time_waited_is_kept",
-                    f"{_WAITING}.test_a_late_placement_by_a_frozen_scheduler_is_given_up",
+                    f"{_QUEUEING}.test_a_lost_scheduler_is_passed_over_and_the_time_waited_is_kept",
+                    f"{_QUEUEING}.test_a_late_placement_by_a_frozen_scheduler_is_given_up",
                 ),
             ),
             Case(
-                "an ask or an answer is lost, comes twice or late",
+                "a query or an answer is lost, duplicated or late",
                 (
-                    f"{_WAITING}.test_one_lost_datagram_costs_no_place",
-                    f"{_WAITING}.test_a_lost_answer_is_repeated_on_the_next_renewal",
-                    f"{_WAITING}.test_an_answer_that_crosses_a_renewal_is_used_once",
+                    f"{_QUEUEING}.test_one_lost_datagram_does_not_lose_the_place_in_the_queue",
+                    f"{_QUEUEING}.test_a_lost_answer_is_repeated_on_the_next_renewal",
+                    f"{_QUEUEING}.test_an_answer_that_crosses_a_renewal_is_used_once",
                 ),
             ),
             Case(
-                "its client or its gateway leaves",
+                "its client disconnects or its gateway leaves",
                 (
-                    f"{_WAITING}.test_the_queue_entry_is_given_up_when_the_client_leaves",
+                    f"{_QUEUEING}.test_the_queue_entry_is_given_up_when_the_client_leaves",
                     "tests.scheduling.test_placement_responder.TestPlacementResponder."
                     "test_requests_of_a_gateway_that_has_left_are_not_placed",
                 ),
             ),
             Case(
-                "more wait than there is room for",
+                "the queue is full",
                 (
                     "tests.scheduling.test_placement_responder.TestPlacementResponder."
                     "test_a_request_is_refused_at_once_when_the_queue_is_full",
                 ),
             ),
             Case(
-                "a hall of engines is withdrawn before a burst",
+                "the engines of a hall are withdrawn before a burst",
                 (
                     "tests.load.policy.test_replay.TestWithdrawn."
                     "test_urgent_ones_do_not_get_nothing_while_longer_ones_begin",
@@ -250,19 +261,21 @@
         ),
     ),
     Promise(
-        "A client that leaves frees its upstream; one that stays has an answer in its time.",
+        "A client that disconnects frees its upstream; one that stays gets an answer in time.",
         "GONE, CONFIG",
         (
             Case(
-                "a client leaves",
-                (f"{_PATH}.TestTime.test_a_client_that_leaves_ends_the_work_of_the_upstream",),
+                "a client disconnects",
+                (
+                    f"{_REQUEST_PATH}.TestTime.test_a_client_disconnect_ends_the_work_of_the_upstream",
+                ),
             ),
             Case(
-                "a deadline shorter than the route's time",
-                (f"{_PATH}.TestTime.test_the_clients_deadline_counts_if_it_is_shorter",),
+                "a deadline shorter than the route's timeout",
+                (f"{_REQUEST_PATH}.TestTime.test_the_clients_deadline_counts_if_it_is_shorter",),
             ),
             Case(
-                "a head that never ends",
+                "a request head that never ends",
                 (
                     "tests.requests.test_client_protocol.TestClientProtocol."
                     "test_a_head_that_never_ends_is_turned_away_as_not_run",
@@ -271,27 +284,27 @@
         ),
     ),
     Promise(
-        "An upstream that asks for rest gets none of this gateway's requests until its end.",
+        "An upstream that asks for a cooldown gets no requests from this gateway until it ends.",
         "BUDGET",
         (
             Case(
-                "one, some or all of a service ask",
+                "one, some or all upstreams of a service ask for it",
                 (
-                    f"{_REST}.TestOneGateway.test_while_some_rest_the_others_get_all",
-                    f"{_REST}.TestOneGateway.test_while_all_rest_none_gets_anything",
-                    f"{_REST}.TestOneGateway.test_one_that_may_have_run_the_request_rests_as_well",
+                    f"{_COOLDOWN}.TestOneGateway.test_upstreams_without_a_cooldown_get_all_requests",
+                    f"{_COOLDOWN}.TestOneGateway.test_no_upstream_gets_requests_while_all_are_in_cooldown",
+                    f"{_COOLDOWN}.TestOneGateway.test_an_upstream_that_may_have_run_the_request_gets_a_cooldown",
                 ),
             ),
             Case(
-                "whoever chose it did not know, or chose before",
+                "the upstream was chosen without knowledge of the cooldown, or before it",
                 (
-                    f"{_REST}.TestEveryWay.test_a_choice_that_does_not_know_of_it_is_not_followed",
-                    f"{_REST}.TestEveryWay.test_what_waited_for_a_connection_is_chosen_again",
-                    f"{_REST}.TestEveryWay.test_a_run_does_not_go_on_there",
+                    f"{_COOLDOWN}.TestEverySend.test_a_placement_that_ignores_the_cooldown_is_not_used",
+                    f"{_COOLDOWN}.TestEverySend.test_a_request_that_waited_for_a_connection_is_placed_again",
+                    f"{_COOLDOWN}.TestEverySend.test_a_run_is_not_continued_at_an_upstream_in_cooldown",
                 ),
             ),
             Case(
-                "schedulers choose, or none of them answers",
+                "schedulers choose the upstream, or none of them responds",
                 (
                     "tests.scheduling.test_placer.TestBarredUpstreams.test_upstreams_in_cooldown_are_excluded_from_the_query",
                     "tests.scheduling.test_placer.TestBarredUpstreams.test_upstreams_in_cooldown_are_not_chosen_without_a_scheduler",
@@ -299,33 +312,31 @@
             ),
             Case(
                 "the host is suspended",
-                (
-                    f"{_REST}.TestOneGateway.test_it_is_over_when_its_time_is_up_also_after_a_suspension",
-                ),
+                (f"{_COOLDOWN}.TestOneGateway.test_a_cooldown_ends_in_time_after_a_suspension",),
             ),
             Case(
-                "wishes overlap, are shorter, or cannot be read",
+                "cooldowns overlap, are shorter, or are malformed",
                 (
-                    f"{_RESTS}.TestCooldowns.test_overlapping_cooldowns_are_all_observed_and_end_with_the_last",
-                    f"{_REST}.TestOneGateway.test_odd_wishes_change_nothing",
-                    "tests.platform.test_upstream_answer.TestRest.test_any_bytes_give_a_rest_within_bounds",
+                    f"{_COOLDOWNS}.TestCooldowns.test_overlapping_cooldowns_are_all_observed_and_end_with_the_last",
+                    f"{_COOLDOWN}.TestOneGateway.test_malformed_retry_after_values_are_ignored",
+                    "tests.platform.test_upstream_answer.TestCooldown.test_any_bytes_give_a_cooldown_within_bounds",
                 ),
             ),
             Case(
-                "its entry lapses meanwhile",
+                "the upstream's entry lapses during the cooldown",
                 (
-                    f"{_RESTS}.TestCooldowns.test_the_cooldown_of_an_unknown_upstream_is_kept_until_its_end",
+                    f"{_COOLDOWNS}.TestCooldowns.test_the_cooldown_of_an_unknown_upstream_is_kept_until_its_end",
                 ),
             ),
             Case(
-                "it ends at many gateways at once",
+                "the cooldown ends at many gateways at once",
                 (
-                    f"{_RESTS}.TestCooldowns.test_after_a_cooldown_one_probe_is_sent_and_the_others_after_its_answer",
-                    f"{_RESTS}.TestGateways.test_no_gateway_sends_more_than_one_request_per_cooldown",
+                    f"{_COOLDOWNS}.TestCooldowns.test_after_a_cooldown_one_probe_is_sent_and_the_others_after_its_answer",
+                    f"{_COOLDOWNS}.TestGateways.test_no_gateway_sends_more_than_one_request_per_cooldown",
                 ),
             ),
             Case(
-                "all rest, and callers wait",
+                "all upstreams are in cooldown, and clients wait",
                 (
                     "tests.availability.test_wait_policy.TestReplay.test_waiting_for_the_first_end_serves_more_than_refusing",
                     "tests.availability.test_wait_policy.TestCooldownWait.test_more_urgent_requests_check_first",
@@ -334,11 +345,11 @@
         ),
     ),
     Promise(
-        "A team that asks for more than its share of too little room takes none from the others.",
+        "A team that exceeds its share of scarce capacity takes none from the other teams.",
         "Starved",
         (
             Case(
-                "one team at eight times its usual, at and beyond what engines bear",
+                "one team at eight times its usual load, at and above the capacity of the engines",
                 (
                     f"{_TEAMS}.TestTeamAtEightTimes.test_beside_what_the_engines_bear",
                     f"{_TEAMS}.TestTeamAtEightTimes.test_beside_twice_as_much",
@@ -347,7 +358,7 @@
                 ),
             ),
             Case(
-                "its limit: gateways are killed, frozen, cut off, join, restart, or disagree",
+                "a team limit: gateways are killed, frozen, partitioned, join, restart, disagree",
                 (
                     f"{_TEAM_LIMITS}.test_kills_partitions_freezes_and_joins_do_not_break_the_limit",
                     f"{_TEAM_LIMITS}.test_with_two_limit_owners_at_once_the_limit_is_at_most_doubled",
@@ -356,119 +367,119 @@
         ),
     ),
     Promise(
-        "An upstream that names a limit gets no more from all gateways together.",
+        "An upstream that states a limit gets no more than that from all gateways together.",
         "LIMIT",
         (
             Case(
-                "one or all of a service name one, in any answer",
+                "one or all upstreams of a service state a limit, in any answer",
                 (
-                    f"{_LIMIT}.test_what_is_over_the_limit_goes_to_the_others",
-                    f"{_LIMIT}.test_where_all_have_a_limit_what_is_over_is_refused_as_not_run",
-                    f"{_LIMIT}.test_any_answer_names_it",
-                    f"{_LIMIT}.test_the_head_of_a_stream_names_it_while_the_stream_goes_on",
-                    f"{_LIMIT}.test_with_other_words_in_one_answer_each_holds",
+                    f"{_LIMIT}.test_requests_over_the_limit_go_to_other_upstreams",
+                    f"{_LIMIT}.test_if_all_have_a_limit_requests_over_it_are_refused_as_not_run",
+                    f"{_LIMIT}.test_any_answer_can_state_a_limit",
+                    f"{_LIMIT}.test_the_head_of_a_stream_states_the_limit_while_the_stream_continues",
+                    f"{_LIMIT}.test_each_statement_of_one_answer_applies",
                 ),
             ),
             Case(
-                "whoever chose it did not know, or a run is to go on there",
+                "the upstream was chosen without knowledge of the limit, or to continue a run",
                 (
-                    f"{_LIMIT}.test_what_is_kept_back_has_spent_neither_a_run_nor_a_repeat",
-                    f"{_LIMIT}.test_a_run_does_not_go_on_there_without_a_permit",
-                    f"{_LIMIT}.test_no_copy_is_kept_at_one_that_has_a_limit",
+                    f"{_LIMIT}.test_a_request_without_a_permit_spends_neither_a_run_nor_a_retry",
+                    f"{_LIMIT}.test_a_run_is_not_continued_without_a_permit",
+                    f"{_LIMIT}.test_no_backup_is_kept_at_an_upstream_with_a_limit",
                     "tests.scheduling.test_placer.TestBarredUpstreams.test_an_upstream_without_a_permit_is_excluded_for_its_rank_and_later_ones",
                 ),
             ),
             Case(
-                "many gateways, datagrams lost",
+                "many gateways, with lost datagrams",
                 (
-                    f"{_LIMITS}.TestCalm.test_what_arrives_stays_at_the_limit_and_most_of_it_is_used",
-                    f"{_LIMITS}.TestCalm.test_so_it_is_with_hundreds_of_gateways",
+                    f"{_FLEET_LIMITS}.TestCalm.test_what_arrives_stays_at_the_limit_and_most_of_it_is_used",
+                    f"{_FLEET_LIMITS}.TestCalm.test_so_it_is_with_hundreds_of_gateways",
                     "tests.soak.test_limits.TestLimits.test_all_gateways_together_keep_to_the_limits_of_two_engines",
                 ),
             ),
             Case(
-                "gateways are killed, frozen, cut off, join, restart, or disagree on who counts",
+                "gateways are killed, frozen, partitioned, join, restart, disagree on the owner",
                 (
-                    f"{_LIMITS}.TestFaults.test_whatever_happens_to_the_gateways_it_holds",
-                    f"{_LIMITS}.TestFaults.test_also_where_the_limit_is_high",
+                    f"{_FLEET_LIMITS}.TestFaults.test_whatever_happens_to_the_gateways_it_holds",
+                    f"{_FLEET_LIMITS}.TestFaults.test_also_where_the_limit_is_high",
                     "tests.limits.test_limit_owners.TestLimitOwners.test_the_fractions_of_both_sides_of_a_partition_are_at_most_one",
                 ),
             ),
             Case(
-                "it rises, falls, ends, or cannot be read; answers and news cross",
+                "it rises, falls, ends, or is malformed; answers and updates are out of order",
                 (
-                    f"{_LIMITS}.TestChanges.test_a_lower_limit_holds_soon_for_all",
-                    f"{_LIMITS}.TestChanges.test_a_higher_limit_is_used_soon",
-                    f"{_LIMITS}.TestChanges.test_after_its_end_nobody_asks_any_more",
-                    f"{_LIMIT}.test_a_word_that_cannot_be_read_ends_no_limit",
-                    f"{_LIMIT}.test_a_later_life_has_none",
+                    f"{_FLEET_LIMITS}.TestChanges.test_a_lower_limit_holds_soon_for_all",
+                    f"{_FLEET_LIMITS}.TestChanges.test_a_higher_limit_is_used_soon",
+                    f"{_FLEET_LIMITS}.TestChanges.test_after_its_end_nobody_asks_any_more",
+                    f"{_LIMIT}.test_a_malformed_limit_does_not_end_the_limit",
+                    f"{_LIMIT}.test_a_later_incarnation_has_no_limit",
                     "tests.availability.test_stated_limits.TestStatedLimits.test_successive_reports_lead_to_the_last_one_in_any_order",
                 ),
             ),
         ),
     ),
     Promise(
-        "An upstream that leaves gets no new work, and one that lives is not forgotten.",
+        "An upstream that leaves gets no new requests, and a running one is not dropped.",
         "DRAIN",
         (
             Case(
-                "it says so in answers alone, while its entry says it is ready",
+                "it announces that it leaves only in answers, while its entry says it is ready",
                 (
-                    f"{_LEAVING}.test_a_whole_answer_that_says_so_is_the_last",
-                    f"{_LEAVING}.test_a_refusal_or_a_failure_says_it_as_well",
-                    f"{_LEAVING}.test_the_head_of_a_stream_says_it_while_the_stream_goes_on",
-                    f"{_LEAVING}.test_an_entry_that_says_ready_later_does_not_take_it_back",
-                    f"{_LEAVING}.test_a_later_life_under_its_name_is_sent_requests",
+                    f"{_LEAVING}.test_a_complete_answer_that_announces_it_is_the_last",
+                    f"{_LEAVING}.test_a_refusal_or_a_failure_announces_it_as_well",
+                    f"{_LEAVING}.test_the_head_of_a_stream_announces_it_while_the_stream_continues",
+                    f"{_LEAVING}.test_a_later_ready_entry_does_not_revoke_it",
+                    f"{_LEAVING}.test_a_later_incarnation_is_sent_requests",
                 ),
             ),
             Case(
-                "one gateway hears it, and datagrams are lost, halls cut off, gateways join",
+                "one gateway is notified; datagrams are lost, halls are partitioned, gateways join",
                 (
-                    f"{_LEAVING_NEWS}.test_all_gateways_know_within_a_heartbeat",
-                    f"{_LEAVING_NEWS}.test_gateways_exchange_announcements_after_a_partition",
-                    f"{_LEAVING_NEWS}.test_gateway_that_joins_later_is_notified",
+                    f"{_LEAVING_GOSSIP}.test_all_gateways_know_within_a_heartbeat",
+                    f"{_LEAVING_GOSSIP}.test_gateways_exchange_announcements_after_a_partition",
+                    f"{_LEAVING_GOSSIP}.test_gateway_that_joins_later_is_notified",
                 ),
             ),
             Case(
-                "it says that it leaves",
+                "its entry says that it is draining",
                 (
-                    f"{_VIEWS}.TestUpstreamView.test_a_draining_upstream_gets_nothing_and_never_comes_back",
+                    f"{_VIEWS}.TestUpstreamView.test_a_draining_upstream_gets_no_requests_and_never_returns",
                 ),
             ),
             Case(
-                "its entry goes",
+                "its entry is removed",
                 (
-                    f"{_STORE}.TestStoreViews.test_an_upstream_that_goes_in_calm_times_is_gone_at_once",
+                    f"{_STORE}.TestStoreViews.test_an_upstream_removed_without_an_outage_is_dropped_at_once",
                 ),
             ),
             Case(
-                "entries lapse while the store is away",
+                "entries lapse while the store is unavailable",
                 (
                     f"{_STORE}.TestStoreViews."
                     "test_upstreams_missing_after_an_outage_are_kept_for_a_while",
                 ),
             ),
             Case(
-                "older news arrives later",
+                "an older list arrives later",
                 (f"{_VIEWS}.TestUpstreamView.test_an_older_list_changes_nothing",),
             ),
         ),
     ),
     Promise(
-        "A run is moved whole and once, or stays; what is held for nobody is freed.",
+        "A run is moved completely and once, or stays; memory that no run needs is freed.",
         "TWICE, ORDER, GONE, BUDGET",
         (
             Case(
                 "its upstream leaves",
                 (
                     f"{_MOVES}.test_a_run_goes_on_at_another_upstream_as_the_same_run",
-                    f"{_MOVES}.test_one_that_may_be_resumed_is_moved_as_well",
+                    f"{_MOVES}.test_a_resumable_run_is_moved_as_well",
                 ),
             ),
             Case(
-                "it leaves under many runs",
+                "its upstream leaves with many runs",
                 (
-                    "tests.requests.test_moves.TestReclaim.test_runs_are_moved_before_it_ends",
+                    "tests.requests.test_moves.TestReclaim.test_runs_are_moved_before_the_upstream_ends",
                     "tests.moves.test_move_plan.TestReclaim.test_fewer_than_one_in_twenty_movable_runs_are_cut_off",
                 ),
             ),
@@ -476,7 +487,7 @@
                 "the target has no room, or fills up",
                 (
                     f"{_MOVES}.test_a_target_without_room_is_followed_by_another",
-                    f"{_MOVES}.test_with_no_room_anywhere_the_run_goes_on_where_it_is",
+                    f"{_MOVES}.test_with_no_room_anywhere_the_run_stays",
                     f"{_MOVES}.test_a_target_that_fills_up_sends_the_run_back_to_its_source",
                 ),
             ),
@@ -484,91 +495,91 @@
                 "the target refuses the run, or is gone",
                 (
                     f"{_MOVES}.test_a_target_that_refuses_the_run_sends_it_back_to_its_source",
-                    f"{_MOVES}.test_a_target_that_is_gone_when_the_run_comes_sends_it_back",
+                    f"{_MOVES}.test_a_run_whose_target_is_gone_returns_to_its_source",
                 ),
             ),
             Case(
-                "the target ends after the handover",
+                "the target fails after the handover",
                 (
-                    f"{_MOVES}.test_a_target_that_ends_after_the_handover_cuts_the_answer",
-                    f"{_MOVES}.test_one_that_may_run_again_goes_on_elsewhere_after_its_target_has_ended",
+                    f"{_MOVES}.test_a_target_that_fails_after_the_handover_truncates_the_answer",
+                    f"{_MOVES}.test_a_repeatable_run_continues_elsewhere_after_its_target_fails",
                 ),
             ),
             Case(
-                "the source ends before or after the copy",
+                "the source fails before or after the copy",
                 (
-                    f"{_MOVES}.test_a_source_that_ends_before_the_copy_cuts_a_run_that_runs_once",
-                    f"{_MOVES}.test_a_source_that_ends_after_the_copy_leaves_it_to_go_on_from",
+                    f"{_MOVES}.test_a_source_that_fails_before_the_copy_truncates_a_one_time_run",
+                    f"{_MOVES}.test_a_run_continues_from_the_copy_after_its_source_fails",
                 ),
             ),
             Case(
-                "an answer to a call is lost, or says to wait",
+                "an answer to a call is lost, or says that the call is in progress",
                 (
-                    f"{_MOVES}.test_a_lost_answer_to_the_copy_is_asked_for_again",
-                    f"{_MOVES}.test_a_lost_answer_to_the_stop_costs_nothing",
-                    f"{_MOVES}.test_a_call_under_way_is_waited_for",
+                    f"{_MOVES}.test_a_copy_whose_answer_was_lost_is_requested_again",
+                    f"{_MOVES}.test_a_lost_answer_to_the_stop_does_no_harm",
+                    f"{_MOVES}.test_a_call_in_progress_is_awaited",
                     f"{_MOVES}.test_a_source_that_does_not_know_the_run_is_left_alone",
                 ),
             ),
             Case(
                 "the end of the stopped stream is lost",
                 (
-                    f"{_MOVES}.test_a_stream_whose_end_is_never_seen_is_ended_once_its_run_has_stopped",
-                    f"{_MOVES}.test_one_that_may_have_stopped_is_ended_where_nothing_comes",
+                    f"{_MOVES}.test_a_stream_whose_end_is_lost_is_ended_once_its_run_has_stopped",
+                    f"{_MOVES}.test_a_run_that_may_have_stopped_is_ended_if_no_event_arrives",
                 ),
             ),
             Case(
-                "its client leaves meanwhile",
-                (f"{_MOVES}.test_a_client_that_leaves_meanwhile_leaves_nothing_held",),
+                "its client disconnects during the move",
+                (f"{_MOVES}.test_a_client_that_disconnects_during_a_move_leaves_no_memory_held",),
             ),
             Case(
-                "no repeat is left",
-                (f"{_MOVES}.test_without_a_repeat_left_nothing_is_stopped",),
+                "no retry is left",
+                (f"{_MOVES}.test_without_a_retry_left_no_run_is_stopped",),
             ),
             Case(
-                "only its client or its gateway stands still",
+                "only its client stops reading, or its gateway is frozen",
                 (
-                    f"{_MOVES}.test_a_client_that_takes_nothing_makes_no_run_stand_still",
-                    f"{_MOVES}.test_a_process_that_stood_still_itself_moves_nothing_for_that",
+                    f"{_MOVES}.test_a_run_is_not_stalled_while_its_client_does_not_read",
+                    f"{_MOVES}.test_a_process_that_was_frozen_itself_moves_no_run",
                 ),
             ),
             Case(
-                "it stands still",
+                "the run stalls",
                 (
-                    f"{_MOVES}.test_a_run_that_stands_still_is_moved_with_its_memory",
-                    f"{_MOVES}.test_one_that_stands_still_and_may_be_repeated_goes_on_without_its_memory",
-                    f"{_MOVES}.test_one_that_makes_no_first_event_and_may_be_repeated_goes_on_elsewhere",
+                    f"{_MOVES}.test_a_stalled_run_is_moved_with_its_memory",
+                    f"{_MOVES}.test_a_stalled_repeatable_run_continues_without_its_memory",
+                    f"{_MOVES}.test_a_repeatable_run_without_a_first_event_continues_elsewhere",
                 ),
             ),
         ),
     ),
     Promise(
-        "A configuration is in force everywhere within seconds, and never goes back.",
+        "A configuration takes effect everywhere within seconds, and never reverts.",
         "CONFIG, DENIED",
         (
             Case(
-                "news in any order",
+                "updates in any order",
                 (
                     f"{_VIEWS}.TestConfigurationView."
-                    "test_whatever_comes_in_any_order_it_never_goes_back",
+                    "test_updates_in_any_order_never_revert_the_revision",
                 ),
             ),
             Case(
-                "the store forgets its history",
+                "the store drops its history",
                 (f"{_STORE}.TestStoreViews.test_after_a_gap_in_the_history_a_list_is_read",),
             ),
             Case(
-                "the store is away",
+                "the store is unavailable",
                 (
-                    f"{_STORE}.TestStoreViews.test_an_outage_changes_nothing_and_is_told_once_each_way",
+                    f"{_STORE}.TestStoreViews.test_an_outage_changes_nothing_and_its_start_and_end_are_logged_once",
                 ),
             ),
             Case(
-                "the store turns this gateway away",
-                (f"{_STORE}.TestStoreViews.test_a_peers_view_is_taken_only_if_it_is_newer",),
+                "the store rejects this gateway",
+                (f"{_STORE}.TestStoreViews.test_a_peers_view_is_applied_only_if_it_is_newer",),
             ),
             Case(
-                "the readers of a hall are turned away",
+                "the store rejects the readers of a hall",
                 (
                     "tests.membership.test_readers.TestReaders."
                     "test_each_hall_has_enough_readers_served_by_the_store",
@@ -577,50 +588,53 @@
                 ),
             ),
             Case(
-                "the store tells those that wait nothing of a change",
+                "the store does not notify open watches of a change",
                 (
                     "tests.views.test_watcher.TestWatcher."
                     "test_watches_end_soon_and_at_different_times",
                 ),
             ),
             Case(
-                "a peer brought what the own watch has not seen",
+                "a peer sent changes that the gateway's own watch has not received",
                 (
                     "tests.views.test_watcher.TestWatcher."
-                    "test_what_others_brought_meanwhile_is_not_asked_for_again",
+                    "test_changes_received_from_others_are_not_requested_again",
                 ),
             ),
             Case(
-                "a gateway takes up reading after a rest",
+                "a gateway resumes reading from the store after a passive period",
                 (
                     "tests.views.test_watcher.TestWatcher."
-                    "test_one_that_leaves_reading_to_others_makes_no_call_and_goes_on_from_theirs",
+                    "test_a_passive_watcher_makes_no_call_and_continues_from_the_revision_of_others",
                 ),
             ),
             Case(
-                "a configuration that cannot be read",
+                "a malformed configuration",
                 (
                     f"{_STORE}.TestStoreViews."
                     "test_a_configuration_that_cannot_be_read_leaves_the_last_one_in_force",
                 ),
             ),
             Case(
-                "a route or key that this gateway may not know yet",
+                "a route or key that this gateway may not have received yet",
                 (
-                    f"{_PATH}.TestTurnedAway."
-                    "test_while_the_view_may_be_old_the_unknown_is_asked_to_come_back",
-                    f"{_PATH}.TestTurnedAway.test_without_a_configuration_nothing_is_denied",
+                    f"{_REQUEST_PATH}.TestDenials."
+                    "test_while_the_view_may_be_stale_unknown_requests_get_a_retry_after",
+                    f"{_REQUEST_PATH}.TestDenials.test_without_a_configuration_nothing_is_denied",
                 ),
             ),
         ),
     ),
     Promise(
-        "Edits of the settings tree are never lost in a race and never half in force.",
+        "Edits of the settings tree are never lost in a race and never partly in force.",
         "the brief",
         (
-            Case("two edits race", (f"{_EDITOR}.test_disjoint_edits_both_stay",)),
             Case(
-                "two edits of one value",
+                "two concurrent edits of different values",
+                (f"{_EDITOR}.test_disjoint_edits_both_stay",),
+            ),
+            Case(
+                "two concurrent edits of one value",
                 (f"{_EDITOR}.test_edits_of_the_same_value_conflict_and_show_both_sides",),
             ),
             Case(
@@ -640,27 +654,27 @@
         ),
     ),
     Promise(
-        "More urgent requests are not starved by less urgent ones, nor large ones by small.",
+        "More urgent requests are not starved by less urgent ones, nor large ones by small ones.",
         "TIER, Sizes, Starved",
         (
             Case(
                 "overload",
                 (
                     f"{_FLEET}.test_under_overload_long_prompts_are_refused_and_short_ones_are_not",
-                    f"{_FLEET}.test_large_and_small_ones_of_a_route_are_refused_alike",
+                    f"{_FLEET}.test_large_and_small_requests_of_a_route_are_refused_alike",
                 ),
             ),
             Case(
-                "a gateway just started, or one that placed few, beside others' long prompts",
+                "a gateway that just started or placed few requests; others place long prompts",
                 (
                     f"{_TIERS}.TestRefusals."
-                    "test_no_urgent_request_is_taken_for_the_longest_by_what_one_gateway_placed",
+                    "test_an_urgent_request_is_not_the_longest_by_one_gateways_requests",
                     "tests.placement.test_shedding.TestShedding."
-                    "test_nothing_is_refused_while_less_urgent_larger_ones_begin",
+                    "test_nothing_is_refused_while_less_urgent_larger_requests_start",
                 ),
             ),
             Case(
-                "upstreams full of less urgent prompts, or of urgent streams",
+                "upstreams that are full of less urgent prompts, or of urgent streams",
                 (
                     f"{_TIERS}.TestRefusals."
                     "test_urgent_requests_find_room_behind_less_urgent_prompts",
@@ -669,18 +683,20 @@
                 ),
             ),
             Case(
-                "an engine out of memory preempts what it was told is least urgent",
-                (f"{_TIERS}.TestEngines.test_engines_are_told_the_tier_of_the_route_first",),
+                "an engine out of memory preempts the requests with the lowest priority sent to it",
+                (
+                    f"{_TIERS}.TestEngines.test_engine_priorities_are_ordered_by_the_tier_of_the_route_first",
+                ),
             ),
             Case(
-                "a fifth of all answers lost, or nearly half of all requests failing",
+                "a fifth of all answers are lost, or nearly half of all requests fail",
                 (),
-                "runs that must not run twice are lost; no rule broke of late (bench/findings.md)",
+                "runs that must not run twice are lost; no recent rule break (bench/findings.md)",
             ),
         ),
     ),
     Promise(
-        "All that place requests hold the same load of each upstream.",
+        "All gateways that place requests have the same model of each upstream's load.",
         "worth",
         (
             Case(
@@ -688,13 +704,13 @@
                 (f"{_LOAD}.test_after_a_snapshot_both_gateways_agree_whatever_was_lost",),
             ),
             Case(
-                "one of them is lost",
+                "one of these gateways is lost",
                 (
                     "tests.peering.test_peers.TestSmallFleet.test_load_reaches_the_others_while_one_gateway_is_down",
                 ),
             ),
             Case(
-                "one becomes a scheduler",
+                "a gateway becomes a scheduler",
                 (
                     f"{_LOAD}.test_a_gateway_that_becomes_a_scheduler_receives_all_running_requests",
                     "tests.peering.test_peers.TestSmallFleet."
@@ -702,7 +718,7 @@
                 ),
             ),
             Case(
-                "a scheduler is silent",
+                "a scheduler does not respond",
                 (
                     f"{_CLIENT}.test_a_silent_scheduler_is_passed_over",
                     f"{_CLIENT}.test_without_any_answer_the_gateway_decides_alone",
@@ -713,7 +729,7 @@
                 (f"{_CLIENT}.test_a_late_answer_is_given_up",),
             ),
             Case(
-                "a gateway starts later",
+                "a gateway joins later",
                 (
                     f"{_LOAD}.test_a_late_joiner_receives_all_running_requests_within_some_snapshots",
                 ),
@@ -722,12 +738,12 @@
         ),
     ),
     Promise(
-        "Gateways find one another, and notice who is lost.",
+        "Gateways discover each other, and detect which are lost.",
         "the brief",
         (
-            Case("a crash, with packets lost", (f"{_MEMBER}.test_crashed_member_is_detected",)),
+            Case("a crash, with lost packets", (f"{_MEMBER}.test_crashed_member_is_detected",)),
             Case(
-                "a cut that heals",
+                "a partition that heals",
                 (f"{_MEMBER}.test_partition_is_detected_on_both_sides_and_heals",),
             ),
             Case(
@@ -744,43 +760,43 @@
         ),
     ),
     Promise(
-        "One gateway at a time does the duties of the fleet, and no window is reported twice.",
+        "One gateway at a time performs the duties of the fleet, and no window is reported twice.",
         "ONE, Duty",
         (
             Case(
-                "the holder is killed, or stopped in a planned way",
+                "the holder is killed, or shut down as planned",
                 (
-                    f"{_DUTIES}.test_a_killed_holder_is_followed_and_no_window_is_missed",
+                    f"{_DUTIES}.test_a_killed_holder_is_replaced_and_no_window_is_missed",
                     f"{_DUTIES}.test_a_stopped_holder_hands_over_within_a_second",
                 ),
             ),
             Case(
-                "all power lost",
+                "power failure of the whole fleet",
                 (
                     f"{_DUTIES}.test_after_all_power_is_lost_the_open_window_is_reported_from_the_store",
                 ),
             ),
             Case(
-                "the holder stands still and wakes up again",
+                "the holder is frozen and resumes",
                 (f"{_DUTIES}.test_a_former_holder_that_wakes_up_changes_nothing",),
             ),
             Case(
-                "the holder is cut off from the store, tokens not checked",
+                "the holder is disconnected from the store, and fencing tokens are not checked",
                 (
                     f"{_DUTIES}.test_without_checked_tokens_a_holder_without_the_store_stops_acting",
-                    f"{_LEASE}.test_without_checked_tokens_acts_end_half_a_lease_after_the_last_write",
+                    f"{_LEASE}.test_without_checked_tokens_work_ends_half_a_lease_after_the_last_write",
                 ),
             ),
             Case(
-                "the holder is cut off from the platform",
-                (f"{_DUTIES}.test_a_holder_that_the_platform_does_not_answer_is_followed",),
+                "the holder is disconnected from the platform",
+                (f"{_DUTIES}.test_a_holder_that_the_platform_does_not_answer_is_replaced",),
             ),
             Case(
                 "calls without an answer that are carried out later",
                 (f"{_DUTIES}.test_reports_that_are_carried_out_late_are_the_same",),
             ),
             Case(
-                "writes to the store without an answer, and an outage of it",
+                "writes to the store without an answer, and an outage of the store",
                 (
                     f"{_DUTIES}.test_writes_without_answers_make_no_second_holder",
                     f"{_DUTIES}.test_an_outage_of_the_store_costs_reports_and_never_doubles_one",
@@ -790,15 +806,15 @@
                 "clocks that step",
                 (
                     f"{_DUTIES}.test_a_clock_that_is_seconds_off_shifts_no_window",
-                    f"{_TIME}.test_a_minority_of_wrong_clocks_does_not_show",
+                    f"{_TRUE_TIME}.test_a_minority_of_wrong_clocks_does_not_change_the_time",
                 ),
             ),
             Case(
-                "several of these, alone and overlapping, 3 to 9 gateways",
-                (f"{_DUTIES}.test_drawn_histories_keep_what_must_hold",),
+                "several of these faults, single and overlapping, with 3 to 9 gateways",
+                (f"{_DUTIES}.test_random_histories_keep_the_invariants",),
             ),
             Case(
-                "a fault in the code of a duty",
+                "an error in the code of a duty",
                 (
                     "tests.process.test_side_tasks.TestSideTasks"
                     ".test_a_fault_is_logged_and_the_task_starts_again_with_a_growing_pause",
@@ -807,7 +823,7 @@
         ),
     ),
     Promise(
-        "The more urgent find slots while long requests come in a burst.",
+        "More urgent requests find slots during a burst of long requests.",
         "TIER, Prices",
         (
             Case(
@@ -824,45 +840,45 @@
         ),
     ),
     Promise(
-        "Who was refused and returns as told goes before newcomers of its tier, at any gateway.",
+        "A refused client that returns on time precedes new requests of its tier, at any gateway.",
         "worth",
         (
             Case(
-                "long requests at 1.3 times the room",
+                "long requests at 1.3 times the capacity",
                 (
                     f"{_RETURNS}.test_in_a_brief_wave_few_are_refused_again_and_more_are_served",
                     f"{_RETURNS}.test_in_a_long_one_no_less_is_earned",
                 ),
             ),
             Case(
-                "callers that return at once and often",
+                "clients that return at once and often",
                 (f"{_RETURNS}.test_who_comes_at_once_and_often_gains_nothing",),
             ),
             Case(
-                "whoever promised is killed",
-                (f"{_RETURN_NEWS}.test_promises_of_a_killed_scheduler_are_kept_by_the_others",),
+                "the scheduler that made the promise is killed",
+                (f"{_RETURN_GOSSIP}.test_promises_of_a_killed_scheduler_are_kept_by_the_others",),
             ),
             Case(
-                "a cut between schedulers",
-                (f"{_RETURN_NEWS}.test_partitioned_scheduler_loses_only_its_own_promises",),
+                "a partition between schedulers",
+                (f"{_RETURN_GOSSIP}.test_partitioned_scheduler_loses_only_its_own_promises",),
             ),
             Case(
-                "news that are lost",
-                (f"{_RETURN_NEWS}.test_nearly_all_callers_find_their_place_at_any_scheduler",),
+                "lost updates",
+                (f"{_RETURN_GOSSIP}.test_nearly_all_callers_find_their_place_at_any_scheduler",),
             ),
             Case(
-                "a storm of refusals",
+                "a burst of refusals",
                 ("tests.returns.test_promises.TestPromises.test_number_of_promises_is_bounded",),
             ),
             Case(
-                "a more urgent tier is refused meanwhile",
+                "a more urgent tier is refused at the same time",
                 (
                     "tests.returns.test_promises.TestPromises"
                     ".test_returns_have_no_priority_while_a_more_urgent_tier_is_refused",
                 ),
             ),
             Case(
-                "room that is lost after it was promised",
+                "capacity that is lost after it was promised",
                 (
                     "tests.returns.test_promises.TestPromises"
                     ".test_returns_with_priority_are_limited_to_the_reserve",
@@ -871,11 +887,11 @@
         ),
     ),
     Promise(
-        "After a stop of everything the first requests are spread and served.",
+        "After a stop of the whole fleet the first requests are spread and served.",
         "worth, RECOVER",
         (
             Case(
-                "all gateways start at once and know no other",
+                "all gateways start at once and know no others",
                 (
                     "tests.load.policy.test_replay.TestAllStopped"
                     ".test_the_first_seconds_are_served",
@@ -884,23 +900,23 @@
                 ),
             ),
             Case(
-                "callers come just before a gateway is ready",
+                "requests arrive just before a gateway is ready",
                 (
                     f"{_QUARANTINE}.TestBeforeTheHoldsAreKnown"
-                    ".test_who_comes_just_before_is_served_and_not_turned_away",
+                    ".test_a_request_shortly_before_readiness_is_served_and_not_refused",
                 ),
             ),
             Case(
-                "what is held is not known yet",
+                "the holds are not known yet",
                 (
                     f"{_QUARANTINE}.TestBeforeTheHoldsAreKnown"
-                    ".test_nothing_is_sent_though_the_configuration_is_known",
+                    ".test_no_request_is_sent_although_the_configuration_is_known",
                 ),
             ),
         ),
     ),
     Promise(
-        "A planned stop cuts off nothing; a start serves nothing that it does not know.",
+        "A planned stop interrupts no request; a start serves nothing without a configuration.",
         "LOST, DRAIN, RECOVER",
         (
             Case(
@@ -914,208 +930,212 @@
             Case(
                 "signals while a gateway starts, and during its planned stop",
                 (
-                    f"{_PROGRAM}.test_signals_that_come_during_a_planned_stop_cut_nothing",
-                    f"{_PROGRAM}.test_a_signal_to_read_settings_that_comes_while_it_starts_ends_nothing",
-                    f"{_PROGRAM}.test_a_planned_stop_while_it_starts_is_one",
-                    "tests.console.test_process_signals.TestProcessSignals.test_a_stop_ends_the_program_wherever_it_comes",
+                    f"{_PROGRAM}.test_signals_during_a_planned_stop_interrupt_no_request",
+                    f"{_PROGRAM}.test_a_reload_signal_during_the_start_does_not_terminate_it",
+                    f"{_PROGRAM}.test_a_planned_stop_during_the_start_is_carried_out",
+                    "tests.console.test_process_signals.TestProcessSignals.test_a_stop_signal_ends_the_program_at_any_time",
                 ),
             ),
-            Case("all power lost", (), "days of the bench alone: served again is measured there"),
+            Case(
+                "power failure of the whole fleet",
+                (),
+                "only days of the bench measure how soon requests are served again",
+            ),
         ),
     ),
     Promise(
-        "A request that ends its upstreams reaches no more than a few, whoever sends it and where.",
+        "A request that crashes its upstreams reaches only a few, from any client and gateway.",
         "BUDGET",
         (
             Case(
-                "it comes again under another id, at one gateway or many",
+                "it is sent again under another id, at one gateway or many",
                 (
                     f"{_QUARANTINE}.TestOneGateway.test_after_three_upstreams_a_request_reaches_no_other",
-                    f"{_QUARANTINE}.TestFleet.test_what_one_gateway_saw_holds_at_all_and_after_all_were_killed",
-                    "tests.quarantine.test_fleet.TestDeadly.test_it_reaches_no_upstream_soon_after_its_third_and_all_others_are_served",
+                    f"{_QUARANTINE}.TestFleet.test_a_hold_applies_at_all_gateways_and_after_all_were_killed",
+                    "tests.quarantine.test_fleet.TestDeadlyRequest.test_it_reaches_no_upstream_soon_after_the_third_failure_and_others_are_served",
                 ),
             ),
             Case(
-                "its route allows many attempts, or a copy of its memory is kept",
+                "its route allows many attempts, or a backup of its memory is kept",
                 (
-                    f"{_QUARANTINE}.TestSuspects.test_an_arrival_that_ended_two_upstreams_is_not_sent_on",
-                    f"{_QUARANTINE}.TestSuspects.test_a_copy_of_its_memory_is_not_where_a_suspect_goes_on",
+                    f"{_QUARANTINE}.TestSuspects.test_a_request_under_which_two_upstreams_failed_is_not_retried",
+                    f"{_QUARANTINE}.TestSuspects.test_a_suspect_is_not_continued_from_a_backup",
                 ),
             ),
             Case(
-                "the upstream goes dark, so that only its entry shows the end",
+                "the upstream stops responding, so that only its entry shows the failure",
                 (
-                    f"{_QUARANTINE}.TestWhatIsNoEnd.test_an_end_that_shows_only_in_the_list_counts_then",
+                    f"{_QUARANTINE}.TestFailureDetection.test_a_failure_that_only_the_entries_show_is_counted",
                 ),
             ),
             Case(
-                "connections are reset, or upstreams end as planned: no request is to blame",
+                "connections are reset, or upstreams shut down as planned: no request is to blame",
                 (
-                    f"{_QUARANTINE}.TestWhatIsNoEnd.test_a_connection_that_ends_while_its_upstream_goes_on_counts_for_nothing",
-                    f"{_QUARANTINE}.TestWhatIsNoEnd.test_an_upstream_that_was_leaving_ends_as_planned",
+                    f"{_QUARANTINE}.TestFailureDetection.test_a_lost_connection_to_a_running_upstream_is_not_counted",
+                    f"{_QUARANTINE}.TestFailureDetection.test_the_end_of_a_leaving_upstream_is_a_planned_shutdown",
                 ),
             ),
             Case(
-                "half of all upstreams end at once, again and again, beside a common request",
+                "half of all upstreams fail at once, repeatedly, during a common request",
                 (
-                    "tests.quarantine.test_fleet.TestNobodyToBlame.test_the_common_request_goes_on_and_hardly_any_other_is_held",
-                    "tests.quarantine.test_suspect.TestAnsweredWholeBefore.test_a_hall_that_loses_power_says_no_more_than_one_end",
+                    "tests.quarantine.test_fleet.TestUnrelatedFailures.test_the_common_request_is_served_and_hardly_any_other_is_held",
+                    "tests.quarantine.test_suspect.TestKnownGood.test_a_hall_that_loses_power_counts_as_one_failure",
                 ),
             ),
             Case(
-                "news are lost, repeated, or late",
+                "updates are lost, repeated, or late",
                 (
-                    "tests.quarantine.test_suspect.TestNeverWhole.test_the_order_in_which_ends_are_heard_does_not_matter",
-                    "tests.quarantine.test_suspect.TestNeverWhole.test_a_whole_answer_clears_it_and_late_news_of_those_ends_do_not_count",
+                    "tests.quarantine.test_suspect.TestNeverCompleted.test_the_order_of_received_failures_does_not_matter",
+                    "tests.quarantine.test_suspect.TestNeverCompleted.test_completion_clears_it_and_late_updates_on_those_failures_do_not_count",
                 ),
             ),
             Case(
-                "the store is away, or the gateway that saw it is gone",
+                "the store is unavailable, or the gateway that observed the failures is gone",
                 (
                     "tests.platform.test_object_store.TestOrderOfReading.test_the_configuration_is_read_after_the_requests_that_are_held",
-                    f"{_HOLD_STORE}.test_an_outage_is_tried_again_now_and_then",
-                    f"{_HOLD_STORE}.test_what_only_others_saw_is_left_to_them_for_some_seconds",
+                    f"{_HOLD_STORE}.test_writes_are_retried_at_intervals_during_an_outage",
+                    f"{_HOLD_STORE}.test_failures_observed_only_by_others_are_left_to_them_at_first",
                 ),
             ),
             Case(
                 "very many such requests",
                 (
-                    f"{_HELD}.test_one_team_cannot_push_the_suspects_of_another_out",
-                    f"{_HOLD_STORE}.test_the_objects_are_bounded_and_the_oldest_of_the_same_team_goes",
+                    f"{_HOLDS}.test_one_team_cannot_evict_the_suspects_of_another",
+                    f"{_HOLD_STORE}.test_the_objects_are_bounded_and_the_oldest_of_the_same_team_is_evicted",
                 ),
             ),
             Case(
-                "an operator lets it go",
+                "an operator releases it",
                 (
-                    f"{_HELD}.test_a_release_counts_also_where_the_ends_are_known",
-                    "tests.console.test_quarantine_commands.TestQuarantineCommands.test_one_is_released_by_how_it_begins_and_no_other",
+                    f"{_HOLDS}.test_a_release_applies_at_gateways_that_know_the_failures",
+                    "tests.console.test_quarantine_commands.TestQuarantineCommands.test_a_hold_is_released_by_its_prefix_and_no_other",
                 ),
             ),
             Case(
-                "a caller whose deadly bodies differ each time",
+                "a client whose deadly bodies differ each time",
                 (
-                    "tests.quarantine.test_fleet.TestBodiesThatDiffer.test_others_are_served_soon_after_its_third_end",
-                    "tests.quarantine.test_fleet.TestBodiesThatDiffer.test_sound_requests_of_the_same_team_are_served_as_those_of_others",
-                    f"{_WARD}.test_the_group_runs_at_one_upstream_and_all_others_elsewhere",
-                    f"{_WARD}.test_one_runs_at_a_time_and_the_next_is_refused_as_not_run",
-                    f"{_WARD}.test_one_that_ends_the_upstream_is_not_sent_on_and_the_next_waits",
+                    "tests.quarantine.test_fleet.TestVaryingBodies.test_other_requests_are_served_soon_after_the_third_failure",
+                    "tests.quarantine.test_fleet.TestVaryingBodies.test_harmless_requests_of_the_same_team_are_served_like_those_of_others",
+                    f"{_ISOLATION}.test_the_group_runs_at_one_upstream_and_all_others_elsewhere",
+                    f"{_ISOLATION}.test_requests_run_one_at_a_time_and_the_next_is_refused_as_not_run",
+                    f"{_ISOLATION}.test_one_that_crashes_the_upstream_is_not_retried_and_the_next_waits",
                 ),
             ),
             Case(
-                "a gateway starts anew while such a caller is kept apart",
+                "a gateway restarts while the requests of such a client are isolated",
                 (
-                    "tests.quarantine.test_fleet.TestBodiesThatDiffer.test_a_gateway_that_starts_anew_keeps_apart_what_the_others_do",
+                    "tests.quarantine.test_fleet.TestVaryingBodies.test_a_restarted_gateway_isolates_the_same_groups_as_the_others",
                 ),
             ),
             Case(
-                "half of all upstreams end again and again, with no caller to blame",
+                "half of all upstreams fail repeatedly, with no client to blame",
                 (
-                    "tests.quarantine.test_fleet.TestNobodyToBlame.test_no_group_is_kept_apart_however_few_its_requests_are",
+                    "tests.quarantine.test_fleet.TestUnrelatedFailures.test_no_group_is_isolated_even_if_it_has_few_requests",
                 ),
             ),
             Case(
-                "all gateways start in a long outage of the store",
+                "all gateways start during a long outage of the store",
                 (
-                    f"{_STORE}.TestOrderOfReading.test_a_store_that_comes_back_late_is_asked_for_the_holds_first",
-                    f"{_QUARANTINE}.TestBeforeTheHoldsAreKnown.test_nothing_is_sent_though_the_configuration_is_known",
+                    f"{_STORE}.TestOrderOfReading.test_holds_are_read_first_when_the_store_returns_late",
+                    f"{_QUARANTINE}.TestBeforeTheHoldsAreKnown.test_no_request_is_sent_although_the_configuration_is_known",
                 ),
             ),
             Case(
-                "a caller whose team has one upstream left, or that varies team, path and prompt",
+                "a client whose team has one upstream left, or that varies team, path and prompt",
                 (),
-                "with one upstream nothing can be kept apart; who varies all of these is not seen",
+                "with one upstream nothing can be isolated; varying all of these is not detected",
             ),
         ),
     ),
     Promise(
-        "What another writer left in the store costs nothing beside it.",
+        "Malformed objects of other writers in the store affect nothing else.",
         "DENIED, DRAIN",
         (
             Case(
-                "fields missing, of another type or out of range",
+                "fields that are missing, mistyped or out of range",
                 (
-                    f"{_ENTRIES}.TestEntries.test_an_entry_that_lacks_a_field_or_has_one_of_another_type_names_nothing",
-                    f"{_ENTRIES}.TestViewOfEntries.test_a_bad_entry_costs_none_of_the_others_and_later_changes_are_seen",
+                    f"{_ENTRIES}.TestEntries.test_an_entry_with_a_missing_or_mistyped_field_is_rejected",
+                    f"{_ENTRIES}.TestViewOfEntries.test_a_malformed_entry_affects_no_other_and_later_changes_are_applied",
                 ),
             ),
             Case(
-                "any plain data, from the store or a peer",
+                "arbitrary plain data, from the store or a peer",
                 (
                     f"{_ENTRIES}.TestEntries.test_any_plain_data_is_an_upstream_or_a_typed_error",
-                    f"{_ENTRIES}.TestViewOfEntries.test_whatever_a_peer_sends_is_taken_or_a_typed_error",
+                    f"{_ENTRIES}.TestViewOfEntries.test_any_data_of_a_peer_is_applied_or_a_typed_error",
                 ),
             ),
             Case(
-                "a fault of ours in reading or using it",
+                "an error of the gateway in reading or using it",
                 (
-                    "tests.views.test_watcher.TestWatcher.test_a_fault_in_reading_ends_no_following",
-                    "tests.requests.test_logs.TestSight.test_an_upstream_at_which_a_fault_of_ours_shows_does_not_draw_all",
+                    "tests.views.test_watcher.TestWatcher.test_an_error_in_reading_does_not_stop_the_watcher",
+                    "tests.requests.test_logs.TestRequestLogs.test_an_upstream_with_gateway_errors_does_not_attract_all_requests",
                 ),
             ),
         ),
     ),
     Promise(
-        "An upstream that starts again under its name is a new one.",
+        "An upstream that restarts under its name is a new one.",
         "DRAIN, MIXED",
         (
             Case(
-                "it drained, ended and came back",
+                "it drained, ended and restarted",
                 (
-                    f"{_ENTRIES}.TestViewOfEntries.test_one_that_drained_and_ended_works_again_under_its_name",
+                    f"{_ENTRIES}.TestViewOfEntries.test_a_drained_upstream_that_restarts_under_its_name_is_available_again",
                 ),
             ),
             Case(
-                "the store was away meanwhile",
+                "the store was unavailable during the restart",
                 (
-                    f"{_ENTRIES}.TestViewOfEntries.test_a_former_life_is_not_kept_beside_the_present_one",
+                    f"{_ENTRIES}.TestViewOfEntries.test_a_former_incarnation_is_not_kept_with_the_current_one",
                 ),
             ),
         ),
     ),
     Promise(
-        "A host that was suspended believes nothing of before until it is confirmed.",
+        "After a suspension a host uses no earlier state until it is confirmed.",
         "BUDGET, DRAIN",
         (
             Case(
-                "requests and connections that were open",
+                "requests and connections that were open during the suspension",
                 (
-                    f"{_ASLEEP}.TestRequests.test_a_request_ends_when_its_time_is_up_though_its_timer_stood_still",
-                    f"{_ASLEEP}.TestRequests.test_connections_that_rested_through_it_are_not_used_again",
-                    f"{_ASLEEP}.TestRequests.test_nothing_is_sent_beyond_the_deadline",
+                    f"{_SUSPENSION}.TestRequests.test_a_request_times_out_although_its_timer_was_suspended",
+                    f"{_SUSPENSION}.TestRequests.test_connections_that_were_idle_during_a_suspension_are_not_reused",
+                    f"{_SUSPENSION}.TestRequests.test_nothing_is_sent_beyond_the_deadline",
                 ),
             ),
             Case(
-                "an upstream that left meanwhile",
+                "an upstream that left during the suspension",
                 (
-                    f"{_ASLEEP}.TestRequests.test_what_was_chosen_before_it_is_chosen_again",
-                    "tests.views.test_watcher.TestWatcher.test_what_is_doubted_is_listed_again_though_a_watch_still_waits",
+                    f"{_SUSPENSION}.TestRequests.test_an_upstream_chosen_before_a_suspension_is_chosen_again",
+                    "tests.views.test_watcher.TestWatcher.test_an_unconfirmed_view_is_listed_again_while_a_watch_is_open",
                 ),
             ),
             Case(
                 "the holder of the duties",
                 (
-                    f"{_ASLEEP}.TestLease.test_a_holder_that_slept_starts_no_act_once_another_may_have_taken_over",
+                    f"{_SUSPENSION}.TestLease.test_a_suspended_holder_starts_no_work_once_another_may_have_taken_over",
                 ),
             ),
             Case(
-                "a call of a duty that had begun before",
+                "a call of a duty that began before the suspension",
                 (),
-                "only the platform's check of tokens stops it",
+                "only the platform's check of the fencing token stops it",
             ),
         ),
     ),
 )
 _HEAD = """# Promises, faults and proofs
 
-What must hold, the users' rules that it covers, and for each fault the test that proves it without
-the bench. Written by `python scripts/write_pages.py` from `tests/fault_matrix.py` and held against
-the tests in CI. `scripts/break_rules.py` breaks the code that keeps a promise, one at a time, and
-shows that a proof fails. "Open" is a fault without a proof here.
+Each promise with the users' rules that it covers, and for each fault the tests that prove the
+promise without the bench. Generated by `python scripts/write_pages.py` from `tests/fault_matrix.py`
+and checked against the tests in CI. `scripts/break_rules.py` breaks the code that enforces a
+promise, one rule at a time, and shows that a test fails. "Open" marks a fault without a test here.
 """
 
 
 def page() -> str:
-    """Return the page as Markdown."""
+    """Return the fault matrix as a Markdown page."""
     sections = [_HEAD]
     for promise in PROMISES:
         lines = [f"## {promise.text}", "", f"Rules: {promise.rules}.", ""]
