--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 COPIES = ROOT / "target" / "ablation"
 _WORTH = re.compile(r"^worth (?P<worth>-?[\d.]+) =", re.MULTILINE)
-_BROKEN = re.compile(r"^rules broken: (?P<rules>.*)$", re.MULTILINE)
+_BROKEN_RULES = re.compile(r"^rules broken: (?P<rules>.*)$", re.MULTILINE)
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
     name: str
     file: str = ""
     code: str = ""
-    off: str = ""
+    replacement: str = ""
 
 
 PLACEMENT = "placement"
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True)
-class Play:
+class BenchRun:
     """One bench run of one variant."""
 
     variant: Variant
@@ -164,7 +164,7 @@
 class Result:
     """Outcome of one bench run."""
 
-    play: Play
+    bench_run: BenchRun
     worth: float
     broken: str
 
@@ -183,28 +183,29 @@
             raise SystemExit(
                 f"{variant.name}: the code to disable was not found in the source file"
             )
-        target.write_text(text.replace(variant.code, variant.off), encoding="utf-8")
+        target.write_text(text.replace(variant.code, variant.replacement), encoding="utf-8")
     subprocess.run(["git", "-C", str(folder), "add", "--all"], check=True)
     return folder
 
 
-def run(bench: Path, play: Play) -> Result:
+def run(bench: Path, bench_run: BenchRun) -> Result:
     """Run one day on the bench and read the worth from its report."""
-    folder = COPIES / play.variant.name.replace(" ", "-")
-    command = [str(bench), "run", str(play.site), play.day, "--no-cpu"]
-    command += ["--seed", play.seed] if play.seed else []
-    command += ["--why", f"trial, ablation: without {play.variant.name}"]
-    done = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
-    worth = _WORTH.search(done.stdout)
+    folder = COPIES / bench_run.variant.name.replace(" ", "-")
+    command = [str(bench), "run", str(bench_run.site), bench_run.day, "--no-cpu"]
+    command += ["--seed", bench_run.seed] if bench_run.seed else []
+    command += ["--why", f"trial, ablation: without {bench_run.variant.name}"]
+    completed = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
+    worth = _WORTH.search(completed.stdout)
     if worth is None:
         raise SystemExit(
-            f"{play}: no worth reported; end of the output: {(done.stdout + done.stderr)[-300:]}"
+            f"{bench_run}: no worth reported; end of the output: "
+            f"{(completed.stdout + completed.stderr)[-300:]}"
         )
-    broken = _BROKEN.search(done.stdout)
-    return Result(play, float(worth["worth"]), broken["rules"] if broken else "")
+    broken = _BROKEN_RULES.search(completed.stdout)
+    return Result(bench_run, float(worth["worth"]), broken["rules"] if broken else "")
 
 
-def keep_journal(variant: Variant) -> None:
+def copy_journal(variant: Variant) -> None:
     """Copy the journal entries of a variant's copy into this repository's journal."""
     source = COPIES / variant.name.replace(" ", "-") / "journal"
     for entry in source.rglob("*"):
@@ -222,15 +223,17 @@
     for variant in variants:
         cells = []
         for site in sites:
-            mine = [
+            worths = [
                 item.worth
                 for item in results
-                if item.play.variant == variant and item.play.site == site
+                if item.bench_run.variant == variant and item.bench_run.site == site
             ]
-            worth = mean(mine)
+            worth = mean(worths)
             base.setdefault(site, worth)
             cells.append(f"{worth:.3f}" if not variant.file else f"{worth - base[site]:+.3f}")
-        broken = {item.broken for item in results if item.play.variant == variant and item.broken}
+        broken = {
+            item.broken for item in results if item.bench_run.variant == variant and item.broken
+        }
         print(f"| {variant.name} | {' | '.join(cells)} | {', '.join(sorted(broken)) or '-'} |")
 
 
@@ -254,7 +257,7 @@
     for variant in variants:
         make_copy(variant)
     plays = [
-        Play(variant, site, day, seed)
+        BenchRun(variant, site, day, seed)
         for variant in variants
         for site in sites
         for day in options.days.split(",")
@@ -263,7 +266,7 @@
     with ThreadPoolExecutor(options.jobs) as pool:
         results = list(pool.map(lambda play: run(bench, play), plays))
     for variant in variants:
-        keep_journal(variant)
+        copy_journal(variant)
     print_table(results, variants, sites)
 
 
--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-_SECONDS = 240
-_PARALLEL = 4
+_TIMEOUT_SECONDS = 240
+_MAX_PARALLEL = 4
 
 
 @dataclass(frozen=True)
@@ -27,7 +27,7 @@
     rule: str
     file: str
     code: str
-    broken: str
+    replacement: str
     tests: str
 
 
@@ -120,7 +120,7 @@
         "gateway: a reset answer without a length is incomplete",
         "requests/upstream_connection.py",
         "        if self._error is None and not self._complete:\n            self._error",
-        "        self._complete = self._complete or self._until_end\n"
+        "        self._complete = self._complete or self._ends_with_connection\n"
         "        if self._error is None and not self._complete:\n            self._error",
         "tests.requests.test_request_path",
     ),
@@ -1066,13 +1066,15 @@
         text = target.read_text(encoding="utf-8")
         if item.code not in text:
             return False, "the code to break was not found in the file"
-        target.write_text(text.replace(item.code, item.broken), encoding="utf-8")
+        target.write_text(text.replace(item.code, item.replacement), encoding="utf-8")
         try:
-            done = _run_tests(copy, item.tests)
+            completed = _run_tests(copy, item.tests)
         except subprocess.TimeoutExpired:
-            return False, f"the tests did not end within {_SECONDS} s"
-        last = (done.stdout.strip().splitlines() or ["no output"])[-1]
-        return done.returncode == 1 and " failed" in last and not last.endswith(" 0 failed"), last
+            return False, f"the tests did not end within {_TIMEOUT_SECONDS} s"
+        last_line = (completed.stdout.strip().splitlines() or ["no output"])[-1]
+        return completed.returncode == 1 and " failed" in last_line and not last_line.endswith(
+            " 0 failed"
+        ), last_line
 
 
 def _run_tests(copy: Path, tests: str) -> subprocess.CompletedProcess[str]:
@@ -1080,7 +1082,7 @@
         [sys.executable, str(copy / "scripts" / "run_tests.py"), tests],
         capture_output=True,
         text=True,
-        timeout=_SECONDS,
+        timeout=_TIMEOUT_SECONDS,
         check=False,
         cwd=copy,
         env=os.environ | {"PYTHONPATH": str(copy / "src")},
@@ -1090,12 +1092,12 @@
 def main() -> int:
     """Break every rule and print a table; return 1 if the tests of any rule still pass."""
     chosen = [item for item in BREAKS if not sys.argv[1:] or sys.argv[1] in item.rule]
-    with ThreadPoolExecutor(_PARALLEL) as pool:
+    with ThreadPoolExecutor(_MAX_PARALLEL) as pool:
         results = list(pool.map(proof_fails, chosen))
     print("| rule | broken in | proof | fails |\n|---|---|---|---|")
-    for item, (fails, last) in zip(chosen, results, strict=True):
-        word = "yes" if fails else f"NO: {last}"
-        print(f"| {item.rule} | `{item.file}` | `{item.tests}` | {word} |")
+    for item, (fails, last_line) in zip(chosen, results, strict=True):
+        verdict = "yes" if fails else f"NO: {last_line}"
+        print(f"| {item.rule} | `{item.file}` | `{item.tests}` | {verdict} |")
     return 0 if all(fails for fails, _ in results) else 1
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -15,30 +15,30 @@
 from fleet import Program
 
 HALLS = ("hall-zapopan", "hall-tlaque")
-SECONDS = 12.0
-KILL_ENGINE_AT = 4.0
-STOP_GATEWAY_AT = 7.0
-EDIT_AT = 2.0
-KEY = "key-bodas"
+DURATION_SECONDS = 12.0
+KILL_ENGINE_AT_SECONDS = 4.0
+STOP_GATEWAY_AT_SECONDS = 7.0
+EDIT_AT_SECONDS = 2.0
+API_KEY = "key-bodas"
 HOST = "demo.example"
-MAX_TRIES = 2
+MAX_ATTEMPTS = 2
 
 
 @dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """One kind of request that the demo sends."""
 
     route: str
-    a_second: float
-    prompt: int
-    shared: int
-    output: int
+    requests_per_second: float
+    prompt_tokens: int
+    shared_tokens: int
+    output_tokens: int
 
 
 KINDS = (
-    Kind("guest-query", 12.0, 600, 200, 40),
-    Kind("suite-wording", 2.5, 6000, 4000, 80),
-    Kind("order-lookup", 5.0, 0, 0, 0),
+    RequestKind("guest-query", 12.0, 600, 200, 40),
+    RequestKind("suite-wording", 2.5, 6000, 4000, 80),
+    RequestKind("order-lookup", 5.0, 0, 0, 0),
 )
 
 
@@ -71,17 +71,17 @@
              "engine": {"slots": 16, "kvCapacity": 400_000, "stride": 4}},
             {"name": "orders", "maxConns": 50},
         ],
-        "tenants": [{"name": "bodas", "apiKeys": [KEY]}],
+        "tenants": [{"name": "bodas", "apiKeys": [API_KEY]}],
     }  # fmt: skip
 
 
 @dataclass
-class Tally:
+class Outcomes:
     """Outcomes of the requests, as the clients saw them."""
 
-    ends: Counter[str] = field(default_factory=Counter)
-    first: dict[str, list[float]] = field(default_factory=dict)
-    refused: str = ""
+    counts: Counter[str] = field(default_factory=Counter)
+    first_event_seconds: dict[str, list[float]] = field(default_factory=dict)
+    refused_request: str = ""
     """Id of the last request that was refused or failed; empty if none was."""
 
 
@@ -92,76 +92,84 @@
         self._fleet = fleet
         self._gateways = gateways
         self._engine = engine
-        self._open = list(gateways)
-        self._stopped = ""
+        self._running_gateways = list(gateways)
+        self._stopped_gateway = ""
         self._rng = random.Random(7)
-        self._serial = 0
-        self.tally = Tally()
+        self._request_number = 0
+        self.outcomes = Outcomes()
 
     async def run(self) -> None:
         """Send all requests while the faults are injected."""
         async with httpcore.AsyncConnectionPool(max_connections=200) as pool:
-            calls = [asyncio.create_task(self._disturb())]
-            calls += [asyncio.create_task(self._arrive(pool, kind)) for kind in KINDS]
-            await asyncio.gather(*calls)
+            tasks = [asyncio.create_task(self._inject_faults())]
+            tasks += [asyncio.create_task(self._send_requests(pool, kind)) for kind in KINDS]
+            await asyncio.gather(*tasks)
 
     def summary(self) -> str:
         """Return a one-sentence summary of the demo."""
-        total = sum(self.tally.ends.values())
-        served = sum(count for end, count in self.tally.ends.items() if end.endswith(" served"))
+        total = sum(self.outcomes.counts.values())
+        served = sum(
+            count for end, count in self.outcomes.counts.items() if end.endswith(" served")
+        )
         return (
             f"{served} of {total} requests were served completely, while {self._engine.name} was "
-            f"killed during its streams and {self._stopped} shut down as planned (so it does not "
-            "respond in the status above)"
+            f"killed during its streams and {self._stopped_gateway} shut down as planned (so "
+            "it does not respond in the status above)"
         )
 
-    async def _disturb(self) -> None:
-        await asyncio.sleep(EDIT_AT)
+    async def _inject_faults(self) -> None:
+        await asyncio.sleep(EDIT_AT_SECONDS)
         edit = ("set", "team/bodas", "services.drafts.classes.suite-wording.policy.tier", "3")
-        print("edit:", await asyncio.to_thread(self._fleet.operator, *edit))
-        await asyncio.sleep(KILL_ENGINE_AT - EDIT_AT)
+        print("edit:", await asyncio.to_thread(self._fleet.run_operator, *edit))
+        await asyncio.sleep(KILL_ENGINE_AT_SECONDS - EDIT_AT_SECONDS)
         print(f"{self._engine.name} is killed")
         self._engine.signal(signal.SIGKILL)
-        await asyncio.sleep(STOP_GATEWAY_AT - KILL_ENGINE_AT)
-        leaving = self._open.pop()
-        self._stopped = leaving.name
+        await asyncio.sleep(STOP_GATEWAY_AT_SECONDS - KILL_ENGINE_AT_SECONDS)
+        leaving = self._running_gateways.pop()
+        self._stopped_gateway = leaving.name
         print(f"{leaving.name} is shut down as planned")
         leaving.signal(signal.SIGTERM)
 
-    async def _arrive(self, pool: httpcore.AsyncConnectionPool, kind: Kind) -> None:
-        ends = time.monotonic() + SECONDS
-        calls = []
-        while time.monotonic() < ends:
-            await asyncio.sleep(self._rng.expovariate(kind.a_second))
-            calls.append(asyncio.create_task(self._call(pool, kind)))
-        await asyncio.gather(*calls)
-
-    async def _call(self, pool: httpcore.AsyncConnectionPool, kind: Kind) -> None:
+    async def _send_requests(self, pool: httpcore.AsyncConnectionPool, kind: RequestKind) -> None:
+        ends_at = time.monotonic() + DURATION_SECONDS
+        tasks = []
+        while time.monotonic() < ends_at:
+            await asyncio.sleep(self._rng.expovariate(kind.requests_per_second))
+            tasks.append(asyncio.create_task(self._send_with_retries(pool, kind)))
+        await asyncio.gather(*tasks)
+
+    async def _send_with_retries(
+        self, pool: httpcore.AsyncConnectionPool, kind: RequestKind
+    ) -> None:
         started = time.monotonic()
-        end = "failed"
-        for _ in range(MAX_TRIES):
-            end, first = await self._try(pool, kind)
-            if end == "served":
-                self.tally.first.setdefault(kind.route, []).append(first - started)
+        outcome = "failed"
+        for _ in range(MAX_ATTEMPTS):
+            outcome, first = await self._send(pool, kind)
+            if outcome == "served":
+                self.outcomes.first_event_seconds.setdefault(kind.route, []).append(first - started)
                 break
             await asyncio.sleep(0.3)
-        self.tally.ends[f"{kind.route} {end}"] += 1
+        self.outcomes.counts[f"{kind.route} {outcome}"] += 1
 
-    async def _try(self, pool: httpcore.AsyncConnectionPool, kind: Kind) -> tuple[str, float]:
-        self._serial += 1
-        request = f"demo-{self._serial}"
+    async def _send(
+        self, pool: httpcore.AsyncConnectionPool, kind: RequestKind
+    ) -> tuple[str, float]:
+        self._request_number += 1
+        request = f"demo-{self._request_number}"
         headers = {
             "Host": HOST,
             "Attempt-Id": request,
-            "Authorization": f"Bearer {KEY}",
+            "Authorization": f"Bearer {API_KEY}",
             "Deadline-Ms": "8000",
         }
-        if kind.prompt:
+        if kind.prompt_tokens:
             session = self._rng.randrange(40)
-            own = kind.prompt - kind.shared
-            headers["Token-Usage"] = f"{kind.prompt},{kind.output}"
-            headers["Prompt-Prefix"] = f"{session + 1:x}:{kind.shared},{self._serial:x}f:{own}"
-        gateway = self._rng.choice(self._open).settings["clients"]
+            unshared_tokens = kind.prompt_tokens - kind.shared_tokens
+            headers["Token-Usage"] = f"{kind.prompt_tokens},{kind.output_tokens}"
+            headers["Prompt-Prefix"] = (
+                f"{session + 1:x}:{kind.shared_tokens},{self._request_number:x}f:{unshared_tokens}"
+            )
+        gateway = self._rng.choice(self._running_gateways).settings["clients"]
         url = f"http://{gateway}/{kind.route}/x"
         try:
             async with pool.stream(
@@ -173,7 +181,7 @@
         except (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException):
             return "broken", 0.0
         if response.status != 200:
-            self.tally.refused = request
+            self.outcomes.refused_request = request
             return f"answered {response.status}", 0.0
         return "served", first
 
@@ -181,7 +189,7 @@
 def main() -> None:
     """Start the fleet, run the demo and print its outcome."""
     with Fleet() as fleet:
-        fleet.put("config", "main", configuration())
+        fleet.create_object("config", "main", configuration())
         engines = [
             fleet.start_upstream(f"engine-{index}", "engine", "drafts", HALLS[index % 2])
             for index in range(3)
@@ -192,15 +200,15 @@
         print(f"{len(gateways)} gateways, {len(engines)} engines and a ledger are running")
         demo = Demo(fleet, gateways, engines[0])
         asyncio.run(demo.run())
-        for name, count in sorted(demo.tally.ends.items()):
+        for name, count in sorted(demo.outcomes.counts.items()):
             print(f"{count:5d}  {name}")
-        for route, times in demo.tally.first.items():
+        for route, times in demo.outcomes.first_event_seconds.items():
             times.sort()
             print(f"first event of {route}: {times[len(times) // 2] * 1000:.0f} ms (median)")
-        print(fleet.operator("get", "team/bodas", "--effective", "drafts/suite-wording"))
-        print(fleet.operator("status"))
-        if demo.tally.refused:
-            print(fleet.operator("explain", demo.tally.refused))
+        print(fleet.run_operator("get", "team/bodas", "--effective", "drafts/suite-wording"))
+        print(fleet.run_operator("status"))
+        if demo.outcomes.refused_request:
+            print(fleet.run_operator("explain", demo.outcomes.refused_request))
         print(demo.summary())
 
 
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -16,16 +16,16 @@
 from typing import Any
 from urllib.error import URLError
 
-_READY_SECONDS = 20.0
-_STOP_SECONDS = 15.0
-_POLL_SECONDS = 0.05
+_READY_TIMEOUT_SECONDS = 20.0
+_STOP_TIMEOUT_SECONDS = 15.0
+_POLL_INTERVAL_SECONDS = 0.05
 
 
 def free_address() -> str:
     """Return a loopback address on which nothing listens at the moment."""
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{found.getsockname()[1]}"
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 @dataclass
@@ -55,7 +55,7 @@
         """Start the store."""
         self.store = free_address()
         self._start("store", "standin", {"kind": "store", "name": "store", "address": self.store})
-        _wait_for(lambda: _answers(f"http://{self.store}/objects/config"))
+        _wait_for(lambda: _is_ok(f"http://{self.store}/objects/config"))
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -64,7 +64,7 @@
             if program.process.poll() is None:
                 program.signal(signal.SIGKILL)
         for program in self.programs:
-            program.process.wait(_STOP_SECONDS)
+            program.process.wait(_STOP_TIMEOUT_SECONDS)
         self._folder.cleanup()
 
     def start_upstream(self, name: str, kind: str, service: str, hall: str, **more: Any) -> Program:
@@ -98,9 +98,9 @@
         """Wait until all gateways report that they are ready."""
         for gateway in gateways:
             address = gateway.settings["readiness"]
-            _wait_for(lambda address=address: _answers(f"http://{address}/readyz"))
+            _wait_for(lambda address=address: _is_ok(f"http://{address}/readyz"))
 
-    def put(self, kind: str, name: str, spec: Any) -> None:
+    def create_object(self, kind: str, name: str, spec: Any) -> None:
         """Create an object in the store."""
         body = json.dumps({"metadata": {"name": name}, "spec": spec}).encode()
         request = urllib.request.Request(
@@ -108,11 +108,13 @@
         )
         urllib.request.urlopen(request, timeout=5).close()
 
-    def operator(self, *arguments: str) -> str:
+    def run_operator(self, *arguments: str) -> str:
         """Run one `lotushill` command and return its output."""
         command = [sys.executable, "-m", "lotushill.console.operator", "--store", self.store]
-        done = subprocess.run([*command, *arguments], capture_output=True, text=True, check=False)
-        return (done.stdout + done.stderr).strip()
+        completed = subprocess.run(
+            [*command, *arguments], capture_output=True, text=True, check=False
+        )
+        return (completed.stdout + completed.stderr).strip()
 
     def _start(self, name: str, program: str, settings: dict[str, Any]) -> Program:
         folder = Path(self._folder.name)
@@ -131,7 +133,7 @@
         return started
 
 
-def _answers(url: str) -> bool:
+def _is_ok(url: str) -> bool:
     try:
         with urllib.request.urlopen(url, timeout=2) as response:
             return bool(response.status == 200)
@@ -140,8 +142,8 @@
 
 
 def _wait_for(condition: Any) -> None:
-    ends = time.monotonic() + _READY_SECONDS
+    deadline = time.monotonic() + _READY_TIMEOUT_SECONDS
     while not condition():
-        if time.monotonic() > ends:
+        if time.monotonic() > deadline:
             raise TimeoutError
-        time.sleep(_POLL_SECONDS)
+        time.sleep(_POLL_INTERVAL_SECONDS)
--- a/scripts/near_misses.py
+++ b/scripts/near_misses.py
@@ -21,23 +21,23 @@
 
 WINDOW_SECONDS = 5.0
 STEP_SECONDS = 1.0
-LEAST_FAILED = 3
+MIN_FAILED = 3
 """Windows with fewer requests that were not served are omitted."""
-SHOWN = 5
-TIMES_LARGER = 2.0
+MAX_SHOWN_WINDOWS = 5
+LARGER_RATIO = 2.0
 
 
 @dataclass
-class Seen:
+class RequestRecord:
     """What the logs contain about one request."""
 
     route: str = ""
     service: str = ""
     tier: int = -1
     prompt: int = 0
-    began: float | None = None
+    started_at: float | None = None
     """Simulated time in seconds at which it was first sent to an engine; None if it never was."""
-    ended: float = 0.0
+    ended_at: float = 0.0
     outcome: str = ""
     reason: str = ""
     """Reason for which no upstream was chosen."""
@@ -50,21 +50,21 @@
     start: float
     route: str
     tier: int
-    asked: int
+    requested: int
     failed: int
     larger: int
     """Number of less urgent requests over twice as large that were sent to an engine."""
-    why: Counter[str] = field(default_factory=Counter)
+    reasons: Counter[str] = field(default_factory=Counter)
 
     @property
-    def share(self) -> float:
+    def failed_fraction(self) -> float:
         """Return the fraction of the requests that were not served."""
-        return self.failed / self.asked
+        return self.failed / self.requested
 
 
-def read(path: Path) -> list[Seen]:
+def read(path: Path) -> list[RequestRecord]:
     """Return the requests found in the log of a run."""
-    seen: defaultdict[str, Seen] = defaultdict(Seen)
+    records: defaultdict[str, RequestRecord] = defaultdict(RequestRecord)
     for line in path.read_text(encoding="utf-8", errors="replace").splitlines():
         words = line.split(maxsplit=2)
         if len(words) < 3 or not words[2].startswith("{"):
@@ -75,49 +75,49 @@
             # A line of the bench report, or a truncated log line.
             continue
         if "request" in note:
-            _take(seen[note["request"]], note, at)
-    return [item for item in seen.values() if item.route]
+            _apply_line(records[note["request"]], note, at)
+    return [item for item in records.values() if item.route]
 
 
-def _take(item: Seen, note: dict[str, object], at: float) -> None:
+def _apply_line(item: RequestRecord, note: dict[str, object], time: float) -> None:
     if note["event"] == "placement.chosen":
         item.service = str(note["service"])
         item.tier = int(str(note["tier"]))
         item.prompt = int(str(note["prompt"]))
-        item.began = at if item.began is None else item.began
+        item.started_at = time if item.started_at is None else item.started_at
     elif note["event"] == "placement.none":
         item.route = str(note["route"])
         item.prompt = int(str(note["prompt"]))
         item.reason = str(note["reason"])
     elif note["event"] == "request.ended":
         item.route = str(note["route"])
-        item.ended = at
+        item.ended_at = time
         item.outcome = str(note["outcome"])
 
 
-def windows(requests: list[Seen]) -> list[Window]:
+def windows(requests: list[RequestRecord]) -> list[Window]:
     """Return the windows of all routes in which requests were not served."""
     routes = _routes(requests)
-    found = []
-    end = max((item.ended for item in requests), default=0.0)
-    start = min((item.ended for item in requests), default=0.0)
+    selected = []
+    end = max((item.ended_at for item in requests), default=0.0)
+    start = min((item.ended_at for item in requests), default=0.0)
     while start < end:
         end_of_window = start + WINDOW_SECONDS
-        ended = [item for item in requests if start <= item.ended < end_of_window]
-        begun = [
+        ended = [item for item in requests if start <= item.ended_at < end_of_window]
+        started = [
             item
             for item in requests
-            if item.began is not None and start <= item.began < end_of_window
+            if item.started_at is not None and start <= item.started_at < end_of_window
         ]
         for route, (service, tier) in routes.items():
-            window = _window(ended, begun, start, route, service, tier, routes)
-            if window.failed >= LEAST_FAILED and window.larger:
-                found.append(window)
+            window = _window(ended, started, start, route, service, tier, routes)
+            if window.failed >= MIN_FAILED and window.larger:
+                selected.append(window)
         start += STEP_SECONDS
-    return sorted(found, key=lambda item: (item.share, item.failed), reverse=True)
+    return sorted(selected, key=lambda item: (item.failed_fraction, item.failed), reverse=True)
 
 
-def _routes(requests: list[Seen]) -> dict[str, tuple[str, int]]:
+def _routes(requests: list[RequestRecord]) -> dict[str, tuple[str, int]]:
     """Return the service and the most frequent tier of each route that an engine has served."""
     votes: defaultdict[str, Counter[tuple[str, int]]] = defaultdict(Counter)
     for item in requests:
@@ -127,25 +127,25 @@
 
 
 def _window(
-    ended: list[Seen],
-    begun: list[Seen],
+    ended: list[RequestRecord],
+    started: list[RequestRecord],
     start: float,
     route: str,
     service: str,
     tier: int,
     routes: dict[str, tuple[str, int]],
 ) -> Window:
-    asked = [item for item in ended if item.route == route and item.outcome != "client-gone"]
-    failed = [item for item in asked if item.outcome != "whole"]
-    size = sum(item.prompt for item in failed) / max(1, len(failed))
+    requested = [item for item in ended if item.route == route and item.outcome != "client-gone"]
+    failed = [item for item in requested if item.outcome != "whole"]
+    mean_prompt = sum(item.prompt for item in failed) / max(1, len(failed))
     larger = sum(
         item.service == service
         and routes.get(item.route, ("", -1))[1] > tier
-        and item.prompt > TIMES_LARGER * size
-        for item in begun
+        and item.prompt > LARGER_RATIO * mean_prompt
+        for item in started
     )
-    why = Counter(item.reason or item.outcome for item in failed)
-    return Window(start, route, tier, len(asked), len(failed), larger, why)
+    reasons = Counter(item.reason or item.outcome for item in failed)
+    return Window(start, route, tier, len(requested), len(failed), larger, reasons)
 
 
 def main() -> None:
@@ -155,11 +155,14 @@
     options = parser.parse_args()
     for path in options.logs:
         print(path.name)
-        for item in windows(read(path))[:SHOWN]:
-            why = ", ".join(f"{count} {reason}" for reason, count in item.why.most_common(3))
+        for item in windows(read(path))[:MAX_SHOWN_WINDOWS]:
+            reasons = ", ".join(
+                f"{count} {reason}" for reason, count in item.reasons.most_common(3)
+            )
             print(
                 f"  {item.start:6.1f} s  {item.route} (tier {item.tier}): {item.failed} of"
-                f" {item.asked} not served, {item.larger} larger ones sent to engines; {why}"
+                f" {item.requested} not served, {item.larger} larger ones sent to"
+                f" engines; {reasons}"
             )
 
 
--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -22,14 +22,14 @@
     r"^\S+ +\d+/\d+ +[\d.]+ +(?P<worth>-?[\d.]+) +(?P<served>[\d.]+) +(?P<refused>[\d.]+)",
     re.MULTILINE,
 )
-_BROKEN = re.compile(r"^rules broken: (?P<rules>.*)$", re.MULTILINE)
+_BROKEN_RULES = re.compile(r"^rules broken: (?P<rules>.*)$", re.MULTILINE)
 _DETAIL = re.compile(r"^(?P<line>[A-Z]+ at .*)$", re.MULTILINE)
-_TAIL = 120
+_REPORT_TAIL_CHARACTERS = 120
 """Number of characters of the report that are shown if a day could not be run."""
 
 
 @dataclass(frozen=True)
-class Played:
+class DayResult:
     """Outcome of a day on a site, in fractions of the credit and of the requests."""
 
     day: str
@@ -48,28 +48,30 @@
         return f"| {' | '.join(cells)} |"
 
 
-def play(bench: Path, site: Path, day: Path, options: list[str]) -> Played:
+def play(bench: Path, site: Path, day: Path, options: list[str]) -> DayResult:
     """Run one day on a site and return its outcome."""
     command = [str(bench), "run", str(site), str(day), *options, "--why", f"{day.stem} alone"]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-    found = _RESULT.search(done.stdout)
-    if found is None:
-        report = (done.stdout + done.stderr).strip().replace("\n", " ")
-        return Played(day.stem, site.stem, "", "", "", f"not run: {report[-_TAIL:]}", "")
-    broken = _BROKEN.search(done.stdout)
-    detail = _DETAIL.search(done.stdout)
-    return Played(
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
+    result = _RESULT.search(completed.stdout)
+    if result is None:
+        report = (completed.stdout + completed.stderr).strip().replace("\n", " ")
+        return DayResult(
+            day.stem, site.stem, "", "", "", f"not run: {report[-_REPORT_TAIL_CHARACTERS:]}", ""
+        )
+    broken = _BROKEN_RULES.search(completed.stdout)
+    detail = _DETAIL.search(completed.stdout)
+    return DayResult(
         day.stem,
         site.stem,
-        found["worth"],
-        found["served"],
-        found["refused"],
+        result["worth"],
+        result["served"],
+        result["refused"],
         broken["rules"] if broken else "",
         detail["line"] if detail else "",
     )
 
 
-def table(results: list[Played]) -> str:
+def table(results: list[DayResult]) -> str:
     """Return all results as a Markdown table."""
     head = "| day | site | worth | served | refused | rules broken |\n|---|---|---|---|---|---|\n"
     return head + "".join(f"{item.row}\n" for item in results)
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -21,24 +21,26 @@
 from tests.soak.soak import Result
 from tests.soak.soak import Soak
 
-_LEAST_SERVED = 0.97
+_MIN_SERVED_FRACTION = 0.97
 _SPARE_SECONDS = 40.0
 """Extra time in seconds that a run may take for its start and its shutdown."""
 
 
-def play(seed: int, seconds: float, words: bool, limits: bool) -> Result:
+def run_seed(seed: int, seconds: float, engine_signals: bool, limits: bool) -> Result:
     """Run one seed; a run that does not end in time prints its stack traces."""
     faulthandler.dump_traceback_later(seconds + _SPARE_SECONDS, exit=True)
     try:
-        return asyncio.run(_play(seed, seconds, words, limits))
+        return asyncio.run(_run_with_timeout(seed, seconds, engine_signals, limits))
     finally:
         faulthandler.cancel_dump_traceback_later()
 
 
-async def _play(seed: int, seconds: float, words: bool, limits: bool) -> Result:
+async def _run_with_timeout(
+    seed: int, seconds: float, engine_signals: bool, limits: bool
+) -> Result:
     try:
         async with asyncio.timeout(seconds + _SPARE_SECONDS / 2):
-            return await Soak(seed, seconds, words, limits).run()
+            return await Soak(seed, seconds, engine_signals, limits).run()
     except TimeoutError:
         for task in asyncio.all_tasks():
             task.print_stack()
@@ -60,38 +62,39 @@
     parser.add_argument("--limits", action="store_true", help="with engines that state limits")
     options = parser.parse_args()
     seeds = range(options.first, options.first + options.seeds)
-    bad = 0
+    failed_count = 0
     with ProcessPoolExecutor(options.jobs) as pool:
         lengths = [options.seconds] * options.seeds
         results = pool.map(
-            play,
+            run_seed,
             seeds,
             lengths,
             [not options.plain] * options.seeds,
             [options.limits] * options.seeds,
         )
         for seed, result in zip(seeds, results):
-            bad += _print(seed, result)
-    print(f"{len(seeds) - bad} of {len(seeds)} seeds without a fault")
-    return 1 if bad else 0
+            failed_count += _print_result(seed, result)
+    print(f"{len(seeds) - failed_count} of {len(seeds)} seeds without a fault")
+    return 1 if failed_count else 0
 
 
-def _print(seed: int, result: Result) -> bool:
-    wrong = [*result.faults, *result.errors]
-    if result.share < _LEAST_SERVED:
-        wrong.append("too few requests were served at the end")
+def _print_result(seed: int, result: Result) -> bool:
+    problems = [*result.faults, *result.errors]
+    if result.served_fraction < _MIN_SERVED_FRACTION:
+        problems.append("too few requests were served at the end")
     print(
-        f"seed {seed}: {result.tries} requests, {result.engines_ended} engines crashed by the "
-        f"deadly request, {result.late_sends} late sends, {result.ended_by_varying} by varying "
-        f"bodies; {result.rests} cooldowns, {result.leavings} answers that announce leaving, "
-        f"{len(result.limited_runs)} incarnations with a limit; at the end "
+        f"seed {seed}: {result.sent_requests} requests, {result.engines_crashed} engines crashed "
+        f"by the deadly request, {result.late_sends} late sends, {result.crashed_by_varying} by "
+        f"varying bodies; {result.cooldowns} cooldowns, {result.leaving_answers} answers that "
+        f"announce leaving, {len(result.limited_runs)} incarnations with a limit; at the end "
         f"served: ordinary "
         f"{result.served[0]}/{result.served[1]}, common "
         f"{result.common_served[0]}/{result.common_served[1]}; "
-        f"{len(result.idle_engines)} engines idle{'; WRONG: ' if wrong else ''}{'; '.join(wrong)}",
+        f"{len(result.idle_engines)} engines idle"
+        f"{'; WRONG: ' if problems else ''}{'; '.join(problems)}",
         flush=True,
     )
-    return bool(wrong)
+    return bool(problems)
 
 
 if __name__ == "__main__":
--- a/scripts/write_pages.py
+++ b/scripts/write_pages.py
@@ -50,7 +50,7 @@
     """One key of a settings file."""
 
     name: str
-    kind: str
+    type_name: str
     default: Any
 
 
@@ -90,12 +90,14 @@
 
 
 def _table(model: type[Any]) -> list[str]:
-    notes = _attribute_notes(model)
+    docs = _field_docs(model)
     lines = [f"### {model.__name__}", "", (model.__doc__ or "").strip(), ""]
     lines += ["| key | type | default | meaning |", "|---|---|---|---|"]
     for item in _fields(model):
-        default = "required" if item.default is _REQUIRED else f"`{_shown(item.default)}`"
-        lines.append(f"| `{item.name}` | {item.kind} | {default} | {notes.get(item.name, '')} |")
+        default = "required" if item.default is _REQUIRED else f"`{_format_default(item.default)}`"
+        lines.append(
+            f"| `{item.name}` | {item.type_name} | {default} | {docs.get(item.name, '')} |"
+        )
     return [*lines, ""]
 
 
@@ -103,11 +105,13 @@
     if dataclasses.is_dataclass(model):
         hints = typing.get_type_hints(model)
         return [
-            _Setting(item.name, _kind(hints[item.name]), _default(item))
+            _Setting(item.name, _type_name(hints[item.name]), _default(item))
             for item in dataclasses.fields(model)
         ]
     return [
-        _Setting(name, _kind(item.annotation), _REQUIRED if item.is_required() else item.default)
+        _Setting(
+            name, _type_name(item.annotation), _REQUIRED if item.is_required() else item.default
+        )
         for name, item in model.model_fields.items()
     ]
 
@@ -116,42 +120,42 @@
     return _REQUIRED if item.default is dataclasses.MISSING else item.default
 
 
-def _shown(value: Any) -> str:
+def _format_default(value: Any) -> str:
     if isinstance(value, BaseModel) or dataclasses.is_dataclass(value):
         return "{}"
     return "none" if value is None else str(value)
 
 
-def _kind(annotation: Any) -> str:
+def _type_name(annotation: Any) -> str:
     """Return the name of a type as shown to operators."""
     origin = typing.get_origin(annotation)
     if origin is typing.Annotated:
-        return _kind(typing.get_args(annotation)[0])
+        return _type_name(typing.get_args(annotation)[0])
     if origin is typing.Literal:
         return ", ".join(f"`{choice}`" for choice in typing.get_args(annotation))
     if origin in (typing.Union, types.UnionType):
-        kinds = [item for item in typing.get_args(annotation) if item is not type(None)]
-        return " or ".join(_kind(item) for item in kinds)
+        members = [item for item in typing.get_args(annotation) if item is not type(None)]
+        return " or ".join(_type_name(item) for item in members)
     if origin is tuple:
-        return f"list of {_kind(typing.get_args(annotation)[0])}"
+        return f"list of {_type_name(typing.get_args(annotation)[0])}"
     if origin is dict:
         key, value = typing.get_args(annotation)
-        return f"map of {_kind(key)} to {_kind(value)}"
+        return f"map of {_type_name(key)} to {_type_name(value)}"
     names = {str: "text", int: "whole number", float: "number", bool: "true or false"}
     return names.get(annotation, getattr(annotation, "__name__", str(annotation)))
 
 
-def _attribute_notes(model: type[Any]) -> dict[str, str]:
+def _field_docs(model: type[Any]) -> dict[str, str]:
     """Return the docstrings placed below the fields in the source, by field name."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(model))).body[0]
     assert isinstance(tree, ast.ClassDef)
-    notes: dict[str, str] = {}
+    docs: dict[str, str] = {}
     for field, note in zip(tree.body, tree.body[1:], strict=False):
         if not isinstance(field, ast.AnnAssign) or not isinstance(field.target, ast.Name):
             continue
         if isinstance(note, ast.Expr) and isinstance(note.value, ast.Constant):
-            notes[field.target.id] = " ".join(str(note.value.value).split())
-    return notes
+            docs[field.target.id] = " ".join(str(note.value.value).split())
+    return docs
 
 
 def main() -> None:
--- a/tests/soak/client.py
+++ b/tests/soak/client.py
@@ -10,8 +10,8 @@
 from tests.requests.rig import ReceivedAnswer
 from tests.requests.rig import read_answer
 from tests.requests.rig import request_bytes
-from tests.soak.engine import DEADLY
-from tests.soak.engine import VARYING
+from tests.soak.engine import DEADLY_BODY
+from tests.soak.engine import VARYING_PREFIX
 from tests.soak.engine import events
 from tests.soak.ledger import DEADLINE_SECONDS
 from tests.soak.ledger import Answer
@@ -22,7 +22,7 @@
 
     from tests.soak.ledger import Ledger
 
-COMMON = b"a body that a quarter of all requests have"
+COMMON_BODY = b"a body that a quarter of all requests have"
 _PATHS = {
     "any": "/p/x",
     "common": "/p/x",
@@ -32,8 +32,8 @@
     "varying": "/p/varying",
 }
 _KINDS = ("any", "any", "common", "once", "stream")
-_PATIENCE_SECONDS = 5.0
-_NOTHING = ReceivedAnswer(0, {}, b"", False)
+_TIMEOUT_SECONDS = 5.0
+_NO_ANSWER = ReceivedAnswer(0, {}, b"", False)
 
 
 class Client:
@@ -54,29 +54,29 @@
         Sends requests of kind `only`; if empty, all ordinary kinds.
         """
         while True:
-            await self._try(only or self._rng.choice(_KINDS))
+            await self._send_request(only or self._rng.choice(_KINDS))
             await asyncio.sleep(pause * self._rng.uniform(0.5, 1.5))
 
-    async def _try(self, kind: str) -> None:
+    async def _send_request(self, kind: str) -> None:
         attempt = f"a{next(self._numbers)}"
         body = {
-            "deadly": DEADLY,
-            "varying": VARYING + attempt.encode(),
-            "common": COMMON,
+            "deadly": DEADLY_BODY,
+            "varying": VARYING_PREFIX + attempt.encode(),
+            "common": COMMON_BODY,
         }.get(kind, f"body of {attempt}".encode())
         sent_at = time.monotonic()
-        got = await self._exchange(attempt, body, _PATHS[kind])
-        signed = "response-signature" in got.headers
-        wanted = b"".join(events(attempt)) if kind == "stream" else f"{attempt} done".encode()
-        in_order = kind != "stream" or not signed or wanted.startswith(got.body)
+        answer = await self._exchange(attempt, body, _PATHS[kind])
+        signed = "response-signature" in answer.headers
+        expected = b"".join(events(attempt)) if kind == "stream" else f"{attempt} done".encode()
+        in_order = kind != "stream" or not signed or expected.startswith(answer.body)
         self._ledger.answers.append(
             Answer(
                 attempt,
                 kind,
                 sent_at,
-                got.status,
-                got.whole,
-                signed and got.body == wanted,
+                answer.status,
+                answer.whole,
+                signed and answer.body == expected,
                 self._gateway,
                 time.monotonic(),
                 in_order,
@@ -86,15 +86,15 @@
     async def _exchange(self, attempt: str, body: bytes, path: str) -> ReceivedAnswer:
         headers = f"Deadline-Ms: {int(DEADLINE_SECONDS * 1000)}\r\n"
         try:
-            async with asyncio.timeout(_PATIENCE_SECONDS):
+            async with asyncio.timeout(_TIMEOUT_SECONDS):
                 reader, writer = self._stream or await self._connect()
                 writer.write(request_bytes(attempt, headers, body, path))
-                got = await read_answer(reader)
+                answer = await read_answer(reader)
         except (OSError, TimeoutError):
-            got = _NOTHING
-        if not got.whole or got.headers.get("connection") == "close":
+            answer = _NO_ANSWER
+        if not answer.whole or answer.headers.get("connection") == "close":
             self.close()
-        return got
+        return answer
 
     async def _connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         self._gateway = self._rng.choice(self._addresses)
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -18,9 +18,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_CAUGHT = (signal.SIGHUP, signal.SIGTERM)
-_AGAIN_SECONDS = 0.3
-_ABOUT_SECONDS = 1.0
+_HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM)
+_RESTART_DELAY_SECONDS = 0.3
+_ABSENCE_MARGIN_SECONDS = 1.0
 """Margin around a kill, and after a freeze, in which a gateway is not held to any invariant."""
 
 
@@ -34,7 +34,7 @@
     settings: Path
     process: asyncio.subprocess.Process | None = None
     frozen: bool = False
-    uncaught: int = 0
+    unhandled_signal: int = 0
     """Number of a signal that was sent before the program installed its handlers; 0 if none."""
 
 
@@ -44,9 +44,9 @@
     def __init__(self, folder: Path, store: str, count: int) -> None:
         self._folder = folder
         self._tasks: set[asyncio.Task[None]] = set()
-        self._over = False
-        self.all = [self._new(f"gw-{number}", store) for number in range(count)]
-        self.lines: list[dict[str, object]] = []
+        self._is_stopping = False
+        self.all = [self._create(f"gw-{number}", store) for number in range(count)]
+        self.log_lines: list[dict[str, object]] = []
         """Log lines of all gateways."""
         self.on_absence: Callable[[str, float, float], None] = lambda *_: None
         """Called after a kill or freeze with the address of the gateway, its start and its end."""
@@ -55,7 +55,7 @@
         self.errors: list[str] = []
         """Tracebacks on standard error, and processes that ended by themselves."""
 
-    def _new(self, name: str, store: str) -> Gateway:
+    def _create(self, name: str, store: str) -> Gateway:
         clients, readiness = free_address(), free_address()
         settings = {
             "name": name,
@@ -91,14 +91,14 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
         )
-        gateway.uncaught = 0
-        self._later(self._follow(gateway, gateway.process))
+        gateway.unhandled_signal = 0
+        self._start_task(self._supervise(gateway, gateway.process))
 
-    async def _follow(self, gateway: Gateway, process: asyncio.subprocess.Process) -> None:
+    async def _supervise(self, gateway: Gateway, process: asyncio.subprocess.Process) -> None:
         output, errors = await process.communicate()
         for line in output.splitlines():
             try:
-                self.lines.append(json.loads(line))
+                self.log_lines.append(json.loads(line))
             except ValueError:
                 # The last line of a killed process may be truncated.
                 continue
@@ -108,27 +108,29 @@
             self.errors.append(f"{gateway.name}: {errors.decode()[-2000:]}")
         # Before its first line a program cannot handle a signal and is terminated by it. Seed 114
         # showed this in four of four runs.
-        allowed = (0, -signal.SIGKILL, -gateway.uncaught)
+        allowed = (0, -signal.SIGKILL, -gateway.unhandled_signal)
         if process.returncode not in allowed:
             self.errors.append(
                 f"{gateway.name}: process ended by itself with status {process.returncode}"
             )
-        await asyncio.sleep(_AGAIN_SECONDS)
-        if not self._over:
+        await asyncio.sleep(_RESTART_DELAY_SECONDS)
+        if not self._is_stopping:
             await self._start(gateway)
 
     def kill(self, gateway: Gateway) -> None:
         """Kill a gateway immediately."""
         now = time.monotonic()
-        self.on_absence(gateway.clients, now - _ABOUT_SECONDS, now + _ABOUT_SECONDS)
+        self.on_absence(
+            gateway.clients, now - _ABSENCE_MARGIN_SECONDS, now + _ABSENCE_MARGIN_SECONDS
+        )
         self.signal(gateway, signal.SIGKILL)
 
     def signal(self, gateway: Gateway, number: int) -> None:
         """Send a signal to a gateway, if it is running."""
         if gateway.process is None or gateway.process.returncode is not None:
             return
-        if number in _CAUGHT and not _catches(gateway.process.pid, number):
-            gateway.uncaught = number
+        if number in _HANDLED_SIGNALS and not _handles_signal(gateway.process.pid, number):
+            gateway.unhandled_signal = number
         gateway.process.send_signal(number)
 
     async def freeze(self, gateway: Gateway, seconds: float) -> None:
@@ -141,25 +143,25 @@
         self.signal(gateway, signal.SIGSTOP)
         await asyncio.sleep(seconds)
         gateway.frozen = False
-        self.on_absence(gateway.clients, since, time.monotonic() + _ABOUT_SECONDS)
+        self.on_absence(gateway.clients, since, time.monotonic() + _ABSENCE_MARGIN_SECONDS)
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
 
-    async def end(self) -> None:
+    async def kill_all(self) -> None:
         """Kill all gateways without a restart and wait for their processes."""
-        self._over = True
+        self._is_stopping = True
         for gateway in self.all:
             self.signal(gateway, signal.SIGKILL)
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def _later(self, work: object) -> None:
+    def _start_task(self, work: object) -> None:
         task: asyncio.Task[None] = asyncio.create_task(work)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
 
-def _catches(pid: int, number: int) -> bool:
+def _handles_signal(pid: int, number: int) -> bool:
     """Return whether a process has a handler for a signal."""
     status = Path(f"/proc/{pid}/status").read_text(encoding="ascii")
     mask = next(line.split()[1] for line in status.splitlines() if line.startswith("SigCgt:"))
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -27,22 +27,22 @@
 from tests.soak.ledger import Absence
 from tests.soak.ledger import Ledger
 from tests.soak.plan import QUIET_SECONDS
-from tests.soak.plan import Deed
-from tests.soak.plan import draw
+from tests.soak.plan import Action
+from tests.soak.plan import draw_engine_signals
+from tests.soak.plan import draw_faults
 from tests.soak.plan import draw_limits
-from tests.soak.plan import draw_words
 
 if TYPE_CHECKING:
     from tests.requests.rig import ReceivedRequest
     from tests.soak.plan import Step
 
-_GATEWAYS = 4
-_ENGINES = 8
-_CLIENTS = 16
-_PAUSE_SECONDS = 0.25
-_DEADLY_PAUSE_SECONDS = 0.35
-_SETTLED_SECONDS = 2.0
-_ODD = (
+_GATEWAY_COUNT = 4
+_ENGINE_COUNT = 8
+_CLIENT_COUNT = 16
+_REQUEST_INTERVAL_SECONDS = 0.25
+_DEADLY_INTERVAL_SECONDS = 0.35
+_SETTLE_SECONDS = 2.0
+_MALFORMED_FIELDS = (
     {"address": "here"},
     {"address": None},
     {"slots": float("inf")},
@@ -55,7 +55,7 @@
     {"coldRemainingMs": -1},
 )
 """Fields that make an entry malformed; entries with a usable address point to a decoy."""
-_TROUBLES = (StoreFault.BUSY, StoreFault.SILENT, StoreFault.MANY)
+_STORE_FAULTS = (StoreFault.BUSY, StoreFault.SILENT, StoreFault.MANY)
 
 
 @dataclass(frozen=True)
@@ -65,12 +65,12 @@
     faults: list[str]
     errors: list[str]
     late_sends: int
-    engines_ended: int
+    engines_crashed: int
     """Number of engines crashed by the deadly request."""
-    ended_by_varying: int
+    crashed_by_varying: int
     """Number of engines crashed by deadly requests with varying bodies."""
-    rests: int
-    leavings: int
+    cooldowns: int
+    leaving_answers: int
     limited_runs: dict[str, int]
     """Requests run at each engine incarnation that ever stated a limit."""
     served: tuple[int, int]
@@ -78,10 +78,10 @@
     common_served: tuple[int, int]
     idle_engines: set[str]
     """Names of engines that received no requests in the quiet time."""
-    tries: int
+    sent_requests: int
 
     @property
-    def share(self) -> float:
+    def served_fraction(self) -> float:
         """Return the fraction of ordinary and common requests that were served at the end."""
         served = self.served[0] + self.common_served[0]
         return served / max(1, self.served[1] + self.common_served[1])
@@ -94,7 +94,7 @@
         self,
         seed: int,
         seconds: float,
-        words: bool = True,
+        engine_signals: bool = True,
         limits: bool = False,
         plan: list[Step] | None = None,
     ) -> None:
@@ -105,11 +105,13 @@
         Neither changes the other steps of a seed. With an explicit `plan`, only ordinary clients
         send requests.
         """
-        self._words = words and plan is None
-        self._deadly = plan is None
+        self._has_engine_signals = engine_signals and plan is None
+        self._has_deadly_client = plan is None
         self._rng = random.Random(seed)
         self._seconds = seconds
-        steps = draw(seed, seconds) + (draw_words(seed, seconds) if words else [])
+        steps = draw_faults(seed, seconds) + (
+            draw_engine_signals(seed, seconds) if engine_signals else []
+        )
         steps += draw_limits(seed, seconds) if limits else []
         self._plan = sorted(steps if plan is None else plan, key=lambda step: step.at)
         self._store = MetadataStore()
@@ -118,13 +120,13 @@
         self._ledger = Ledger()
         self._engines = [
             Engine(f"i-{number}", self._store, self._ledger, self._rng)
-            for number in range(_ENGINES)
+            for number in range(_ENGINE_COUNT)
         ]
-        self._decoy = ScriptedUpstream([self._count_odd])
+        self._decoy = ScriptedUpstream([self._count_decoy_request])
         self._gateways: Gateways | None = None
         self._tasks: set[asyncio.Task[Any]] = set()
         self._version = 3
-        self._own_faults: list[str] = []
+        self._task_errors: list[str] = []
 
     async def run(self) -> Result:
         """Run the plan to its end and return the outcome."""
@@ -135,7 +137,7 @@
         for engine in self._engines:
             await engine.start()
         with tempfile.TemporaryDirectory(prefix="lotushill-soak-") as folder:
-            self._gateways = Gateways(Path(folder), self._server.address, _GATEWAYS)
+            self._gateways = Gateways(Path(folder), self._server.address, _GATEWAY_COUNT)
             self._gateways.on_absence = self._note_absence
             self._gateways.on_restart = self._note_restart
             await self._gateways.start()
@@ -145,7 +147,7 @@
                 for task in self._tasks:
                     task.cancel()
                 await asyncio.gather(*self._tasks, return_exceptions=True)
-                await self._gateways.end()
+                await self._gateways.kill_all()
                 for engine in self._engines:
                     await engine.stop()
                 await self._decoy.close()
@@ -157,23 +159,23 @@
     async def _play(self) -> float:
         assert self._gateways is not None
         addresses = [gateway.clients for gateway in self._gateways.all]
-        for number in range(_CLIENTS):
+        for number in range(_CLIENT_COUNT):
             client = Client(addresses, self._ledger, random.Random(number))
-            self._later(client.run(_PAUSE_SECONDS))
+            self._start_task(client.run(_REQUEST_INTERVAL_SECONDS))
         began = time.monotonic()
-        if self._deadly:
+        if self._has_deadly_client:
             deadly = Client(addresses, self._ledger, random.Random(99))
-            self._later(deadly.run(_DEADLY_PAUSE_SECONDS, "deadly"))
-        if self._words:
+            self._start_task(deadly.run(_DEADLY_INTERVAL_SECONDS, "deadly"))
+        if self._has_engine_signals:
             varying = Client(addresses, self._ledger, random.Random(98))
-            self._later(varying.run(_DEADLY_PAUSE_SECONDS, "varying"))
+            self._start_task(varying.run(_DEADLY_INTERVAL_SECONDS, "varying"))
         for step in self._plan:
             await asyncio.sleep(max(0.0, began + step.at - time.monotonic()))
-            self._later(self._do(step))
-        quiet = began + self._seconds - QUIET_SECONDS + _SETTLED_SECONDS
-        await asyncio.sleep(max(0.0, quiet - time.monotonic()))
+            self._start_task(self._perform(step))
+        quiet_at = began + self._seconds - QUIET_SECONDS + _SETTLE_SECONDS
+        await asyncio.sleep(max(0.0, quiet_at - time.monotonic()))
         since = time.monotonic()
-        await asyncio.sleep(QUIET_SECONDS - _SETTLED_SECONDS)
+        await asyncio.sleep(QUIET_SECONDS - _SETTLE_SECONDS)
         return since
 
     def _result(self, since: float) -> Result:
@@ -182,24 +184,24 @@
         other, sent_other = self._ledger.served("any", since)
         streams, sent_streams = self._ledger.served("stream", since)
         used = {life.partition("@")[0] for life in self._ledger.engines_used(since)}
-        ours = [
+        error_lines = [
             str(line)
-            for line in self._gateways.lines
+            for line in self._gateways.log_lines
             if line.get("event") in ("request.fault", "task.failed", "watch.fault")
         ]
         return Result(
             faults=self._ledger.faults(),
-            errors=self._gateways.errors + ours + self._own_faults,
+            errors=self._gateways.errors + error_lines + self._task_errors,
             late_sends=self._ledger.late_sends(),
-            engines_ended=len(self._ledger.deadly_ends),
-            ended_by_varying=len(self._ledger.varying_ends),
-            rests=len(self._ledger.rests),
-            leavings=len(self._ledger.leavings),
+            engines_crashed=len(self._ledger.deadly_crashes),
+            crashed_by_varying=len(self._ledger.varying_crashes),
+            cooldowns=len(self._ledger.cooldowns),
+            leaving_answers=len(self._ledger.leaving_answers),
             limited_runs=self._ledger.limited_runs(),
             served=(once + other + streams, sent_once + sent_other + sent_streams),
             common_served=self._ledger.served("common", since),
             idle_engines={engine.name for engine in self._engines} - used,
-            tries=len(self._ledger.answers),
+            sent_requests=len(self._ledger.answers),
         )
 
     def _note_absence(self, gateway: str, since: float, until: float) -> None:
@@ -208,62 +210,62 @@
     def _note_restart(self, gateway: str, at: float) -> None:
         self._ledger.restarts.append(Absence(gateway, at, at))
 
-    async def _do(self, step: Step) -> None:
+    async def _perform(self, step: Step) -> None:
         assert self._gateways is not None
-        gateway = self._gateways.all[step.pick % _GATEWAYS]
-        engine = self._engines[step.pick % _ENGINES]
-        match step.deed:
-            case Deed.KILL_GATEWAY:
+        gateway = self._gateways.all[step.pick % _GATEWAY_COUNT]
+        engine = self._engines[step.pick % _ENGINE_COUNT]
+        match step.action:
+            case Action.KILL_GATEWAY:
                 self._gateways.kill(gateway)
-            case Deed.STOP_GATEWAY:
+            case Action.STOP_GATEWAY:
                 self._gateways.signal(gateway, signal.SIGTERM)
-            case Deed.RELOAD_GATEWAY:
+            case Action.RELOAD_GATEWAY:
                 self._gateways.signal(gateway, signal.SIGHUP)
-            case Deed.FREEZE_GATEWAY:
+            case Action.FREEZE_GATEWAY:
                 await self._gateways.freeze(gateway, step.seconds)
-            case Deed.KILL_ALL_GATEWAYS:
+            case Action.KILL_ALL_GATEWAYS:
                 for each in self._gateways.all:
                     self._gateways.kill(each)
-            case Deed.END_ENGINE:
-                await engine.end()
-            case Deed.DRAIN_ENGINE:
+            case Action.TERMINATE_ENGINE:
+                await engine.terminate()
+            case Action.DRAIN_ENGINE:
                 await engine.drain()
-            case Deed.PUT_ODD_ENTRY:
-                self._put_odd(step.pick)
-            case Deed.SPOIL_ENTRY:
-                await self._spoil(engine, step.seconds)
-            case Deed.CHANGE_CONFIGURATION:
+            case Action.PUT_MALFORMED_ENTRY:
+                self._put_malformed_entry(step.pick)
+            case Action.CORRUPT_ENTRY:
+                await self._corrupt_entry(engine, step.seconds)
+            case Action.CHANGE_CONFIGURATION:
                 self._version += 1
                 self._put_configuration()
-            case Deed.SHED_ENGINE:
-                engine.shed(step.seconds)
-            case Deed.SHED_ALL_ENGINES:
+            case Action.REJECT_AT_ENGINE:
+                engine.reject_for(step.seconds)
+            case Action.REJECT_AT_ALL_ENGINES:
                 for each_engine in self._engines:
-                    each_engine.shed(step.seconds / 2)
-            case Deed.LIMIT_ENGINE:
-                engine.limit(step.rate)
-            case Deed.LIMIT_ALL_ENGINES:
+                    each_engine.reject_for(step.seconds / 2)
+            case Action.LIMIT_ENGINE:
+                engine.state_limit(step.rate)
+            case Action.LIMIT_ALL_ENGINES:
                 for each_engine in self._engines:
-                    each_engine.limit(step.rate)
-            case Deed.LIFT_LIMITS:
+                    each_engine.state_limit(step.rate)
+            case Action.LIFT_LIMITS:
                 for each_engine in self._engines:
-                    each_engine.limit(math.inf)
-            case Deed.LEAVE_BY_WORD:
-                await engine.leave_by_word()
-            case Deed.TROUBLE_STORE:
-                self._app.fault = _TROUBLES[step.pick % len(_TROUBLES)]
+                    each_engine.state_limit(math.inf)
+            case Action.ANNOUNCE_LEAVING:
+                await engine.announce_leaving()
+            case Action.INJECT_STORE_FAULT:
+                self._app.fault = _STORE_FAULTS[step.pick % len(_STORE_FAULTS)]
                 await asyncio.sleep(step.seconds)
                 self._app.fault = StoreFault.NONE
 
-    def _put_odd(self, pick: int) -> None:
-        odd: dict[str, Any] = _ODD[pick % len(_ODD)]
-        spec = {**entry("app", self._decoy.address), **odd}
-        self._store.put(KIND, f"odd-{pick % len(_ODD)}", spec)
+    def _put_malformed_entry(self, pick: int) -> None:
+        fields: dict[str, Any] = _MALFORMED_FIELDS[pick % len(_MALFORMED_FIELDS)]
+        spec = {**entry("app", self._decoy.address), **fields}
+        self._store.put(KIND, f"odd-{pick % len(_MALFORMED_FIELDS)}", spec)
 
-    async def _spoil(self, engine: Engine, seconds: float) -> None:
-        engine.spoil()
+    async def _corrupt_entry(self, engine: Engine, seconds: float) -> None:
+        engine.corrupt_entry()
         await asyncio.sleep(seconds)
-        engine.tell_again()
+        engine.restore_entry()
 
     def _put_configuration(self) -> None:
         route: dict[str, Any] = SPEC["routes"][0]  # type: ignore[index]
@@ -279,16 +281,16 @@
         spec = {**SPEC, "version": self._version, "routes": [idempotent, once, stream]}
         self._store.put("config", "main", spec)
 
-    async def _count_odd(self, seen: ReceivedRequest) -> None:
-        self._ledger.odd_requests += 1
+    async def _count_decoy_request(self, seen: ReceivedRequest) -> None:
+        self._ledger.decoy_requests += 1
         seen.reset()
 
-    def _later(self, work: Any) -> None:
+    def _start_task(self, work: Any) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._finished)
+        task.add_done_callback(self._on_task_done)
 
-    def _finished(self, task: asyncio.Task[Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._own_faults.append(f"task of the soak test failed: {task.exception()!r}")
+            self._task_errors.append(f"task of the soak test failed: {task.exception()!r}")
--- a/tests/soak/test_limits.py
+++ b/tests/soak/test_limits.py
@@ -10,18 +10,21 @@
 
 import unittest
 
-from tests.soak.plan import Deed
+from tests.soak.plan import Action
 from tests.soak.plan import Step
 from tests.soak.soak import Soak
 
 _SEED = 1
 _SECONDS = 14.0
-_NAMED_AT = 1.0
+_STATED_AT_SECONDS = 1.0
 
 
 class TestLimits(unittest.IsolatedAsyncioTestCase):
     async def test_all_gateways_together_keep_to_the_limits_of_two_engines(self) -> None:
-        plan = [Step(_NAMED_AT, Deed.LIMIT_ENGINE, engine, 0.0, rate=1.0) for engine in (0, 1)]
+        plan = [
+            Step(_STATED_AT_SECONDS, Action.LIMIT_ENGINE, engine, 0.0, rate=1.0)
+            for engine in (0, 1)
+        ]
         result = await Soak(_SEED, _SECONDS, plan=plan).run()
         self.assertEqual(([], []), (result.faults, result.errors))
         self.assertEqual(result.served[1], result.served[0])
--- a/tests/test_break_rules.py
+++ b/tests/test_break_rules.py
@@ -16,9 +16,9 @@
 
 class TestBreaks(unittest.TestCase):
     def test_every_entry_quotes_existing_code(self) -> None:
-        gone = [
+        missing = [
             item.rule
             for item in BREAKS
             if item.code not in (SOURCE / item.file).read_text(encoding="utf-8")
         ]
-        self.assertEqual([], gone)
+        self.assertEqual([], missing)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -18,8 +18,8 @@
 class TestPages(unittest.TestCase):
     def test_pages_are_up_to_date(self) -> None:
         for path, text in pages().items():
-            held = (ROOT / path).read_text(encoding="utf-8")
-            self.assertEqual(held, text, f"{path}: run `python scripts/write_pages.py`")
+            written = (ROOT / path).read_text(encoding="utf-8")
+            self.assertEqual(written, text, f"{path}: run `python scripts/write_pages.py`")
 
     def test_every_proof_is_an_existing_test(self) -> None:
         for promise in PROMISES:
