--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -1,12 +1,12 @@
-"""Switches off one mechanism of placement at a time and prints what each is worth.
+"""Disable one placement mechanism at a time and print how much each contributes.
 
     python scripts/ablate.py BENCH SITE... --days DAY,... [--seeds N,...] [--only WORD] [--jobs N]
 
 BENCH is the users' bench program and SITE their site files; neither is part of this repository.
-Each variant is played in a copy of the committed sources under target/, without processor time, so
-that a play mostly repeats; the copies' journal entries are added to journal/. A cell is the mean
-worth over days and seeds less that of the sources as they are: what is below 0 is lost without the
-mechanism.
+Each variant runs in a copy of the committed sources under target/, without processor time, so that
+a run is mostly reproducible; the journal entries of the copies are added to journal/. A table cell
+is the mean worth over days and seeds minus that of the unchanged sources: a value below 0 is lost
+without the mechanism.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 ROOT = Path(__file__).resolve().parent.parent
 COPIES = ROOT / "target" / "ablation"
 _WORTH = re.compile(r"^worth (?P<worth>-?[\d.]+) =", re.MULTILINE)
-_BROKEN = re.compile(r"^rules broken: (?P<rules>.*)$", re.MULTILINE)
+_BROKEN_RULES = re.compile(r"^rules broken: (?P<rules>.*)$", re.MULTILINE)
 
 
 @dataclass(frozen=True)
 class Variant:
-    """The sources with one mechanism switched off."""
+    """The sources with one mechanism disabled; an empty `file` leaves them unchanged."""
 
     name: str
     file: str = ""
     code: str = ""
-    off: str = ""
+    replacement: str = ""
 
 
 PLACEMENT = "placement"
 VARIANTS = (
-    Variant("as it is"),
+    Variant("unchanged"),
     Variant(
         "order of upstreams",
         f"{PLACEMENT}/fleet.py",
@@ -46,13 +46,13 @@
         "0.0",
     ),
     Variant(
-        "copies of prompt parts",
+        "fetched prefixes",
         f"{PLACEMENT}/fleet.py",
         "if not engine.link_rate:",
         "if True:",
     ),
     Variant(
-        "copies of runs",
+        "backups of runs",
         f"{PLACEMENT}/fleet.py",
         "if engine is None or not engine.can_back_up_memory:",
         "if True:",
@@ -64,19 +64,19 @@
         "_FAILURE_LOSS = 0.0",
     ),
     Variant(
-        "slowness of steps",
+        "step slowness",
         f"{PLACEMENT}/upstream_load.py",
         "return 1.0 + (self._step_slowness - 1.0) * fresh",
         "return 1.0 + 0.0 * fresh",
     ),
     Variant(
-        "harm to the streams beside",
+        "interference cost",
         f"{PLACEMENT}/weigher.py",
         "return _LONG_PAUSE_LOSS * expected_misses",
         "return 0.0 * expected_misses",
     ),
     Variant(
-        "own pauses",
+        "pauses of the request itself",
         f"{PLACEMENT}/weigher.py",
         "if not target_gap:",
         "if True:",
@@ -88,49 +88,49 @@
         "waiting",
     ),
     Variant(
-        "memory of upstreams",
+        "engine memory",
         f"{PLACEMENT}/weigher.py",
         "_FULL_MEMORY_LOSS = 1.0",
         "_FULL_MEMORY_LOSS = 0.0",
     ),
     Variant(
-        "parts read again",
+        "reread tokens",
         f"{PLACEMENT}/weigher.py",
         "_REREAD_LOSS_PER_TOKEN = 2.0e-4",
         "_REREAD_LOSS_PER_TOKEN = 0.0",
     ),
     Variant(
-        "reading at all",
+        "prefill cost",
         f"{PLACEMENT}/weigher.py",
         "_PREFILL_LOSS_PER_TOKEN = 1e-5",
         "_PREFILL_LOSS_PER_TOKEN = 0.0",
     ),
     Variant(
-        "size beside the usual",
+        "size relative to the typical request",
         f"{PLACEMENT}/usual_request.py",
         "if typical <= 0:",
         "if True:",
     ),
     Variant(
-        "nearer halls first",
+        "preference for the own hall",
         f"{PLACEMENT}/weigher.py",
         "_OTHER_HALL_LOSS = 0.01",
         "_OTHER_HALL_LOSS = 0.0",
     ),
     Variant(
-        "tiers at engines",
+        "tiers sent to engines",
         "platform/request_head.py",
         "_TEAM_LEVELS * urgency.tier + team",
         "1",
     ),
     Variant(
-        "refusal of the longest",
+        "load shedding of the longest",
         f"{PLACEMENT}/shedding.py",
         "overload = self.is_long(need) and is_late",
         "overload = False",
     ),
     Variant(
-        "free slots for the longest",
+        "free slots required for the longest",
         f"{PLACEMENT}/shedding.py",
         "is_late = not with_free_slot or wait_seconds",
         "is_late = wait_seconds",
@@ -142,7 +142,7 @@
         "if True:",
     ),
     Variant(
-        "lists of load",
+        "load snapshots",
         "scheduling/shared_load.py",
         "if now < self._snapshot_due_at:",
         "if True:",
@@ -151,8 +151,8 @@
 
 
 @dataclass(frozen=True)
-class Play:
-    """One play of one variant."""
+class BenchRun:
+    """One bench run of one variant."""
 
     variant: Variant
     site: Path
@@ -162,15 +162,15 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What a play brought."""
+    """Outcome of one bench run."""
 
-    play: Play
+    bench_run: BenchRun
     worth: float
     broken: str
 
 
 def make_copy(variant: Variant) -> Path:
-    """Return a copy of the committed sources with the variant's mechanism switched off."""
+    """Return a copy of the committed sources with the variant's mechanism disabled."""
     folder = COPIES / variant.name.replace(" ", "-")
     if folder.exists():
         shutil.rmtree(folder)
@@ -180,28 +180,33 @@
         target = folder / "src" / "lotushill" / variant.file
         text = target.read_text(encoding="utf-8")
         if variant.code not in text:
-            raise SystemExit(f"{variant.name}: the code to switch off is not there")
-        target.write_text(text.replace(variant.code, variant.off), encoding="utf-8")
+            raise SystemExit(
+                f"{variant.name}: the code to disable was not found in the source file"
+            )
+        target.write_text(text.replace(variant.code, variant.replacement), encoding="utf-8")
     subprocess.run(["git", "-C", str(folder), "add", "--all"], check=True)
     return folder
 
 
-def run(bench: Path, play: Play) -> Result:
-    """Play one day; the bench's own report tells the worth."""
-    folder = COPIES / play.variant.name.replace(" ", "-")
-    command = [str(bench), "run", str(play.site), play.day, "--no-cpu"]
-    command += ["--seed", play.seed] if play.seed else []
-    command += ["--why", f"trial, ablation: without {play.variant.name}"]
-    done = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
-    worth = _WORTH.search(done.stdout)
+def run(bench: Path, bench_run: BenchRun) -> Result:
+    """Run one day on the bench and read the worth from its report."""
+    folder = COPIES / bench_run.variant.name.replace(" ", "-")
+    command = [str(bench), "run", str(bench_run.site), bench_run.day, "--no-cpu"]
+    command += ["--seed", bench_run.seed] if bench_run.seed else []
+    command += ["--why", f"trial, ablation: without {bench_run.variant.name}"]
+    completed = subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
+    worth = _WORTH.search(completed.stdout)
     if worth is None:
-        raise SystemExit(f"{play}: no worth told: {(done.stdout + done.stderr)[-300:]}")
-    broken = _BROKEN.search(done.stdout)
-    return Result(play, float(worth["worth"]), broken["rules"] if broken else "")
+        raise SystemExit(
+            f"{bench_run}: no worth reported; end of the output: "
+            f"{(completed.stdout + completed.stderr)[-300:]}"
+        )
+    broken = _BROKEN_RULES.search(completed.stdout)
+    return Result(bench_run, float(worth["worth"]), broken["rules"] if broken else "")
 
 
-def keep_journal(variant: Variant) -> None:
-    """Add the entries of a copy's journal to this one."""
+def copy_journal(variant: Variant) -> None:
+    """Copy the journal entries of a variant's copy into this repository's journal."""
     source = COPIES / variant.name.replace(" ", "-") / "journal"
     for entry in source.rglob("*"):
         target = ROOT / "journal" / entry.relative_to(source)
@@ -211,33 +216,39 @@
 
 
 def print_table(results: list[Result], variants: list[Variant], sites: list[Path]) -> None:
-    """Print a line for each variant, a column for each site."""
+    """Print a table with a row for each variant and a column for each site."""
     print("| without | " + " | ".join(site.stem for site in sites) + " | rules broken |")
     print("|---" * (len(sites) + 2) + "|")
     base: dict[Path, float] = {}
     for variant in variants:
         cells = []
         for site in sites:
-            mine = [
+            worths = [
                 item.worth
                 for item in results
-                if item.play.variant == variant and item.play.site == site
+                if item.bench_run.variant == variant and item.bench_run.site == site
             ]
-            worth = mean(mine)
+            worth = mean(worths)
             base.setdefault(site, worth)
             cells.append(f"{worth:.3f}" if not variant.file else f"{worth - base[site]:+.3f}")
-        broken = {item.broken for item in results if item.play.variant == variant and item.broken}
+        broken = {
+            item.broken for item in results if item.bench_run.variant == variant and item.broken
+        }
         print(f"| {variant.name} | {' | '.join(cells)} | {', '.join(sorted(broken)) or '-'} |")
 
 
 def main() -> None:
-    """Play all variants and print the table."""
+    """Run all variants and print the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("bench", type=Path)
     parser.add_argument("sites", type=Path, nargs="+")
     parser.add_argument("--days", default="scale-1")
-    parser.add_argument("--seeds", default="", help="the sites' own where none is given")
-    parser.add_argument("--only", default="", help="variants whose names hold this word")
+    parser.add_argument(
+        "--seeds", default="", help="comma-separated; default: the seeds of the site files"
+    )
+    parser.add_argument(
+        "--only", default="", help="run only the variants whose names contain this word"
+    )
     parser.add_argument("--jobs", type=int, default=4)
     options = parser.parse_args()
     bench = options.bench.resolve()
@@ -246,7 +257,7 @@
     for variant in variants:
         make_copy(variant)
     plays = [
-        Play(variant, site, day, seed)
+        BenchRun(variant, site, day, seed)
         for variant in variants
         for site in sites
         for day in options.days.split(",")
@@ -255,7 +266,7 @@
     with ThreadPoolExecutor(options.jobs) as pool:
         results = list(pool.map(lambda play: run(bench, play), plays))
     for variant in variants:
-        keep_journal(variant)
+        copy_journal(variant)
     print_table(results, variants, sites)
 
 
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet on one machine: the stand-ins and gateways as processes of their own."""
+"""Starts a small fleet on one machine; each stand-in and gateway runs in its own process."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from typing import Any
 from urllib.error import URLError
 
-_READY_SECONDS = 20.0
-_STOP_SECONDS = 15.0
-_POLL_SECONDS = 0.05
+_READY_TIMEOUT_SECONDS = 20.0
+_STOP_TIMEOUT_SECONDS = 15.0
+_POLL_INTERVAL_SECONDS = 0.05
 
 
 def free_address() -> str:
-    """Return an address on the loopback that nothing listens on now."""
-    with socket.socket() as found:
-        found.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{found.getsockname()[1]}"
+    """Return a loopback address on which nothing listens at the moment."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 @dataclass
 class Program:
-    """A running program with the settings that it was given."""
+    """A started program with its settings and its log file."""
 
     name: str
     settings: dict[str, Any]
@@ -38,37 +38,37 @@
     output: Path
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
 
 class Fleet:
-    """Starts programs and ends those that it started."""
+    """Starts programs and terminates those that it started."""
 
     def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="lotushill-")
         self.programs: list[Program] = []
         self.store = ""
-        """Address of the stand-in of the platform's store."""
+        """Address of the stand-in for the platform's store."""
 
     def __enter__(self) -> Fleet:
         """Start the store."""
         self.store = free_address()
         self._start("store", "standin", {"kind": "store", "name": "store", "address": self.store})
-        _wait_for(lambda: _answers(f"http://{self.store}/objects/config"))
+        _wait_for(lambda: _is_ok(f"http://{self.store}/objects/config"))
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End everything."""
+        """Kill all running programs and delete their files."""
         for program in self.programs:
             if program.process.poll() is None:
                 program.signal(signal.SIGKILL)
         for program in self.programs:
-            program.process.wait(_STOP_SECONDS)
+            program.process.wait(_STOP_TIMEOUT_SECONDS)
         self._folder.cleanup()
 
     def start_upstream(self, name: str, kind: str, service: str, hall: str, **more: Any) -> Program:
-        """Start an engine or an instance of a plain service."""
+        """Start the stand-in for an engine or for an instance of a plain service."""
         settings = {
             "kind": kind,
             "name": name,
@@ -81,7 +81,7 @@
         return self._start(name, "standin", settings)
 
     def start_gateway(self, name: str, hall: str) -> Program:
-        """Start a gateway."""
+        """Start a gateway in a hall."""
         settings = {
             "name": name,
             "hall": hall,
@@ -95,24 +95,26 @@
         return self._start(name, "gateway", settings)
 
     def wait_ready(self, *gateways: Program) -> None:
-        """Return when all gateways are ready."""
+        """Wait until all gateways report that they are ready."""
         for gateway in gateways:
             address = gateway.settings["readiness"]
-            _wait_for(lambda address=address: _answers(f"http://{address}/readyz"))
+            _wait_for(lambda address=address: _is_ok(f"http://{address}/readyz"))
 
-    def put(self, kind: str, name: str, spec: Any) -> None:
-        """Make an object in the store."""
+    def create_object(self, kind: str, name: str, spec: Any) -> None:
+        """Create an object in the store."""
         body = json.dumps({"metadata": {"name": name}, "spec": spec}).encode()
         request = urllib.request.Request(
             f"http://{self.store}/objects/{kind}", data=body, method="POST"
         )
         urllib.request.urlopen(request, timeout=5).close()
 
-    def operator(self, *arguments: str) -> str:
-        """Run one command of `lotushill` and return what it prints."""
+    def run_operator(self, *arguments: str) -> str:
+        """Run one `lotushill` command and return its output."""
         command = [sys.executable, "-m", "lotushill.console.operator", "--store", self.store]
-        done = subprocess.run([*command, *arguments], capture_output=True, text=True, check=False)
-        return (done.stdout + done.stderr).strip()
+        completed = subprocess.run(
+            [*command, *arguments], capture_output=True, text=True, check=False
+        )
+        return (completed.stdout + completed.stderr).strip()
 
     def _start(self, name: str, program: str, settings: dict[str, Any]) -> Program:
         folder = Path(self._folder.name)
@@ -131,7 +133,7 @@
         return started
 
 
-def _answers(url: str) -> bool:
+def _is_ok(url: str) -> bool:
     try:
         with urllib.request.urlopen(url, timeout=2) as response:
             return bool(response.status == 200)
@@ -140,8 +142,8 @@
 
 
 def _wait_for(condition: Any) -> None:
-    ends = time.monotonic() + _READY_SECONDS
+    deadline = time.monotonic() + _READY_TIMEOUT_SECONDS
     while not condition():
-        if time.monotonic() > ends:
+        if time.monotonic() > deadline:
             raise TimeoutError
-        time.sleep(_POLL_SECONDS)
+        time.sleep(_POLL_INTERVAL_SECONDS)
