--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -112,7 +112,7 @@
     Break(
         "gateway: the request id of an answer is checked",
         "requests/upstream_connection.py",
-        "self._skipping = self._answered_id(self._headers) != self._request_id",
+        "self._skipping = self._answer_request_id(self._headers) != self._request_id",
         "self._skipping = False",
         "tests.requests.test_request_path",
     ),
@@ -190,7 +190,7 @@
     Break(
         "gateway: an unknown route or key is not denied while the view may be stale",
         "requests/client_application.py",
-        "if not self._parts.view_is_fresh():",
+        "if not self._components.view_is_fresh():",
         "if False:",
         "tests.requests.test_request_path",
     ),
@@ -218,8 +218,8 @@
     Break(
         "gateway: a prompt counts as prefill until its first event",
         "placement/prefill_queue.py",
-        "return min(float(tokens), max(0.0, now - self._current_since) * read_rate)",
-        "return max(0.0, now - self._current_since) * read_rate",
+        "return min(float(tokens), max(0.0, now - self._current_since) * prefill_rate)",
+        "return max(0.0, now - self._current_since) * prefill_rate",
         "tests.placement.test_upstream_load",
     ),
     Break(
@@ -608,7 +608,7 @@
     Break(
         "a complete response clears a suspect",
         "requests/exchange.py",
-        "self._parts.quarantine.record_completion(request)",
+        "self._components.quarantine.record_completion(request)",
         "pass",
         "tests.requests.test_quarantine",
     ),
@@ -727,7 +727,7 @@
     Break(
         "no request is sent before the holds are known",
         "requests/client_application.py",
-        " or not self._parts.knows_holds()",
+        " or not self._components.holds_are_known()",
         "",
         "tests.requests.test_quarantine",
     ),
@@ -741,14 +741,14 @@
     Break(
         "no request is sent to an upstream in cooldown, no matter what chose it",
         "requests/attempt.py",
-        "if not self._parts.gate.authorize_send(self._permit):",
+        "if not self._components.gate.authorize_send(self._permit):",
         "if False:",
         "tests.requests.test_cooldowns",
     ),
     Break(
         "a run is not continued at an upstream in cooldown",
         "requests/continuation.py",
-        "is_accepting = self._parts.gate.accepts_requests(backup.id)",
+        "is_accepting = self._components.gate.accepts_requests(backup.id)",
         "is_accepting = True",
         "tests.requests.test_cooldowns",
     ),
--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -52,7 +52,7 @@
 from lotushill.waiting.admission_queue import AdmissionQueue
 from lotushill.waiting.entry import Queued
 from lotushill.waiting.entry import QueueEntry
-from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS
+from lotushill.waiting.slot_turns import QUEUE_UPDATE_INTERVAL_SECONDS
 from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
@@ -310,7 +310,7 @@
         self._schedule(self.now + _NEWS_SECONDS, receive)
         if self._polled[scheduler]:
             self._schedule(
-                self.now + QUEUE_REPORT_INTERVAL_SECONDS, lambda: self._publish_queue(scheduler)
+                self.now + QUEUE_UPDATE_INTERVAL_SECONDS, lambda: self._publish_queue(scheduler)
             )
 
     def _choose(self, client: Client) -> Choice | NoChoice | Queued:
@@ -563,7 +563,7 @@
         fleet = self.fleets[client.scheduler]
         load, pace = fleet.load(self.upstreams[client.engine].id), fleet.pace("llm")
         queued_seconds = (
-            load.prefill_queue.remaining_tokens(pace.read_rate, self.now) / pace.read_rate
+            load.prefill_queue.remaining_tokens(pace.prefill_rate, self.now) / pace.prefill_rate
         )
         if pause > 0.0:
             slowness = load.pace.step_slowness(self.now)
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -130,10 +130,10 @@
         for task in self._tasks:
             task.cancel()
 
-    def forget(self, known: set[str]) -> None:
+    def retain_only(self, known: set[str]) -> None:
         """Drop the data of upstreams that are not in `known`."""
-        self.notices.forget(known)
-        self._memory.forget({item.address for item in self._upstreams.all()})
+        self.notices.retain_only(known)
+        self._memory.retain_only({item.address for item in self._upstreams.all()})
 
     def start_due_handovers(self) -> None:
         """Start the handovers that are worthwhile now."""
@@ -173,7 +173,7 @@
         service = run.request.service.name
         stall_threshold = self.stalls.threshold(service, run.request.need.target_gap)
         stalled = now >= self._unblocked_at and run.is_stalled(now, stall_threshold)
-        usual_pause = self.stalls.usual_pause(service)
+        usual_pause = self.stalls.typical_pause(service)
         move = plan_move(run.state(now, usual_pause, leaves_in, stalled), engine)
         if move is None or not self._quarantine.may_retry(run.request):
             return None
@@ -182,7 +182,7 @@
     def _start(self, run: MovableRun, move: Move, now: float) -> None:
         engine = run.request.service.engine
         assert engine is not None
-        seconds = copy_seconds(run.tokens, engine, near=False)
+        seconds = copy_seconds(run.tokens, engine, same_hall=False)
         if not self._links.try_reserve(run.upstream.id, seconds, move.time_limit):
             return
         run.begin_handover()
