--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -107,7 +107,7 @@
     ),
     Variant(
         "size beside the usual",
-        f"{PLACEMENT}/usual_request.py",
+        f"{PLACEMENT}/typical_requests.py",
         "if typical <= 0:",
         "if True:",
     ),
--- a/src/lotushill/availability/announcement_schedule.py
+++ b/src/lotushill/availability/announcement_schedule.py
@@ -30,7 +30,7 @@
         """Record an announcement of another gateway.
 
         `names` are those in it, and `complete` states whether these are all that the sender
-        knows. `differs` states that the sender lacks a fact, or holds a different one.
+        holds. `differs` states that the sender lacks a fact, or holds a different one.
         """
         if differs:
             self._timer.reset(now)
--- a/src/lotushill/availability/stated_limits.py
+++ b/src/lotushill/availability/stated_limits.py
@@ -7,8 +7,8 @@
 
 NO_LIMIT = math.inf
 _RETENTION_SECONDS = 30.0
-"""How long the end of a limit is kept, and a limit of an upstream that is in no view: longer than
-gossip is in flight, and than an entry is missing when it expires."""
+"""Time for which the end of a limit is kept, and a limit of an upstream that is in no view: longer
+than gossip is in flight, and than an entry is missing when it expires."""
 
 
 @dataclass(frozen=True)
--- a/src/lotushill/availability/statement.py
+++ b/src/lotushill/availability/statement.py
@@ -9,14 +9,14 @@
 from lotushill.availability.stated_limits import NO_LIMIT
 
 MAX_COOLDOWN_SECONDS = 300.0
-"""Longest cooldown; longer ones are cut to this. An upstream that wants no requests for minutes
+"""Longest cooldown; longer ones are reduced to this. An upstream that wants no requests for minutes
 states that it is leaving, and an absurd value sent by mistake must not remove it for hours."""
 MIN_REQUESTS_PER_SECOND = 0.1
 """Lowest limit in requests per second; lower ones are raised to this. If no request were sent, no
 answer could state that the limit ended."""
 MAX_REQUESTS_PER_SECOND = 100_000.0
-"""Highest limit in requests per second; higher ones are cut to this. No fleet sends one upstream as
-much."""
+"""Highest limit in requests per second; higher ones are reduced to this. No fleet sends one
+upstream as much."""
 _MAX_LOGGED_CHARACTERS = 60
 _EMPTY_TEXT = "(empty)"
 _DECIMAL = re.compile(rb"[0-9]{1,30}(?:\.[0-9]{0,30})?|\.[0-9]{1,30}")
--- a/src/lotushill/availability/trickle.py
+++ b/src/lotushill/availability/trickle.py
@@ -2,7 +2,7 @@
 
 Load case: hundreds of gateways learn the same fact within milliseconds. If each sent it to all
 others, one upstream that leaves would cost the square of their number in datagrams. With this timer
-a few gateways announce it for all, and one that joins or was cut off receives it soon after.
+a few gateways announce it for all, and one that joins or was unreachable receives it soon after.
 """
 
 from __future__ import annotations
--- a/src/lotushill/availability/wait_policy.py
+++ b/src/lotushill/availability/wait_policy.py
@@ -21,8 +21,8 @@
 """Additional delay per tier until a request checks again: one probe request goes first at the end
 of a cooldown, and it has to be one of the most urgent."""
 _MIN_LIMITED_RETRY_AFTER_SECONDS = 1.0
-"""Shortest Retry-After time of a request that got no permit within its whole target. If its caller
-returned at once, it would mostly use up its last try in vain."""
+"""Shortest Retry-After time of a request that got no permit within its whole target. A caller
+that returned at once would mostly waste its last try."""
 MAX_RETURN_WAIT_FRACTION = 0.6
 """Fraction of its target for which a returned request waits for the slot promised to it."""
 _RETURN_POLL_INTERVAL_SECONDS = 0.06
--- a/src/lotushill/limits/limit_owners.py
+++ b/src/lotushill/limits/limit_owners.py
@@ -40,7 +40,10 @@
         return self._membership.own.name
 
     def owner_of(self, upstream: Upstream) -> MemberState:
-        """Return the owner for an upstream, in its hall if possible: both are cut off together."""
+        """Return the owner for an upstream.
+
+        It is in the same hall if possible, so that both become unreachable together.
+        """
         halls = self._schedulers.names_by_hall()
         in_hall = halls.get(upstream.hall)
         names = in_hall or [name for hall in halls.values() for name in hall]
--- a/src/lotushill/limits/permit_buckets.py
+++ b/src/lotushill/limits/permit_buckets.py
@@ -15,7 +15,7 @@
 """Most permits that accumulate while none is requested."""
 _LEVEL_PER_EARLIER_RANK = 0.45
 """Additional permits that have to be in the bucket for each earlier rank that is requested as well:
-an earlier rank with frequent requests never lets the level rise so far."""
+while an earlier rank is requested often, the level never rises so far."""
 _MAX_EARLIER_RANKS = 2
 """Most earlier ranks that count, so that the level needed by the others stays below the depth."""
 _ACTIVE_RANK_PERMITS = 2.0
--- a/src/lotushill/limits/permit_client.py
+++ b/src/lotushill/limits/permit_client.py
@@ -17,7 +17,7 @@
 
 ANSWER_TIMEOUT_SECONDS = 0.15
 """Time-out of a permit request, some round trips between regions; a gateway that takes longer is
-frozen, lost or cut off."""
+frozen, lost or unreachable."""
 _TIMEOUT_PAUSE_SECONDS = 0.3
 """Seconds until an owner that did not answer is asked again: by then membership has likely dropped
 it."""
--- a/src/lotushill/moves/memory_copy.py
+++ b/src/lotushill/moves/memory_copy.py
@@ -17,7 +17,7 @@
     """The run has ended, or never ran at that engine; nothing was stopped."""
     BUSY = "a call is under way"
     NO_ROOM = "no room or no way"
-    """If the request was to stop the run, it has been stopped."""
+    """The target has no room or is unreachable; if the run was to be stopped, it was."""
 
 
 @dataclass(frozen=True)
@@ -25,7 +25,7 @@
     """The memory was copied to the other engine."""
 
     handle: str
-    made: int
+    events_produced: int
     """Number of events that the run had produced."""
 
 
--- a/src/lotushill/placement/baseline_pause.py
+++ b/src/lotushill/placement/baseline_pause.py
@@ -10,8 +10,8 @@
 _DECAY = 0.998
 """Factor by which the weight of earlier pauses decays with each new one: about 500 count."""
 _MIN_SECONDS = 0.001
-"""Minimum pause. A step of an engine takes longer; events that arrived in one read say nothing
-about its pause."""
+"""Minimum pause. A step of an engine takes longer; events that arrived in one read of the socket
+say nothing about its pause."""
 _MIN_VARIANCE = 4.0
 """Variance of the number of requests below which the pauses say nothing about its effect."""
 
--- a/src/lotushill/placement/choice.py
+++ b/src/lotushill/placement/choice.py
@@ -39,8 +39,8 @@
     interference_cost: float = 0.0
     """Expected cost to the streams that run on the same upstream."""
     typical_request_cost: float = 0.0
-    """On a route of long prompts, the expected cost of a typical request on this upstream, both to
-    itself and to others."""
+    """Expected cost of a typical request of the route on this upstream, both to itself and to
+    others; 0 unless the route has the longest prompts of its service."""
     reread_tokens: int = 0
     """Shared prompt tokens that are processed again."""
     running: int = 0
@@ -65,12 +65,12 @@
 
     NO_UPSTREAM = "no upstream"
     OVERLOAD = "overload"
-    """The request belongs to the longest prompts and would wait longer than these may."""
+    """The route has the longest prompts of its service, and the request would wait too long."""
     RESTING = "all rest"
     """All upstreams that could serve the request have asked this gateway for a cooldown."""
     LIMITED = "all limited"
-    """For some of the upstreams that could serve the request there is no permit, and the others are
-    in a cooldown."""
+    """No permit is available for some of the upstreams that could serve the request, and the others
+    are in a cooldown."""
     TEAM_LIMIT = "limit of its team"
     """The team has reached its request limit in the settings tree."""
     ISOLATED = "isolated"
@@ -95,8 +95,8 @@
     retry_after: float
     """Seconds after which the caller should return."""
     wait_seconds: float = 0.0
-    """Predicted seconds until its prompt is processed on the upstream with the least cost for a
-    typical request."""
+    """Predicted seconds until processing of its prompt begins, on the upstream with the least cost
+    for a typical request."""
     first_event_seconds: float = 0.0
     """Shortest predicted time in seconds to the first event over all upstreams."""
     usual_prompt: float = 0.0
--- a/src/lotushill/placement/need.py
+++ b/src/lotushill/placement/need.py
@@ -39,7 +39,8 @@
     waited: float = 0.0
     """Seconds since it arrived at its gateway."""
     caller: int = 0
-    """Number that stays the same when its client sends it again; 0 if unknown."""
+    """Number that identifies the caller, the same when its client sends the request again; 0 if
+    unknown."""
 
     @property
     def size(self) -> float:
--- a/src/lotushill/placement/placed_message.py
+++ b/src/lotushill/placement/placed_message.py
@@ -14,7 +14,7 @@
 
 
 def placed_message(request: int, need: Need, choice: Choice, engine: bool) -> Placed:
-    """Return the message for other gateways; `engine` tells that a model engine runs it."""
+    """Return the message for other gateways; `engine` states whether a model engine runs it."""
     return Placed(
         request=request,
         upstream=choice.upstream.id,
--- a/src/lotushill/placement/reserve.py
+++ b/src/lotushill/placement/reserve.py
@@ -17,17 +17,17 @@
 
 
 def only_reserved_left(
-    used_slots: int, urgent_slots: int, slots: int, most: float | None = None
+    used_slots: int, urgent_slots: int, slots: int, max_reserved_fraction: float | None = None
 ) -> bool:
     """Return whether the remaining slots are reserved for more urgent requests than a long one.
 
     `used_slots` counts all requests that run on the `slots` slots of all upstreams, `urgent_slots`
-    the more urgent of them. If `most` is given, at most that fraction is reserved. All upstreams
+    the more urgent of them. `max_reserved_fraction` replaces the default maximum. All upstreams
     count together: a reserve on each would spread long requests over the upstreams on which others
     are packed, and direct the requests of all schedulers to the few that are left.
     """
     fraction = min(
-        _MAX_RESERVED_FRACTION if most is None else most,
+        _MAX_RESERVED_FRACTION if max_reserved_fraction is None else max_reserved_fraction,
         _RESERVE_FACTOR * urgent_slots / max(1, slots),
     )
     return used_slots >= (1.0 - fraction) * slots
--- a/src/lotushill/placement/team_reserve.py
+++ b/src/lotushill/placement/team_reserve.py
@@ -17,13 +17,14 @@
     from lotushill.placement.need import Need
 
 _MAX_WAIT_FRACTION = 0.2
-"""Fraction of its target that a request of such a team may wait on its upstream: short enough that
-the next request of another team is in time, long enough that no upstream runs out of work."""
+"""Fraction of its target that a request of a team over its share may wait on its upstream: short
+enough that the next request of another team is in time, long enough that no upstream runs out of
+work."""
 
 
 _RESERVED_FRACTION = 0.1
-"""Fraction of all slots that such a team leaves free: more than become free between two checks for
-room."""
+"""Fraction of all slots that a team over its share leaves free: more than become free between two
+checks for free slots."""
 
 
 def reserved_slots(slots: int) -> int:
@@ -34,7 +35,7 @@
 def has_to_wait(need: Need, choices: Iterable[Choice], engine: bool) -> bool:
     """Return whether no upstream would start a request almost at once.
 
-    `engine` tells that the upstreams are model engines.
+    `engine` states whether the upstreams are model engines.
     """
     return not any(_is_free(need, choice, engine) for choice in choices)
 
--- a/src/lotushill/placement/upstream_load.py
+++ b/src/lotushill/placement/upstream_load.py
@@ -140,7 +140,7 @@
         self._slowness_at = now
 
     def is_unreachable(self, now: float) -> bool:
-        """Return whether the upstream is believed to be unreachable."""
+        """Return whether the upstream counts as unreachable."""
         return now < self._unreachable_until
 
     def note_unreachable(self, now: float) -> None:
--- a/src/lotushill/returns/promise.py
+++ b/src/lotushill/returns/promise.py
@@ -6,7 +6,7 @@
 
 GRACE_SECONDS = 2.0
 """Time after its due time for which a promise is kept: a client may first try a host that is
-gone."""
+down."""
 
 
 @dataclass(frozen=True)
--- a/src/lotushill/returns/start_rate.py
+++ b/src/lotushill/returns/start_rate.py
@@ -1,4 +1,4 @@
-"""Measures the rate at which capacity becomes free, by the requests started lately. Pure."""
+"""Measures the rate at which capacity becomes free, by the requests started recently. Pure."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 WINDOW_SECONDS = 2.0
-"""Time window of the rate: long enough to include the ends of usual streams, short enough to follow
-a loss of upstreams."""
+"""Time window of the rate: long enough to include the ends of typical streams, short enough to
+follow a loss of upstreams."""
 _SLICE_SECONDS = 0.25
 """Length of a slice. The requests started within one slice are stored as one count, so that memory
 does not grow with traffic."""
@@ -35,7 +35,7 @@
         self._drop_old(slices, at)
 
     def rate(self, service: str, tier: int, now: float) -> float:
-        """Return the requests per second of a tier that were started lately."""
+        """Return the requests per second of a tier that were started recently."""
         slices = self._slices.get((service, tier))
         if not slices:
             return 0.0
--- a/src/lotushill/scheduling/hall_contact.py
+++ b/src/lotushill/scheduling/hall_contact.py
@@ -1,4 +1,4 @@
-"""Detects halls that are cut off, by the load batches of their schedulers. Pure."""
+"""Detects unreachable halls, by the load batches of their schedulers. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 SILENCE_TIMEOUT_SECONDS = 0.8
 """Time without a batch after which a hall counts as silent: three missed batches and some jitter.
 The membership alone is too slow for this: it probes the members of a large hall one by one, and
-takes many seconds until it marks the last member of a hall that was cut off as lost."""
+takes many seconds until it marks the last member of an unreachable hall as lost."""
 
 
 class HallContact:
@@ -34,7 +34,7 @@
             self._listening_since = now
 
     def is_silent(self, hall: str, now: float) -> bool:
-        """Return whether a hall has schedulers and no batch of any of them was received lately."""
+        """Return whether a hall has schedulers and no batch of them was received recently."""
         since = self._listening_since
         if since is None or now - since < SILENCE_TIMEOUT_SECONDS:
             return False
--- a/src/lotushill/scheduling/placement_client.py
+++ b/src/lotushill/scheduling/placement_client.py
@@ -57,8 +57,8 @@
     async def ask(self, make_ask: Callable[[], PlacementAsk]) -> PlacementAnswer | None:
         """Return the first answer, None if none of the schedulers asked gives one.
 
-        `make_ask` returns the query with a new number each time, so that late answers can be told
-        apart. A request queued at a scheduler is renewed until it is placed or refused; if the
+        `make_ask` returns the query with a new number each time, by which late answers are
+        recognized. A request queued at a scheduler is renewed until it is placed or refused; if the
         scheduler is lost, the request is sent to the next one with the time that it has waited.
         """
         ask = make_ask()
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -49,11 +49,11 @@
 same upstream."""
 _MIN_SAMPLE = 3
 _MAX_UNKNOWN_UPSTREAMS = 2
-"""Number of further queries after answers with an upstream that this gateway does not know; after
-them the request is refused with a Retry-After time."""
+"""Number of further queries after answers with an upstream that is not in this gateway's view;
+after them the request is refused with a Retry-After time."""
 _UNKNOWN_RETRY_AFTER_SECONDS = 0.2
-"""Retry-After time in seconds, within which this gateway is notified of an upstream that a
-scheduler knows already."""
+"""Retry-After time in seconds, within which this gateway is notified of an upstream that is already
+in a scheduler's view."""
 
 
 class Placer:
@@ -78,9 +78,10 @@
 
         Requests for which the own model finds no free slot are queued with `queue_runner`.
 
-        `barred` holds the upstreams to which this gateway must not send requests now, which no
-        other gateway knows, and `limits` those that accept few requests. `has_fleet_model` returns
-        False from the start of this gateway until it has received the running requests of others.
+        `barred` holds the upstreams to which this gateway must not send requests now; other
+        gateways do not have this information. `limits` holds those that accept few requests.
+        `has_fleet_model` returns False from the start of this gateway until it has received the
+        running requests of others.
         """
         self._name = name
         self._fleet = fleet
@@ -160,13 +161,13 @@
     def _refuse_barred(self, request: Request, barred: frozenset[str]) -> NoChoice:
         """Refuse until the first upstream may be sent a request, or for lack of any upstream."""
         known = [item.id for item in self._upstreams.of(request.service.name)]
-        closed = [name for name in known if name in barred]
-        if not closed:
+        barred_ids = [name for name in known if name in barred]
+        if not barred_ids:
             return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
         now, route = self._clock(), request.need.route
-        limited = self._barred.any_limited(closed, route, now)
+        limited = self._barred.any_limited(barred_ids, route, now)
         refusal = Refusal.LIMITED if limited else Refusal.RESTING
-        return NoChoice(refusal, self._barred.seconds_to_first_end(closed, route, now))
+        return NoChoice(refusal, self._barred.seconds_to_first_end(barred_ids, route, now))
 
     def _note_arrival(self, need: Need) -> None:
         self._fleet.note_arrival(need, self._clock())
@@ -373,7 +374,7 @@
     try:
         refusal = Refusal(answer.refusal)
     except ValueError:
-        # A scheduler of a later version may send reasons that this version does not know.
+        # A scheduler of a later version may send reasons that this version does not define.
         refusal = Refusal.NO_UPSTREAM
     return NoChoice(
         refusal,
--- a/src/lotushill/scheduling/shared_load.py
+++ b/src/lotushill/scheduling/shared_load.py
@@ -38,7 +38,7 @@
 """Maximum number of request numbers in one datagram; each is sent twice if all have begun."""
 _MIN_REPEATED_AGE_SECONDS = 0.001
 """Minimum age in seconds of a repeated start. An age above 0 marks the repetition, so that
-receivers do not learn from its prompt reading twice."""
+receivers do not count its prefill in the mix of prompts twice."""
 _SNAPSHOT_TRANSIT_SECONDS = 0.3
 """Age up to which a request may be missing from a snapshot that was already in transit."""
 
--- a/src/lotushill/shares/served_counts.py
+++ b/src/lotushill/shares/served_counts.py
@@ -1,4 +1,4 @@
-"""Counts the requests of a team and those that were placed lately, at one scheduler. Pure.
+"""Counts the requests of a team and those that were placed recently, at one scheduler. Pure.
 
 A team that requests many times its share of a service would have next to none of its requests
 served; users hold it against a service if a team is served far less often than all teams are.
--- a/src/lotushill/shares/work.py
+++ b/src/lotushill/shares/work.py
@@ -9,7 +9,7 @@
     from lotushill.routing.service import Service
 
 _OUTPUT_TOKEN_COST = 10.0
-"""Cost of a generated token to an engine, in prompt tokens read."""
+"""Cost of a generated token to an engine, in prefill tokens."""
 _MIN_WORK = 1e-3
 """Lower bound of the work of a request, so that no request is free."""
 
@@ -31,7 +31,7 @@
 
     @property
     def prefill_tokens(self) -> int:
-        """Prompt tokens that the upstream has to read."""
+        """Prompt tokens that the upstream has to process."""
 
     @property
     def prompt(self) -> int:
--- a/src/lotushill/starting/__init__.py
+++ b/src/lotushill/starting/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions of a gateway between its start and the time when it knows its fleet."""
+"""Decisions of a gateway from its start until its view of the fleet is complete."""
 
 from __future__ import annotations
--- a/src/lotushill/starting/startup_phase.py
+++ b/src/lotushill/starting/startup_phase.py
@@ -1,9 +1,9 @@
-"""Decides whether a started gateway knows enough of its fleet to use its model.
+"""Decides whether the fleet model of a gateway that has just started is complete enough for use.
 
 Protects against this load: all hosts lose power, all gateways start within a second, and all
-clients return at once. For 0.1 to 1 s a gateway then knows few others and takes the fleet for a
-small one, or schedules before it has received the load of the upstreams: it would choose by its own
-few requests, and all gateways would send to the same few upstreams. Performs no I/O.
+clients return at once. For 0.1 to 1 s a gateway then has few members in view and takes the fleet
+for a small one, or schedules before it has received the load of the upstreams: it would choose by
+its own few requests, and all gateways would send to the same few upstreams. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 """Time after its start in which a gateway counts as new: members discover each other within a
 second, and a model is pulled within 1.5 s more. Later, few members mean a partition, and the
 members on its own side are known."""
-_KNOWN_FRACTION = 0.5
+_MIN_REACHABLE_FRACTION = 0.5
 """Fraction of the registered gateways that the reachable ones must exceed; their updates then cover
 the running requests."""
 
@@ -29,11 +29,13 @@
         """Return whether the start is so recent that the fleet may be largely unknown."""
         return now - self._started_at < STARTUP_SECONDS
 
-    def knows_fleet(self, reachable: int, registered: int, has_model: bool, now: float) -> bool:
-        """Return whether to choose by the own model.
+    def has_usable_model(
+        self, reachable: int, registered: int, has_model: bool, now: float
+    ) -> bool:
+        """Return whether to choose upstreams by the own model.
 
         `reachable` is the number of live gateways, including this one; `registered` is the number
-        in the store's list, 0 while it has not been read; `has_model` tells whether this gateway
+        in the store's list, 0 while it has not been read; `has_model` states whether this gateway
         has received the load of the upstreams from another one.
         """
         if not self.is_new(now):
@@ -41,5 +43,5 @@
         if not registered:
             return reachable > 1
         if reachable <= self._small_fleet:
-            return reachable > _KNOWN_FRACTION * registered
+            return reachable > _MIN_REACHABLE_FRACTION * registered
         return has_model
--- a/src/lotushill/waiting/ordering_inputs.py
+++ b/src/lotushill/waiting/ordering_inputs.py
@@ -20,7 +20,7 @@
 
 
 class PromisedReturns(Protocol):
-    """Knows which callers return at the time they were promised."""
+    """Identifies the callers that return at the time they were promised."""
 
     def is_due(self, caller: int, now: float) -> bool:
         """Return whether a caller's request goes before new requests."""
--- a/src/lotushill/waiting/slot_turns.py
+++ b/src/lotushill/waiting/slot_turns.py
@@ -21,7 +21,7 @@
 TURN_SECONDS = 0.04
 """Time until other schedulers have been notified that a slot was taken: one batch interval, two
 network transits and some margin."""
-QUEUE_REPORT_INTERVAL_SECONDS = 0.05
+QUEUE_UPDATE_INTERVAL_SECONDS = 0.05
 """Interval between two queue updates of one scheduler."""
 _MAX_UPDATE_AGE_SECONDS = 0.2
 """Age from which a queue update no longer counts: three updates may be lost."""
@@ -119,7 +119,8 @@
         passed_turns = math.floor(free_for / TURN_SECONDS)
         turns = [(rank - slot) % count for slot in range(free + taken)]
         own_turns = turns.count(0)
-        # Only one passed-on slot at a time: otherwise all schedulers would fill it at once.
+        # Only one passed-on slot at a time: otherwise all schedulers would fill at once the slots
+        # that none of them has wanted so far.
         has_passed_on = any(0 < turn <= passed_turns for turn in turns)
         return own_turns + has_passed_on > taken
 
--- a/tests/limits/test_limit_gossip.py
+++ b/tests/limits/test_limit_gossip.py
@@ -54,7 +54,7 @@
         gossip = LimitGossip(
             f"gw-{number}",
             limits,
-            lambda news: self._broadcast(number, news),
+            lambda update: self._broadcast(number, update),
             lambda _: None,
             EventLog("gw", lambda _: None),
             random.Random(number),
--- a/tests/limits/test_permit_buckets.py
+++ b/tests/limits/test_permit_buckets.py
@@ -1,4 +1,4 @@
-"""Tests that one gateway counts the requests to an upstream, whoever asks and however often."""
+"""Tests that one gateway counts the requests to an upstream, whichever gateways ask how often."""
 
 from __future__ import annotations
 
--- a/tests/moves/test_move_plan.py
+++ b/tests/moves/test_move_plan.py
@@ -29,31 +29,35 @@
         self.assertEqual(NOTICE_SECONDS, move.time_limit)
 
     def test_a_run_that_ends_long_before_its_upstream_is_not_moved(self) -> None:
-        self.assertIsNone(plan_move(replace(BASE_RUN, expected=12, made=8), ENGINE))
+        self.assertIsNone(
+            plan_move(replace(BASE_RUN, expected_events=12, events_produced=8), ENGINE)
+        )
 
     def test_no_move_costs_more_than_it_saves(self) -> None:
         for tokens in (1_000, 10_000, 40_000, 60_000, 150_000):
             for made in (0, 25, 49):
-                move = plan_move(replace(BASE_RUN, tokens=tokens, made=made), ENGINE)
+                move = plan_move(replace(BASE_RUN, tokens=tokens, events_produced=made), ENGINE)
                 if move is not None:
-                    rest = max(BASE_RUN.expected - made, 0.3 * made, 1) * BASE_RUN.pause
+                    seconds = (
+                        max(BASE_RUN.expected_events - made, 0.3 * made, 1) * BASE_RUN.mean_pause
+                    )
                     self.assertGreater(
-                        0.9 * outlast_probability(rest, NOTICE_SECONDS), 2e-5 * tokens
+                        0.9 * outlast_probability(seconds, NOTICE_SECONDS), 2e-5 * tokens
                     )
         self.assertIsNone(plan_move(replace(BASE_RUN, tokens=60_000), ENGINE))
 
     def test_a_copy_that_would_not_be_done_in_time_is_not_started(self) -> None:
         slow = replace(ENGINE, link_rate=1e8)
-        self.assertGreater(copy_seconds(BASE_RUN.tokens, slow, near=False), NOTICE_SECONDS)
+        self.assertGreater(copy_seconds(BASE_RUN.tokens, slow, same_hall=False), NOTICE_SECONDS)
         self.assertIsNone(plan_move(BASE_RUN, slow))
 
     def test_after_the_notice_no_move_is_started_since_the_run_could_not_return(self) -> None:
         self.assertIsNone(plan_move(replace(BASE_RUN, leaves_in=0.0), ENGINE))
 
     def test_a_run_with_a_backup_copy_is_moved_only_at_a_lower_cost(self) -> None:
-        copied = replace(BASE_RUN, copied=True)
-        self.assertIsNotNone(plan_move(copied, ENGINE))
-        self.assertIsNone(plan_move(replace(copied, tokens=9_000), ENGINE))
+        backed_up = replace(BASE_RUN, has_backup=True)
+        self.assertIsNotNone(plan_move(backed_up, ENGINE))
+        self.assertIsNone(plan_move(replace(backed_up, tokens=9_000), ENGINE))
         self.assertIsNotNone(plan_move(replace(BASE_RUN, tokens=9_000), ENGINE))
 
     def test_a_run_whose_client_deadline_is_before_the_end_of_its_upstream_is_not_moved(
@@ -82,12 +86,12 @@
         self.assertIsNone(plan_move(replace(stalled, stalled=False), ENGINE))
 
     def test_a_run_too_slow_to_end_in_time_is_moved_and_a_slow_one_in_time_is_not(self) -> None:
-        slow = replace(BASE_RUN, leaves_in=None, pause=0.5, gap=0.0)
+        slow = replace(BASE_RUN, leaves_in=None, mean_pause=0.5, target_gap=0.0)
         move = plan_move(slow, ENGINE)
         assert move is not None
         self.assertEqual(Cause.SLOW, move.cause)
-        self.assertIsNone(plan_move(replace(slow, expected=12, made=8), ENGINE))
-        slightly_slower = replace(slow, pause=0.14, time_left=5.0)
+        self.assertIsNone(plan_move(replace(slow, expected_events=12, events_produced=8), ENGINE))
+        slightly_slower = replace(slow, mean_pause=0.14, time_left=5.0)
         self.assertIsNone(plan_move(slightly_slower, ENGINE))
 
     def test_runs_of_leaving_upstreams_go_first_and_those_worth_most_before_others(self) -> None:
--- a/tests/placement/test_fleet.py
+++ b/tests/placement/test_fleet.py
@@ -197,7 +197,7 @@
             self.assertIsInstance(found, NoChoice)
 
     def test_unreachable_hall_is_avoided_while_another_serves(self) -> None:
-        fleet = Fleet("z", is_cut_off=lambda hall: hall == "far")
+        fleet = Fleet("z", is_hall_unreachable=lambda hall: hall == "far")
         near, far = upstreams("llm", 2)
         far = replace(far, hall="far")
         for _ in range(3):
--- a/tests/scheduling/test_placement_responder.py
+++ b/tests/scheduling/test_placement_responder.py
@@ -146,7 +146,7 @@
         self.assertEqual(([], 0), (self.scheduler.sent, len(self.scheduler.queue.requests)))
 
     def test_a_request_without_renewal_expires(self) -> None:
-        """If its gateway was killed or cut off, a slot would be reserved for no one."""
+        """If its gateway was killed or is unreachable, a slot would be reserved for no request."""
         self.scheduler.answer(ask(1))
         self.scheduler.now += ENTRY_EXPIRY_SECONDS + 0.1
         self.scheduler.end(1_003)
--- a/tests/scheduling/test_queueing_client.py
+++ b/tests/scheduling/test_queueing_client.py
@@ -116,7 +116,7 @@
         self.assertGreater(waited[-1], 2 * RENEW_SECONDS)
 
     async def test_a_lost_scheduler_is_passed_over_and_the_time_waited_is_kept(self) -> None:
-        """Killed, frozen or cut off: in each case the scheduler no longer answers."""
+        """Killed, frozen or unreachable: in each case the scheduler no longer answers."""
         self.second.places_after = 0
         task = await self.start()
         self.first.silent = True
--- a/tests/scheduling/virtual_fleet.py
+++ b/tests/scheduling/virtual_fleet.py
@@ -110,7 +110,7 @@
             return sender.endswith(f"@{hall}")
 
         load = SharedLoad(name, fleet, lambda: self.now, lambda _: SERVICE, publish, is_same_hall)
-        desk = PlacementResponder(
+        responder = PlacementResponder(
             name,
             fleet,
             load,
@@ -119,7 +119,7 @@
             lambda: True,
             StatedLimits(),
         )
-        self.schedulers.append(Scheduler(name, hall, fleet, load, desk))
+        self.schedulers.append(Scheduler(name, hall, fleet, load, responder))
 
     def _arrive(self, index: int) -> None:
         self._later(self.rng.uniform(0.7, 1.3), lambda: self._arrive(index))
