--- a/src/lotushill/peering/group_gossip.py
+++ b/src/lotushill/peering/group_gossip.py
@@ -151,7 +151,9 @@
             self._isolated_timer.stop()
         elif self._isolated_timer.is_due(now):
             groups_to_send = [
-                IsolatedGroup(group.service, group.label, term.left, term.pause)
+                IsolatedGroup(
+                    group.service, group.label, term.remaining_seconds, term.pause_seconds
+                )
                 for group, term in terms.items()
             ]
             self._broadcast(
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -130,10 +130,10 @@
         for task in self._tasks:
             task.cancel()
 
-    def forget(self, known: set[str]) -> None:
+    def retain_only(self, known: set[str]) -> None:
         """Drop the data of upstreams that are not in `known`."""
-        self.notices.forget(known)
-        self._memory.forget({item.address for item in self._upstreams.all()})
+        self.notices.retain_only(known)
+        self._memory.retain_only({item.address for item in self._upstreams.all()})
 
     def start_due_handovers(self) -> None:
         """Start the handovers that are worthwhile now."""
--- a/tests/placement/test_fleet.py
+++ b/tests/placement/test_fleet.py
@@ -179,7 +179,7 @@
         found = started.choose(short(target=20.0), ENGINE, candidates, NO_UPSTREAMS, 0.0)
         self.assertIsInstance(found, Choice)
 
-    def test_large_and_small_ones_of_a_route_are_refused_alike(self) -> None:
+    def test_large_and_small_requests_of_a_route_are_refused_alike(self) -> None:
         driver = Driver()
         candidates = upstreams("llm", 2)
         sizes = (2_000, 11_500, 40_000)
