--- a/src/lotushill/moves/move_plan.py
+++ b/src/lotushill/moves/move_plan.py
@@ -22,15 +22,15 @@
     from lotushill.routing.service import EngineProfile
 
 _INTERRUPTED_LOSS = 0.9
-"""Fraction of its credit that a stream loses if it is cut off and cannot resume."""
+"""Fraction of its credit that a stream loses if it is interrupted and cannot resume."""
 _RESUMED_LOSS = 0.5
-"""Fraction that a stream loses if it is cut off and resumes elsewhere: a pause that is too long,
-and a second prefill of its prompt."""
+"""Fraction of its credit that a stream loses if it is interrupted and resumes elsewhere: a pause
+that is too long, and a second prefill of its prompt."""
 _BACKED_UP_LOSS = 0.2
-"""Fraction that a stream loses if a copy of its memory exists: tokens not yet copied are prefilled
-again, provided that the copy is still there."""
+"""Fraction of its credit that a stream loses if a copy of its memory exists: tokens not yet copied
+are prefilled again, provided that the copy is still there."""
 _GAP_LOSS = 0.6
-"""Fraction that a stream loses by one pause that is too long."""
+"""Fraction of its credit that a stream loses by one pause that is too long."""
 _MOVE_OVERHEAD_LOSS = 0.05
 """Cost of a move in addition to its memory: one of the few retries left, and the chance that the
 run does not resume."""
@@ -45,7 +45,7 @@
 """Overhead of a move beyond the copy: a round trip to the source, one to the target, and one decode
 step there."""
 _SLOW_RATIO = 2.0
-"""Ratio of a run's mean pause to the usual one from which its upstream counts as slow; below it
+"""Ratio of a run's mean pause to the typical one from which its upstream counts as slow; below it
 other upstreams may at times be as slow."""
 
 
@@ -167,7 +167,7 @@
 
 
 def copy_seconds(tokens: int, engine: EngineProfile, same_hall: bool) -> float:
-    """Return the seconds that a move of so many tokens takes; `near` means within one hall."""
+    """Return the seconds for moving `tokens` tokens; `same_hall` means within one hall."""
     if engine.link_rate <= 0.0:
         return math.inf
     factor = 1.0 if same_hall else _OTHER_HALL_FACTOR
--- a/src/lotushill/placement/engine_pace.py
+++ b/src/lotushill/placement/engine_pace.py
@@ -290,7 +290,7 @@
 
 
 def _reference_time(times: list[RecentMedian], slots: int) -> float:
-    """Return the median over the engines, 0 if too few are known to tell which are typical."""
+    """Return the median over the engines, 0 if too few have samples."""
     known = [item.median for item in times if item.has_slots(slots)]
     min_known = max(_MIN_ENGINES, len(times) / 2)
     return statistics.median(known) if len(known) >= min_known else 0.0
--- a/src/lotushill/placement/fetch.py
+++ b/src/lotushill/placement/fetch.py
@@ -62,7 +62,7 @@
     def plan(self, target: Upstream, own_tokens: int, prefill_rate: float) -> Fetch | None:
         """Return the copy that saves `target` the most tokens, None if no copy is worthwhile.
 
-        The target itself caches `own_tokens`. `read_rate` is in tokens per second.
+        The target itself caches `own_tokens`. `prefill_rate` is in tokens per second.
         """
         tokens = self._cached_tokens - own_tokens
         source = self._sources_by_hall.get(target.hall, self._source)
--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -88,8 +88,8 @@
     ) -> None:
         """Create a model for a gateway in `hall`.
 
-        Parts used within `recent_seconds` are worth caching; `is_cut_off` returns whether a hall
-        seems unreachable.
+        Parts used within `recent_seconds` are worth caching; `is_hall_unreachable` returns
+        whether a hall seems unreachable.
         """
         self._hall = hall
         self._is_hall_unreachable = is_hall_unreachable
@@ -165,8 +165,8 @@
     def end(self, ended: Ended, now: float, same_hall: bool = True) -> None:
         """Remove a request and update the estimates from its outcome.
 
-        `near` tells that a gateway of the own hall reported it. A failure reported from another
-        hall may lie in the path from there, and has less weight here.
+        `same_hall` states whether a gateway of the own hall reported it. A failure reported from
+        another hall may lie in the path from there, and has less weight here.
         """
         location = self._locations.pop(ended.request, None)
         if location is None:
@@ -217,8 +217,8 @@
     ) -> Choice | NoChoice:
         """Return the upstream with the lowest cost for a request, or the reason why there is none.
 
-        Upstreams in `closed` have no room now: they get no request, but count for the total number
-        of slots.
+        Upstreams in `closed_engines` have no free slot for it now: they get no request, but count
+        for the total number of slots.
         """
         self.shares.note_demand(need, now)
         by_id = {item.id: item for item in upstreams}
--- a/src/lotushill/placement/pace.py
+++ b/src/lotushill/placement/pace.py
@@ -29,7 +29,7 @@
 def seconds_per_token(tokens: float, seconds: float) -> float | None:
     """Return the prefill seconds per prompt token until a first event.
 
-    None if too few tokens were processed to tell.
+    None if too few tokens were processed for an estimate.
     """
     if tokens < _MIN_PACE_TOKENS:
         return None
--- a/src/lotushill/placement/reserve.py
+++ b/src/lotushill/placement/reserve.py
@@ -22,7 +22,7 @@
     """Return whether the remaining slots are reserved for more urgent requests than a long one.
 
     `used_slots` counts all requests that run on the `slots` slots of all upstreams, `urgent_slots`
-    the more urgent of them. If `most` is given, at most that fraction is reserved. All upstreams
+    the more urgent of them. `max_reserved_fraction` replaces the default maximum. All upstreams
     count together: a reserve on each would spread long requests over the upstreams on which others
     are packed, and direct the requests of all schedulers to the few that are left.
     """
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -1,7 +1,7 @@
 """Decides which requests are refused while upstreams are overloaded.
 
 Every gateway decides alone, but from the reports of all gateways about the requests that they send:
-the requests of one gateway are too few to tell the routes of a service apart. Performs no I/O.
+the requests of one gateway are too few to compare the routes of a service. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -163,7 +163,7 @@
         return replace(self._refusal(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
 
     def refuse_finally(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
-        """Return the final refusal of a request that stops waiting, or would wait uselessly."""
+        """Return the final refusal of a request that is not queued, or no longer."""
         return replace(
             self._refusal_or_early(need, refusal, wait, wait, now, final=True), final=True
         )
--- a/src/lotushill/placement/weigher.py
+++ b/src/lotushill/placement/weigher.py
@@ -86,7 +86,7 @@
     ) -> None:
         """Store the inputs that are the same for all instances.
 
-        `has_deviating` tells whether instances differ in pace.
+        `has_deviating` states whether instances differ in pace.
         """
         self._need = need
         self._pace = pace
@@ -181,7 +181,7 @@
     ) -> None:
         """Store the inputs that are the same for all upstreams; `chain` is the request's prompt.
 
-        `has_deviating` tells whether engines of the service are known to differ in pace.
+        `has_deviating` states whether engines of the service are known to differ in pace.
         """
         self._need = need
         self._engine = engine
--- a/src/lotushill/starting/startup_phase.py
+++ b/src/lotushill/starting/startup_phase.py
@@ -1,9 +1,9 @@
-"""Decides whether a started gateway knows enough of its fleet to use its model.
+"""Decides whether the fleet model of a gateway that has just started is complete enough for use.
 
 Protects against this load: all hosts lose power, all gateways start within a second, and all
-clients return at once. For 0.1 to 1 s a gateway then knows few others and takes the fleet for a
-small one, or schedules before it has received the load of the upstreams: it would choose by its own
-few requests, and all gateways would send to the same few upstreams. Performs no I/O.
+clients return at once. For 0.1 to 1 s a gateway then has few members in view and takes the fleet
+for a small one, or schedules before it has received the load of the upstreams: it would choose by
+its own few requests, and all gateways would send to the same few upstreams. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
     def has_usable_model(
         self, reachable: int, registered: int, has_model: bool, now: float
     ) -> bool:
-        """Return whether to choose by the own model.
+        """Return whether to choose upstreams by the own model.
 
         `reachable` is the number of live gateways, including this one; `registered` is the number
-        in the store's list, 0 while it has not been read; `has_model` tells whether this gateway
+        in the store's list, 0 while it has not been read; `has_model` states whether this gateway
         has received the load of the upstreams from another one.
         """
         if not self.is_new(now):
--- a/src/lotushill/waiting/slot_turns.py
+++ b/src/lotushill/waiting/slot_turns.py
@@ -119,7 +119,8 @@
         passed_turns = math.floor(free_for / TURN_SECONDS)
         turns = [(rank - slot) % count for slot in range(free + taken)]
         own_turns = turns.count(0)
-        # Only one passed-on slot at a time: otherwise all schedulers would fill it at once.
+        # Only one passed-on slot at a time: otherwise all schedulers would fill at once the slots
+        # that none of them has wanted so far.
         has_passed_on = any(0 < turn <= passed_turns for turn in turns)
         return own_turns + has_passed_on > taken
 
--- a/src/lotushill/waiting/wait_limits.py
+++ b/src/lotushill/waiting/wait_limits.py
@@ -17,8 +17,8 @@
 
 _LONG_REQUEST_FRACTION = 0.7
 """Fraction of its target for which a long request stays queued at most. Requests placed later are
-mostly late, as the engine reads more urgent prompts that arrive meanwhile before theirs, and their
-callers wait for nothing."""
+mostly late, as the engine processes more urgent prompts that arrive meanwhile before theirs, and
+their callers would wait for nothing."""
 
 
 class WaitLimits:
--- a/tests/moves/reclaim.py
+++ b/tests/moves/reclaim.py
@@ -21,8 +21,8 @@
 
 ENGINE = EngineProfile(16, 200_000, 6, token_bytes=160_000, link_rate=6e10)
 BASE_RUN = RunState(
-    tokens=1_000, events_produced=10, expected_events=50, mean_pause=0.08, typical_pause=0.08, time_left=12.0, target_gap=0.3,
-    repeatable=False, leaves_in=2.0,
+    tokens=1_000, events_produced=10, expected_events=50, mean_pause=0.08, typical_pause=0.08,
+    time_left=12.0, target_gap=0.3, repeatable=False, leaves_in=2.0,
 )  # fmt: skip
 NOTICE_SECONDS = 2.0
 RECLAIMED_UPSTREAMS = 12
@@ -74,11 +74,11 @@
         left = NOTICE_SECONDS - now
         return replace(
             BASE_RUN,
-            made=made,
-            expected=self.hint,
+            events_produced=made,
+            expected_events=self.hint,
             tokens=tokens,
             leaves_in=left,
-            copied=has_backup,
+            has_backup=has_backup,
         )
 
     @property
--- a/tests/moves/test_stalls.py
+++ b/tests/moves/test_stalls.py
@@ -39,7 +39,7 @@
             stalls.note("s", pause)
         self.assertEqual(0, taken_for_stopped)
 
-    def test_the_usual_pause_is_known_from_the_first_one_on_and_robust_to_long_ones(self) -> None:
+    def test_the_typical_pause_is_known_from_the_first_one_on_and_robust_to_long_ones(self) -> None:
         stalls = StallThresholds()
         self.assertIsNone(stalls.typical_pause("s"))
         for _ in range(100):
