--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -112,7 +112,7 @@
     Break(
         "gateway: the answer's id is checked",
         "requests/upstream_connection.py",
-        "self._skipping = self._answered_id(self._headers) != self._request_id",
+        "self._skipping = self._answer_request_id(self._headers) != self._request_id",
         "self._skipping = False",
         "tests.requests.test_request_path",
     ),
@@ -190,7 +190,7 @@
     Break(
         "gateway: the unknown is not denied by an old view",
         "requests/client_application.py",
-        "if not self._parts.view_is_fresh():",
+        "if not self._components.view_is_fresh():",
         "if False:",
         "tests.requests.test_request_path",
     ),
@@ -608,7 +608,7 @@
     Break(
         "a whole answer clears a suspect",
         "requests/exchange.py",
-        "self._parts.quarantine.record_completion(request)",
+        "self._components.quarantine.record_completion(request)",
         "pass",
         "tests.requests.test_quarantine",
     ),
@@ -727,7 +727,7 @@
     Break(
         "nothing is sent while it is not known what is held",
         "requests/client_application.py",
-        " or not self._parts.knows_holds()",
+        " or not self._components.holds_are_known()",
         "",
         "tests.requests.test_quarantine",
     ),
@@ -741,14 +741,14 @@
     Break(
         "nothing is written to an upstream that rests, whoever chose it",
         "requests/attempt.py",
-        "if not self._parts.gate.authorize_send(self._permit):",
+        "if not self._components.gate.authorize_send(self._permit):",
         "if False:",
         "tests.requests.test_cooldowns",
     ),
     Break(
         "a run does not go on where a rest was asked for",
         "requests/continuation.py",
-        "is_accepting = self._parts.gate.accepts_requests(backup.id)",
+        "is_accepting = self._components.gate.accepts_requests(backup.id)",
         "is_accepting = True",
         "tests.requests.test_cooldowns",
     ),
--- a/src/lotushill/availability/cooldowns.py
+++ b/src/lotushill/availability/cooldowns.py
@@ -91,7 +91,7 @@
         ends = [self._cooldowns[name].ends_at() for name in upstream_ids if name in self._cooldowns]
         return max(0.0, min(ends, default=now) - now)
 
-    def forget(self, known: set[str], now: float) -> None:
+    def retain_only(self, known: set[str], now: float) -> None:
         """Drop the cooldowns of upstreams that are in no view, once they have ended.
 
         An entry that expires or cannot be read for a while may reappear within the cooldown.
--- a/src/lotushill/availability/stated_limits.py
+++ b/src/lotushill/availability/stated_limits.py
@@ -71,7 +71,7 @@
         """Whether no report is stored."""
         return not self._reports
 
-    def forget(self, known: set[str], now: float) -> None:
+    def retain_only(self, known: set[str], now: float) -> None:
         """Drop ended limits, and limits of upstreams that are in no view, once they are old."""
         for upstream_id, report in list(self._reports.items()):
             is_obsolete = report.rate == NO_LIMIT or upstream_id not in known
--- a/src/lotushill/duties/duty_record.py
+++ b/src/lotushill/duties/duty_record.py
@@ -52,9 +52,9 @@
     bases: dict[str, int] = field(default_factory=dict)
     """Number of engines of each service that existed before anything was ordered."""
 
-    def is_held_by(self, holder: str, life: int) -> bool:
+    def is_held_by(self, holder: str, incarnation: int) -> bool:
         """Return whether a given process of a given gateway holds the duties."""
-        return self.holder == holder and self.life == life
+        return self.holder == holder and self.life == incarnation
 
 
 def to_spec(record: DutyRecord) -> dict[str, Any]:
--- a/src/lotushill/duties/lease.py
+++ b/src/lotushill/duties/lease.py
@@ -60,7 +60,7 @@
 
     @property
     def is_held(self) -> bool:
-        """Return whether this process holds the duties, as far as it knows."""
+        """Return whether this process holds the duties and has not detected their loss."""
         return self.token is not None
 
     def observe(self, revision: int | None, now: float) -> None:
--- a/src/lotushill/duties/lost_engines.py
+++ b/src/lotushill/duties/lost_engines.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self._served: dict[str, deque[tuple[float, int]]] = {}
-        """Decreasing numbers of engines, each with the last time at which so many served."""
+        """Decreasing numbers of engines, each with the last time at which that many served."""
         self._lost: dict[str, int] = {}
 
     def record(self, hall: str, serving: int, ordered: int | None, now: float) -> None:
--- a/src/lotushill/duties/ports.py
+++ b/src/lotushill/duties/ports.py
@@ -45,12 +45,12 @@
     """The calls to the platform that the holder of the duties makes."""
 
     async def report_usage(
-        self, window: int, counts: Mapping[str, int], signature: LeaseCredentials
+        self, window: int, counts: Mapping[str, int], credentials: LeaseCredentials
     ) -> CallOutcome:
         """Report the requests of each team that began in a window."""
         ...
 
-    async def order(self, order: EngineOrder, signature: LeaseCredentials) -> CallOutcome:
+    async def order(self, order: EngineOrder, credentials: LeaseCredentials) -> CallOutcome:
         """Order engines of one kind in one hall."""
         ...
 
--- a/src/lotushill/duties/reclaimable_engines.py
+++ b/src/lotushill/duties/reclaimable_engines.py
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self._ordinary: dict[str, deque[tuple[float, int]]] = {}
-        """Increasing numbers of ordinary engines, each with the last time so few were ordered."""
+        """Increasing numbers of ordinary engines, each with the last time that few were ordered."""
         self._reclaimable: dict[str, int] = {}
 
     def record(
--- a/src/lotushill/following/holds.py
+++ b/src/lotushill/following/holds.py
@@ -31,7 +31,7 @@
         self._on_change = on_change
 
     def report_change(self, source: str) -> None:
-        """Log the change and the objects that are no valid holds, then call back."""
+        """Log the change and the objects that are not valid holds, then call back."""
         revision, count = self.view.revision, len(self.view.objects)
         self.faults.replace(self.view.faults, revision)
         self._log.note("holds.in_force", revision=revision, objects=count, source=source)
--- a/src/lotushill/gateway/duties.py
+++ b/src/lotushill/gateway/duties.py
@@ -61,11 +61,11 @@
         self.request_counter = RequestCounter(settings.name, window_seconds, self._time, clocks.now)
         self._runner: DutyRunner | None = None
 
-    async def run(self, parts: DutyDependencies) -> None:
+    async def run(self, dependencies: DutyDependencies) -> None:
         """Run as a candidate for the duties of the fleet, once this gateway is ready to serve."""
-        while not parts.is_ready():
+        while not dependencies.is_ready():
             await anyio.sleep(_POLL_INTERVAL_SECONDS)
-        self._runner = self._new_runner(parts)
+        self._runner = self._new_runner(dependencies)
         try:
             await self._runner.run()
         finally:
@@ -90,7 +90,7 @@
         """Return the status of the duties for operators, None if this gateway does not run them."""
         return self._runner.status() if self._runner is not None else None
 
-    def _new_runner(self, parts: DutyDependencies) -> DutyRunner:
+    def _new_runner(self, dependencies: DutyDependencies) -> DutyRunner:
         # Imported late because serving does not need these modules.
         from lotushill.duties.duty_runner import DutyRunner
         from lotushill.duties.ports import FleetAccess
@@ -98,27 +98,27 @@
 
         settings = self._settings.duties
         assert settings is not None
-        membership = parts.peers.membership
+        membership = dependencies.peers.membership
         fleet_access = FleetAccess(
             members=membership.live,
-            reads_store=lambda: parts.views.contact() is StoreContact.READING,
+            reads_store=lambda: dependencies.views.contact() is StoreContact.READING,
             rank=lambda: _rank(membership),
-            services=lambda: _services(parts.views),
-            upstreams=parts.views.upstreams,
-            send_pull=parts.peers.send_message,
-            request_rate_limit=parts.limits.rate,
-            stream_seconds=lambda service: parts.fleet.pace(service).stream_seconds,
+            services=lambda: _services(dependencies.views),
+            upstreams=dependencies.views.upstreams,
+            send_pull=dependencies.peers.send_message,
+            request_rate_limit=dependencies.limits.rate,
+            stream_seconds=lambda service: dependencies.fleet.pace(service).stream_seconds,
             own_pages=self.request_counter.pages,
         )
         return DutyRunner(
             self._settings.name,
             membership.own.incarnation,
             settings,
-            parts.store,
+            dependencies.store,
             DutyApi(settings.address),
             fleet_access,
             self._time,
-            parts.log,
+            dependencies.log,
             clocks.now,
         )
 
--- a/src/lotushill/gateway/fleet_quarantine.py
+++ b/src/lotushill/gateway/fleet_quarantine.py
@@ -1,4 +1,4 @@
-"""A gateway's part in holding requests under which upstreams would fail."""
+"""A gateway's part in holding requests during which upstreams would fail."""
 
 from __future__ import annotations
 
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -47,10 +47,10 @@
 from lotushill.requests.client_application import ClientApplication
 from lotushill.requests.client_protocol import ClientProtocol
 from lotushill.requests.engine_memory_client import EngineMemoryClient
+from lotushill.requests.gateway_components import GatewayComponents
 from lotushill.requests.idle_connections import idle_connection_limit
 from lotushill.requests.isolation_policy import IsolationPolicy
 from lotushill.requests.mover import Mover
-from lotushill.requests.parts import GatewayParts
 from lotushill.requests.retry_budgets import RetryBudgets
 from lotushill.requests.upstream_gate import UpstreamGate
 from lotushill.requests.upstream_pool import UpstreamPool
@@ -225,7 +225,7 @@
             clocks.now,
         )
         self.client_application = ClientApplication(
-            GatewayParts(
+            GatewayComponents(
                 name=settings.name,
                 configuration=self.views.configuration,
                 upstreams=self.views.upstreams,
@@ -248,7 +248,7 @@
                 clock=clocks.now,
                 suspension=self.suspension,
                 view_is_fresh=self.views.is_fresh,
-                knows_holds=self.views.knows_holds,
+                holds_are_known=self.views.holds_are_known,
             )
         )
         protocol = functools.partial(ClientProtocol, limits=self._client_limits)
@@ -268,7 +268,7 @@
     def is_ready(self) -> bool:
         """Return whether the load balancer may send clients to this gateway."""
         known = self.views.configuration.table is not None and self.views.upstreams.is_loaded
-        return known and self.views.knows_holds() and not self._stopping
+        return known and self.views.holds_are_known() and not self._stopping
 
     async def run(self, is_reload_requested: Callable[[], bool] = lambda: False) -> None:
         """Serve until a stop signal arrives, then finish the requests in progress.
@@ -303,7 +303,7 @@
         group.start_soon(self.side_tasks.run, "quarantine", self.quarantine.gossip.run)
         group.start_soon(self.side_tasks.run, "holds", self.quarantine.run_hold_store)
         if self.settings.duties is not None:
-            parts = DutyDependencies(
+            dependencies = DutyDependencies(
                 self.is_ready,
                 self.views,
                 self.peers,
@@ -312,7 +312,7 @@
                 self.store,
                 self.log,
             )
-            run = functools.partial(self.duties.run, parts)
+            run = functools.partial(self.duties.run, dependencies)
             group.start_soon(self.side_tasks.run, "duties", run)
 
     async def _sweep(self) -> None:
@@ -322,11 +322,11 @@
             self.pool.close_expired(known)
             self.fleet.evict_unused(known, clocks.now())
             self._log_pace_changes()
-            self.cooldowns.forget(known, clocks.now())
-            self.limits.forget(known)
-            self.team_limits.forget()
-            self.mover.forget(known)
-            self.queue_runner.queue.engines.forget(known)
+            self.cooldowns.retain_only(known, clocks.now())
+            self.limits.retain_only(known)
+            self.team_limits.drop_idle()
+            self.mover.retain_only(known)
+            self.queue_runner.queue.engines.retain_only(known)
             self.shared_load.expire()
             self.views.expire()
             self.quarantine.gossip.process_pending()
--- a/src/lotushill/gateway/store_views.py
+++ b/src/lotushill/gateway/store_views.py
@@ -95,7 +95,7 @@
         """Remove the upstreams that stayed absent for too long after an outage of the store."""
         self._upstreams.expire()
 
-    def knows_holds(self) -> bool:
+    def holds_are_known(self) -> bool:
         """Return whether the held requests are known, or were queried in vain for long enough.
 
         A gateway that served earlier would send held requests to upstreams again.
--- a/src/lotushill/limits/denials.py
+++ b/src/lotushill/limits/denials.py
@@ -58,7 +58,7 @@
         names = self._denied_until.keys() | self._pending_until.keys()
         return frozenset(name for name in names if self.is_barred(name, route, now))
 
-    def forget(self, limited: set[str], now: float) -> None:
+    def retain_only(self, limited: set[str], now: float) -> None:
         """Drop expired denials, and those of upstreams that have no limit any more."""
         for upstream_id, ranks in list(self._denied_until.items()):
             if upstream_id not in limited or max(ranks.values()) <= now:
--- a/src/lotushill/limits/fleet_limits.py
+++ b/src/lotushill/limits/fleet_limits.py
@@ -94,13 +94,13 @@
         request = PermitRequest(upstream, ask.route, ask.tier, ask.prompt_tokens)
         return self._decide(request, ask.sender, ask.number)
 
-    def forget(self, known: set[str]) -> None:
+    def retain_only(self, known: set[str]) -> None:
         """Drop obsolete state; `known` holds the ids of all known upstreams."""
         now = self._clock()
-        self.stated.forget(known, now)
+        self.stated.retain_only(known, now)
         limited = set(self.stated.limited_rates())
-        self.denials.forget(limited, now)
-        self._buckets.forget(limited)
+        self.denials.retain_only(limited, now)
+        self._buckets.retain_only(limited)
 
     def _handle_change(self, upstream_id: str) -> None:
         """Reset the state of an upstream that stated a first or different limit, or its end."""
--- a/src/lotushill/limits/permit_buckets.py
+++ b/src/lotushill/limits/permit_buckets.py
@@ -88,7 +88,7 @@
             return Verdict(True)
         return Verdict(False, self._pause(bucket, rate, required, now))
 
-    def forget(self, limited: set[str]) -> None:
+    def retain_only(self, limited: set[str]) -> None:
         """Drop the buckets of upstreams that have no limit any more."""
         for upstream_id in self._buckets.keys() - limited:
             del self._buckets[upstream_id]
--- a/src/lotushill/limits/team_limits.py
+++ b/src/lotushill/limits/team_limits.py
@@ -90,15 +90,15 @@
             return PermitAnswer(ask.number, False, _WRONG_OWNER_PAUSE_SECONDS, ask.tier)
         return self._decide(key, ask.limit.rate, ask.tier, ask.sender, ask.number)
 
-    def forget(self) -> None:
+    def drop_idle(self) -> None:
         """Drop limits for which no permit was requested for long."""
         now = self._clock()
         for key in [
             item for item, at in self._last_requested.items() if now - at > _IDLE_TIMEOUT_SECONDS
         ]:
             del self._last_requested[key]
-        self._buckets.forget(set(self._last_requested))
-        self._denials.forget(set(self._last_requested), now)
+        self._buckets.retain_only(set(self._last_requested))
+        self._denials.retain_only(set(self._last_requested), now)
 
     async def _request_from_owner(self, limit: RateLimit, key: str, tier: int) -> PermitAnswer:
         owner = self._owners.owner_of(_key_as_upstream(key))
--- a/src/lotushill/links/limit_messages.py
+++ b/src/lotushill/links/limit_messages.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class LimitState:
-    """The latest limit report of an upstream that one gateway knows."""
+    """The latest limit report of an upstream known to one gateway."""
 
     upstream: str
     rate: float
@@ -25,7 +25,7 @@
     sender: str
     limits: tuple[LimitState, ...]
     complete: bool
-    """Whether the list contains all limits that the sender knows."""
+    """Whether the list contains all limits known to the sender."""
 
 
 @dataclass(frozen=True)
--- a/src/lotushill/links/messages.py
+++ b/src/lotushill/links/messages.py
@@ -155,7 +155,7 @@
 
 
 class MemberPhase(Enum):
-    """Phase of a member as another member knows it."""
+    """Phase of a member as recorded by another member."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -288,4 +288,4 @@
     sender: str
     upstreams: tuple[str, ...]
     complete: bool
-    """Whether the list contains all such upstreams that the sender knows."""
+    """Whether the list contains all upstreams of this kind known to the sender."""
--- a/src/lotushill/membership/members.py
+++ b/src/lotushill/membership/members.py
@@ -12,7 +12,7 @@
 
 
 class Members(Protocol):
-    """All members as one gateway knows them."""
+    """View that one gateway has of all members."""
 
     @property
     def own(self) -> MemberState:
--- a/src/lotushill/moves/notices.py
+++ b/src/lotushill/moves/notices.py
@@ -37,7 +37,7 @@
         ends = self._ends.get(upstream_id)
         return None if ends is None else max(0.0, ends - now)
 
-    def forget(self, known: set[str]) -> None:
+    def retain_only(self, known: set[str]) -> None:
         """Drop the incarnations that are in no view any longer."""
         for upstream_id in self._ends.keys() - known:
             del self._ends[upstream_id]
--- a/src/lotushill/peering/group_gossip.py
+++ b/src/lotushill/peering/group_gossip.py
@@ -66,7 +66,7 @@
             self._record_failure(failure, self._name)
 
     def expire(self) -> None:
-        """Discard groups under which no upstream has failed for a while."""
+        """Discard groups during which no upstream has failed for a while."""
         self._isolation.expire(self._clock())
 
     def receive(self, update: GroupNews) -> None:
@@ -151,7 +151,9 @@
             self._isolated_timer.stop()
         elif self._isolated_timer.is_due(now):
             groups_to_send = [
-                IsolatedGroup(group.service, group.label, term.left, term.pause)
+                IsolatedGroup(
+                    group.service, group.label, term.remaining_seconds, term.pause_seconds
+                )
                 for group, term in terms.items()
             ]
             self._broadcast(
--- a/src/lotushill/peering/leaving_gossip.py
+++ b/src/lotushill/peering/leaving_gossip.py
@@ -45,7 +45,7 @@
         self._merge(upstream_id, "answer")
 
     def receive(self, update: LeavingNews) -> None:
-        """Merge the announcements that another gateway knows."""
+        """Merge the announcements that another gateway has recorded."""
         for upstream_id in update.upstreams:
             self._merge(upstream_id, update.sender)
         missing = set(self._upstreams.announced_leaving) - set(update.upstreams)
--- a/src/lotushill/peering/member_log.py
+++ b/src/lotushill/peering/member_log.py
@@ -9,8 +9,9 @@
     from lotushill.membership.roster import MemberChange
 
 _MAX_SINGLE_LINES = 4
-"""Maximum number of changes per interval with a line of their own. Without it, in a rolling restart
-of hundreds of gateways each would write a line for each stop and start of all others."""
+"""Maximum number of changes per interval with a line of their own. Without this limit,
+in a rolling restart of hundreds of gateways, each would write a line for each stop and start of
+all others."""
 _INTERVAL_SECONDS = 1.0
 _MAX_NAMES = 8
 """Maximum number of members that a summary line names; the others are only counted."""
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True)
 class PeerHooks:
-    """Callbacks that connect the parts of a gateway with its peers."""
+    """Callbacks that connect the components of a gateway with its peers."""
 
     view_revision: Callable[[ViewKind], int]
     view_text: Callable[[ViewKind], tuple[int, str]]
@@ -99,7 +99,7 @@
     paces: Callable[[], list[LongTermPace]]
     """Returns the known long-term paces of upstreams."""
     on_paces: Callable[[list[LongTermPace]], None]
-    """Receives the paces that another scheduler knows."""
+    """Receives the paces that another scheduler has measured or received."""
     on_gateway_gone: Callable[[str], None]
     """Receives the name of a gateway that left or was lost."""
     answer_placement: Callable[[PlacementAsk, float], PlacementAnswer]
@@ -111,7 +111,7 @@
     on_work_page: Callable[[WorkPage], None]
     """Receives the usage counts of another gateway."""
     on_suspects: Callable[[SuspectNews | ClearedNews | GroupNews], None]
-    """Receives updates on requests under which upstreams failed or did not fail."""
+    """Receives updates on requests during which upstreams failed or did not fail."""
     on_leaving: Callable[[LeavingNews], None]
     """Receives updates on upstreams that announced that they leave."""
     on_limits: Callable[[LimitNews], None]
--- a/src/lotushill/peering/quarantine_gossip.py
+++ b/src/lotushill/peering/quarantine_gossip.py
@@ -34,11 +34,11 @@
     Clock = Callable[[], float]
 
 _FAILURES_TO_STOP_RETRIES = 2
-"""Number of upstream failures under a request from which an arrival of it is not retried."""
+"""Number of upstream failures during a request from which an arrival of it is not retried."""
 _MAX_SUSPECTS_PER_DATAGRAM = 8
 _MAX_PATH_LENGTH = 120
 _MAX_UPSTREAMS_SENT = 4
-"""Maximum number of failed upstreams sent with a suspect; so many are enough to hold it."""
+"""Maximum number of failed upstreams sent with a suspect, which suffices to hold it."""
 
 
 class QuarantineGossip:
@@ -75,7 +75,7 @@
         self._check_tasks: set[asyncio.Task[None]] = set()
         self._new_update = anyio.Event()
         self.upstream_failures = 0
-        """Number of upstream failures under requests of this gateway, counted once per request."""
+        """Number of upstream failures during requests of this gateway, counted once per request."""
         self.held_count = 0
         """Number of held requests, which were sent to no upstream."""
 
@@ -115,7 +115,7 @@
     def record_interruption(
         self, request: Request, upstream: Upstream, answer_started: bool
     ) -> asyncio.Task[None]:
-        """Start a task that checks whether the upstream failed under a request that it interrupted.
+        """Start a task that checks whether the upstream of an interrupted request failed.
 
         `answer_started` states whether a part of the answer had arrived.
         """
--- a/src/lotushill/peering/registration.py
+++ b/src/lotushill/peering/registration.py
@@ -26,7 +26,7 @@
 """Intervals before the next reads, which find gateways that registered a little later."""
 _READ_INTERVAL_SECONDS = 20.0
 _READ_INTERVAL_ALONE_SECONDS = 3.0
-"""Interval for a gateway that still knows no other: the store may have been unreachable."""
+"""Shorter read interval while no other gateway is known: the store may have been unreachable."""
 _RETRY_INTERVAL_SECONDS = 0.5
 
 
--- a/src/lotushill/platform/duty_api.py
+++ b/src/lotushill/platform/duty_api.py
@@ -15,7 +15,7 @@
     from collections.abc import Mapping
 
 _TIMEOUT_SECONDS = 1.5
-"""Short enough to retry an unanswered report several times within its limit of ten seconds."""
+"""Timeout of a call; allows several retries of a report, which is due within ten seconds."""
 _CONNECT_SECONDS = 0.7
 _MAX_CONNECTIONS = 16
 _KEEPALIVE_SECONDS = 3.0
@@ -66,13 +66,13 @@
         return self._client.calls
 
     async def report_usage(
-        self, window: int, counts: Mapping[str, int], signature: LeaseCredentials
+        self, window: int, counts: Mapping[str, int], credentials: LeaseCredentials
     ) -> CallOutcome:
         """Report how many requests of each team began in a usage window."""
         content = {"windowId": window, "counts": dict(counts)}
-        return await self._call(names.USAGE_PATH, content, signature)
+        return await self._call(names.USAGE_PATH, content, credentials)
 
-    async def order(self, order: EngineOrder, signature: LeaseCredentials) -> CallOutcome:
+    async def order(self, order: EngineOrder, credentials: LeaseCredentials) -> CallOutcome:
         """Set the desired number of engines; surplus engines are removed once they have drained."""
         content: dict[str, Any] = {
             "service": order.service,
@@ -81,12 +81,12 @@
         }
         if order.reclaimable:
             content["spot"] = True
-        return await self._call(names.ORDER_PATH, content, signature)
+        return await self._call(names.ORDER_PATH, content, credentials)
 
-    async def _call(self, path: str, content: Any, signature: LeaseCredentials) -> CallOutcome:
+    async def _call(self, path: str, content: Any, credentials: LeaseCredentials) -> CallOutcome:
         headers = (
-            (names.LEASE_HOLDER, signature.holder),
-            (names.FENCING_TOKEN, str(signature.token)),
+            (names.LEASE_HOLDER, credentials.holder),
+            (names.FENCING_TOKEN, str(credentials.token)),
         )
         try:
             answer = await self._client.call("POST", path, content, _TIMEOUT_SECONDS, headers)
--- a/src/lotushill/quarantine/hold_view.py
+++ b/src/lotushill/quarantine/hold_view.py
@@ -37,4 +37,8 @@
         self.objects = objects
         holds_by_name = {name: read_hold(name, spec) for name, spec in objects.items()}
         self.holds = dict(item for item in holds_by_name.values() if item is not None)
-        self.faults = {name: "is no hold" for name, item in holds_by_name.items() if item is None}
+        self.faults = {
+            name: "is not named by the identity of a request"
+            for name, item in holds_by_name.items()
+            if item is None
+        }
--- a/src/lotushill/quarantine/isolation.py
+++ b/src/lotushill/quarantine/isolation.py
@@ -71,8 +71,8 @@
 class IsolationTerm:
     """The remaining isolation time of a group and the pause after its next failure, in seconds."""
 
-    left: float
-    pause: float
+    remaining_seconds: float
+    pause_seconds: float
 
 
 @dataclass(frozen=True)
--- a/src/lotushill/quarantine/quarantine.py
+++ b/src/lotushill/quarantine/quarantine.py
@@ -96,7 +96,7 @@
             suspect.mark_known_good(now)
 
     def has_completed(self, identity: bytes, now: float) -> bool:
-        """Return whether a request completed at this gateway, which peers may not know."""
+        """Return whether a request completed at this gateway, which may be unknown to peers."""
         return self._completed.has_completed(identity, now)
 
     def replace_stored(self, holds: Mapping[bytes, StoredHold]) -> list[bytes]:
--- a/src/lotushill/quarantine/suspect.py
+++ b/src/lotushill/quarantine/suspect.py
@@ -19,7 +19,7 @@
 _FIRST_TERM_SECONDS = 15.0
 _MAX_TERM_SECONDS = 600.0
 _KEEP_CLEARED_SECONDS = 30.0
-"""Seconds for which a cleared suspect is kept, since a failure is sent to peers for two seconds."""
+"""Seconds for which a cleared suspect is kept: longer than the two in which a failure is sent."""
 _MAX_FAILURES = 16
 _MAX_CLEARED = 64
 
--- a/src/lotushill/quarantine/update_schedule.py
+++ b/src/lotushill/quarantine/update_schedule.py
@@ -19,7 +19,7 @@
 KNOWN_GOOD_JITTER_SECONDS = 0.2
 """Range in seconds of the random delay before a known good request is reported.
 
-If several gateways know the request as good, the first report within this time stands for all.
+If the request is known good at several gateways, the first report replaces those of the others.
 """
 
 
--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -24,7 +24,7 @@
     from lotushill.requests.attempt_reporter import AttemptReporter
     from lotushill.requests.client_answer import ClientAnswer
     from lotushill.requests.event_stream import EventSplitter
-    from lotushill.requests.parts import GatewayParts
+    from lotushill.requests.gateway_components import GatewayComponents
     from lotushill.requests.upstream_connection import AnswerHead
     from lotushill.requests.upstream_connection import UpstreamConnection
     from lotushill.requests.upstream_gate import Permit
@@ -32,7 +32,7 @@
 
 _SUCCESS = range(200, 300)
 _MIN_HEAD_TIMEOUT_SECONDS = 0.8
-"""Least time to wait for the head of an answer before the upstream counts as silent."""
+"""Minimum wait for the head of an answer before the upstream counts as silent."""
 _HEAD_TIMEOUT_FACTOR = 4.0
 """Multiple of the predicted time to the first event after which the upstream counts as silent."""
 
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        parts: GatewayParts,
+        components: GatewayComponents,
         request: Request,
         choice: Choice,
         answer: ClientAnswer,
@@ -50,20 +50,20 @@
         reporter: AttemptReporter,
         permit: Permit,
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._request = request
         self._choice = choice
         self._answer = answer
         self._splitter = splitter
         self._reporter = reporter
         self._permit = permit
-        self._clock = parts.clock
-        self._wakes = parts.suspension.suspension_count
+        self._clock = components.clock
+        self._initial_suspension_count = components.suspension.suspension_count
         self.sent_at = 0.0
         self._head_received_at = 0.0
         self.first_event_at = 0.0
         self.last_event_at = 0.0
-        self._pauses = AttemptPauses(parts, request, choice.upstream, reporter)
+        self._pauses = AttemptPauses(components, request, choice.upstream, reporter)
         engine = request.service.engine
         self._is_movable = engine is not None and engine.can_move_memory
         """Whether runs of the request's service can be moved to other upstreams."""
@@ -73,22 +73,22 @@
     async def run(self) -> AttemptEnd:
         """Send the request and relay the answer to the client."""
         upstream = self._choice.upstream
-        load = self._parts.fleet.load(upstream.id)
+        load = self._components.fleet.load(upstream.id)
         try:
-            connection = await self._parts.pool.acquire(upstream)
+            connection = await self._components.pool.acquire(upstream)
         except NotSentError as error:
             load.note_unreachable(self._clock())
             return AttemptEnd(EndKind.NOT_SENT, str(error))
         if self._was_suspended():
             connection.close()
             return AttemptEnd(EndKind.NOT_SENT, "the host was suspended")
-        # The placement may not know that the upstream takes no requests now, or be older than that.
-        if not self._parts.gate.authorize_send(self._permit):
+        # The upstream may have announced that it takes no requests, without or after the placement.
+        if not self._components.gate.authorize_send(self._permit):
             connection.close()
             return AttemptEnd(EndKind.BARRED)
         try:
             end = await self._send_and_relay(connection)
-            self._parts.pool.release(upstream, connection)
+            self._components.pool.release(upstream, connection)
         except UpstreamError as error:
             connection.close()
             end = self._broken_end(error)
@@ -126,17 +126,17 @@
         if run is None:
             return
         run.ended = True
-        self._parts.mover.remove_run(run)
+        self._components.mover.remove_run(run)
         if run.handover is not None and not run.handover.stream_ended:
-            self._parts.mover.release_handover(run.handover)
+            self._components.mover.release_handover(run.handover)
 
     def _was_suspended(self) -> bool:
         """Return whether the host was suspended since the upstream was chosen.
 
         The upstream may have left the fleet in the meantime.
         """
-        self._parts.suspension.check()
-        return self._parts.suspension.suspension_count != self._wakes
+        self._components.suspension.check()
+        return self._components.suspension.suspension_count != self._initial_suspension_count
 
     async def _send_and_relay(self, connection: UpstreamConnection) -> AttemptEnd:
         self.sent_at = self._clock()
@@ -145,9 +145,9 @@
         connection.send(self._request.demand.request_id, self._request.method, data)
         head = await self._read_head(connection)
         self._head_received_at = self._clock()
-        self._parts.fleet.load(self._choice.upstream.id).note_reached()
+        self._components.fleet.load(self._choice.upstream.id).note_reached()
         statement = read_statement(head.status, head.headers)
-        self._parts.gate.record_statement(self._choice.upstream.id, statement, self.sent_at)
+        self._components.gate.record_statement(self._choice.upstream.id, statement, self.sent_at)
         if statement.not_executed:
             await self._read_body(connection)
             return AttemptEnd(EndKind.REJECTED, str(head.status), statement=statement)
@@ -224,7 +224,7 @@
             return max_threshold(gap) if gives_up else None
         if not self._can_continue():
             return None
-        return self._parts.mover.stalls.threshold(self._request.service.name, gap)
+        return self._components.mover.stalls.threshold(self._request.service.name, gap)
 
     async def _relay_events(self, connection: UpstreamConnection, head: AnswerHead) -> AttemptEnd:
         """Relay only complete events, so that another upstream can continue after any of them."""
@@ -246,7 +246,9 @@
         """Return the timeout for the first event after the head, None if there is none."""
         if not self._is_movable or not self._request.route.repeatable:
             return None
-        return self._parts.mover.first_event_waits.threshold_if_known(self._request.service.name)
+        return self._components.mover.first_event_waits.threshold_if_known(
+            self._request.service.name
+        )
 
     def _track_run(self, connection: UpstreamConnection) -> None:
         if not self._is_movable or _returned_to_source(self._choice):
@@ -260,7 +262,7 @@
                 connection.close,
                 self.last_event_at,
             )
-            self._parts.mover.add_run(self._movable_run)
+            self._components.mover.add_run(self._movable_run)
         self._movable_run.note_event(self.last_event_at)
 
     async def _start_chunked(self, head: AnswerHead) -> None:
@@ -275,7 +277,7 @@
             self.first_event_at = now
             self._note_first_event(now)
             if self._is_movable:
-                self._parts.mover.first_event_waits.note(
+                self._components.mover.first_event_waits.note(
                     self._request.service.name, now - self._head_received_at
                 )
         if self._request.route.kind is RouteKind.STREAM:
@@ -285,7 +287,7 @@
     def _note_first_event(self, now: float) -> None:
         elapsed = now - self.sent_at
         self._reporter.report_first_event(elapsed)
-        self._parts.metrics.record_first_event(
+        self._components.metrics.record_first_event(
             self._request.service.name, elapsed, self._choice.first_event_seconds
         )
 
--- a/src/lotushill/requests/attempt_pauses.py
+++ b/src/lotushill/requests/attempt_pauses.py
@@ -6,7 +6,7 @@
 
 if TYPE_CHECKING:
     from lotushill.requests.attempt_reporter import AttemptReporter
-    from lotushill.requests.parts import GatewayParts
+    from lotushill.requests.gateway_components import GatewayComponents
     from lotushill.routing.upstream import Upstream
     from lotushill.scheduling.request import Request
 
@@ -15,13 +15,17 @@
     """Updates the pace of a service and an upstream from the event times of one stream."""
 
     def __init__(
-        self, parts: GatewayParts, request: Request, upstream: Upstream, reporter: AttemptReporter
+        self,
+        components: GatewayComponents,
+        request: Request,
+        upstream: Upstream,
+        reporter: AttemptReporter,
     ) -> None:
-        self._parts = parts
+        self._components = components
         self._service = request.service.name
         self._upstream = upstream
         self._reporter = reporter
-        self._has_full_model = parts.placer.has_full_model()
+        self._has_full_model = components.placer.has_full_model()
         """Whether all requests at the upstream are known, so that its pauses can be explained."""
         self._last_at = 0.0
         self._last_due = 0.0
@@ -32,7 +36,7 @@
         if self._last_at:
             pause = now - self._last_at
             self._reporter.report_pause(pause)
-            self._parts.mover.stalls.note(self._service, pause)
+            self._components.mover.stalls.note(self._service, pause)
         if self._has_full_model:
             due = self._due_prefill(now)
             if self._last_at:
@@ -45,8 +49,8 @@
 
         `due` is the time in seconds for prefills that are still due at the upstream.
         """
-        load = self._parts.fleet.load(self._upstream.id)
-        pauses = self._parts.fleet.pace(self._service).pauses
+        load = self._components.fleet.load(self._upstream.id)
+        pauses = self._components.fleet.pace(self._service).pauses
         slowness = load.pace.step_slowness(now)
         ratio = pauses.note(now - self._last_at, self._last_due, len(load.running), slowness)
         if ratio is not None and not due:
@@ -54,6 +58,6 @@
 
     def _due_prefill(self, now: float) -> float:
         """Return the seconds that the upstream needs for all prefills that are due there."""
-        load = self._parts.fleet.load(self._upstream.id)
-        rate = self._parts.fleet.pace(self._service).read_rate
+        load = self._components.fleet.load(self._upstream.id)
+        rate = self._components.fleet.pace(self._service).read_rate
         return load.prefill_queue.remaining_tokens(rate, now) / rate
--- a/src/lotushill/requests/client_application.py
+++ b/src/lotushill/requests/client_application.py
@@ -32,7 +32,7 @@
     from lotushill.links.asgi import Scope
     from lotushill.links.asgi import Send
     from lotushill.requests.client_protocol import ClientProtocol
-    from lotushill.requests.parts import GatewayParts
+    from lotushill.requests.gateway_components import GatewayComponents
     from lotushill.routing.demand import Demand
     from lotushill.routing.route import Route
     from lotushill.routing.table import RoutingTable
@@ -68,8 +68,8 @@
 class ClientApplication:
     """Handles the requests of clients."""
 
-    def __init__(self, parts: GatewayParts) -> None:
-        self._parts = parts
+    def __init__(self, components: GatewayComponents) -> None:
+        self._components = components
         self._request_numbers = itertools.count()
         self._scopes: set[anyio.CancelScope] = set()
         """Cancel scopes of the requests in progress."""
@@ -97,8 +97,8 @@
             self.in_progress -= 1
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
-        self._parts.suspension.check()
-        arrived = self._parts.clock()
+        self._components.suspension.check()
+        arrived = self._components.clock()
         demand = request_head.read_demand(scope["headers"])
         answer = ClientAnswer(send, demand.request_id)
         answer.close_after = self.closes_connections
@@ -107,24 +107,24 @@
         except ClientDisconnectedError:
             return
         except _TurnedAwayError as error:
-            self._parts.metrics.record_rejection(error.status)
-            self._parts.log.note(
+            self._components.metrics.record_rejection(error.status)
+            self._components.log.note(
                 "request.turned_away",
                 request=demand.request_id,
                 status=error.status,
                 host=demand.host,
                 target=scope[TARGET].decode("latin-1")[:80],
-                configuration=self._parts.configuration.revision,
+                configuration=self._components.configuration.revision,
             )
             await answer.send_own_answer(error.status, error.retry_after_seconds)
             return
         await self._answer_request(scope, request, answer)
 
     async def _answer_request(self, scope: Scope, request: Request, answer: ClientAnswer) -> None:
-        clock = self._parts.clock
+        clock = self._components.clock
         connection = cast("ClientProtocol", scope[CONNECTION])
-        exchange = Exchange(self._parts, request, answer)
-        self._parts.work.increment_running(request.service.name)
+        exchange = Exchange(self._components, request, answer)
+        self._components.work.increment_running(request.service.name)
         time_left = request.ends - clock()
         with anyio.CancelScope(
             deadline=asyncio.get_running_loop().time() + time_left
@@ -137,7 +137,7 @@
             except Exception as error:
                 # A fault of the gateway must not leave a client without an answer.
                 exchange.outcome = f"fault:{error!r}"
-                self._parts.log.note(
+                self._components.log.note(
                     "request.fault",
                     request=request.demand.request_id,
                     trace="".join(traceback.format_exception(error)),
@@ -153,9 +153,9 @@
             else:
                 await exchange.time_out()
         elapsed = clock() - request.arrived
-        self._parts.work.decrement_running(request.service.name)
-        self._parts.metrics.record_request(request.service.name, exchange.outcome, elapsed)
-        self._parts.log.note(
+        self._components.work.decrement_running(request.service.name)
+        self._components.metrics.record_request(request.service.name, exchange.outcome, elapsed)
+        self._components.log.note(
             "request.ended",
             request=request.demand.request_id,
             route=request.route.name,
@@ -165,15 +165,15 @@
             runs=exchange.runs,
             first_ms=exchange.first_ms,
             ms=round(elapsed * 1000, 1),
-            configuration=self._parts.configuration.revision,
+            configuration=self._components.configuration.revision,
         )
 
     async def _check(
         self, scope: Scope, receive: Receive, demand: Demand, arrived: float
     ) -> Request:
         await self._await_ready(demand, arrived)
-        table = self._parts.configuration.table
-        if table is None or not self.accepts_requests or not self._parts.knows_holds():
+        table = self._components.configuration.table
+        if table is None or not self.accepts_requests or not self._components.holds_are_known():
             raise _TurnedAwayError(503, self._retry_after_seconds())
         headers = list(scope["headers"])
         if sum(len(name) + len(value) + 4 for name, value in headers) > table.limits.header_bytes:
@@ -182,12 +182,12 @@
         team = self._team(table, route, demand)
         body = await _read_request_body(receive, table)
         has_body = any(name in (b"content-length", b"transfer-encoding") for name, _ in headers)
-        service = table.services[route.service_for(self._parts.rng.random())]
-        route = self._parts.settings.route_for(route, team, service.name)
+        service = table.services[route.service_for(self._components.rng.random())]
+        route = self._components.settings.route_for(route, team, service.name)
         limit = min(demand.time_left or route.timeout, route.timeout)
         caller = caller_hash(team.name if team else "", scope[TARGET], body)
         return Request(
-            key=f"{self._parts.name}/{next(self._request_numbers)}",
+            key=f"{self._components.name}/{next(self._request_numbers)}",
             demand=demand,
             method=str(scope["method"]).encode(),
             target=scope[TARGET],
@@ -202,7 +202,9 @@
         )
 
     def _is_ready(self) -> bool:
-        return self._parts.configuration.table is not None and self._parts.knows_holds()
+        return (
+            self._components.configuration.table is not None and self._components.holds_are_known()
+        )
 
     async def _await_ready(self, demand: Demand, arrived: float) -> None:
         """Wait until the gateway is ready after its start, while the client can still be served."""
@@ -211,13 +213,15 @@
             return
         self.waiting_until_ready += 1
         try:
-            while self.accepts_requests and not self._is_ready() and self._parts.clock() < ends:
+            while (
+                self.accepts_requests and not self._is_ready() and self._components.clock() < ends
+            ):
                 await anyio.sleep(_READY_POLL_INTERVAL_SECONDS)
         finally:
             self.waiting_until_ready -= 1
 
     def _retry_after_seconds(self) -> float:
-        return ready_retry_after_seconds(self._parts.rng.random())
+        return ready_retry_after_seconds(self._components.rng.random())
 
     def _route(self, table: RoutingTable, demand: Demand, scope: Scope) -> Route:
         path = scope[TARGET].partition(b"?")[0].decode("latin-1")
@@ -234,7 +238,7 @@
 
     def _unknown_error(self, status: int) -> _TurnedAwayError:
         """Return the error for an unknown route or key; it may be new if the view is stale."""
-        if not self._parts.view_is_fresh():
+        if not self._components.view_is_fresh():
             return _TurnedAwayError(503, self._retry_after_seconds())
         return _TurnedAwayError(status)
 
--- a/src/lotushill/requests/continuation.py
+++ b/src/lotushill/requests/continuation.py
@@ -20,9 +20,9 @@
 
     from lotushill.requests.attempt_end import AttemptEnd
     from lotushill.requests.event_stream import EventSplitter
+    from lotushill.requests.gateway_components import GatewayComponents
     from lotushill.requests.handover import Handover
     from lotushill.requests.handover import RunMemory
-    from lotushill.requests.parts import GatewayParts
     from lotushill.routing.upstream import Upstream
     from lotushill.scheduling.placement import Placement
     from lotushill.scheduling.request import Request
@@ -41,20 +41,24 @@
     """Sends an interrupted request to upstreams that hold the memory of its run."""
 
     def __init__(
-        self, parts: GatewayParts, request: Request, splitter: EventSplitter, attempt: SendAttempt
+        self,
+        components: GatewayComponents,
+        request: Request,
+        splitter: EventSplitter,
+        attempt: SendAttempt,
     ) -> None:
         """Continue after the events of `splitter`; `attempt` sends the request to an upstream."""
-        self._parts = parts
+        self._components = components
         self._request = request
         self._splitter = splitter
         self._attempt = attempt
-        self._clock = parts.clock
+        self._clock = components.clock
 
     async def continue_from_backup(self, backup: Upstream, interrupted: AttemptEnd) -> AttemptEnd:
         """Continue at the upstream to which the run's memory was copied while it ran."""
         if not self._can_continue_at(backup):
             return interrupted
-        permit = await self._parts.gate.admit(backup, self._request.need)
+        permit = await self._components.gate.admit(backup, self._request.need)
         if permit is None or not self._spend_retry():
             return interrupted
         end = await self._continue_run(self._choice(backup), permit)
@@ -67,10 +71,10 @@
         the request without looking for the copy.
         """
         service = self._request.service.name
-        is_known = any(item.id == backup.id for item in self._parts.upstreams.of(service))
-        failures = self._parts.fleet.load(backup.id).failures
+        is_known = any(item.id == backup.id for item in self._components.upstreams.of(service))
+        failures = self._components.fleet.load(backup.id).failures
         is_healthy = failures.rate(self._clock()) < _MAX_FAILURE_RATE
-        is_accepting = self._parts.gate.accepts_requests(backup.id)
+        is_accepting = self._components.gate.accepts_requests(backup.id)
         return is_known and is_healthy and is_accepting and self._splitter.event_count > 0
 
     async def continue_from_handover(
@@ -96,7 +100,7 @@
             if used:
                 handover.note_used()
             else:
-                self._parts.mover.release_handover(handover)
+                self._components.mover.release_handover(handover)
         return self._final_end(None, interrupted)
 
     async def _continue_from(self, run_memory: RunMemory) -> AttemptEnd:
@@ -111,22 +115,22 @@
         """Return how the run has ended; as broken if it was not continued."""
         is_continued = end is not None and (end.kind is EndKind.WHOLE or end.handover is not None)
         if end is not None and is_continued:
-            self._parts.metrics.record_moved_run("went on")
+            self._components.metrics.record_moved_run("went on")
             return end
-        self._parts.metrics.record_moved_run("cut")
+        self._components.metrics.record_moved_run("cut")
         return replace(interrupted, kind=EndKind.BROKEN, handover=None)
 
     async def _continue_run(self, choice: Choice, permit: Permit) -> AttemptEnd:
         self._splitter.drop_partial()
         return await self._attempt(
-            self._parts.placer.continuation_placement(self._request, choice), permit
+            self._components.placer.continuation_placement(self._request, choice), permit
         )
 
     def _choice(self, upstream: Upstream) -> Choice:
-        seconds = self._parts.fleet.pace(self._request.service.name).stream_seconds
+        seconds = self._components.fleet.pace(self._request.service.name).stream_seconds
         return Choice(
             upstream, 0.0, _PREDICTED_CONTINUE_SECONDS, 0, 0, seconds, resumes_from_copy=True
         )
 
     def _spend_retry(self) -> bool:
-        return self._parts.budgets.try_spend(self._request.service.name, self._clock())
+        return self._components.budgets.try_spend(self._request.service.name, self._clock())
--- a/src/lotushill/requests/engine_memory_client.py
+++ b/src/lotushill/requests/engine_memory_client.py
@@ -52,7 +52,7 @@
         except NoAnswerError:
             return
 
-    def forget(self, known: set[str]) -> None:
+    def retain_only(self, known: set[str]) -> None:
         """Drop the clients of all addresses that are not in `known`."""
         for address in self._clients.keys() - known:
             del self._clients[address]
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -19,7 +19,7 @@
     from lotushill.placement.choice import Choice
     from lotushill.requests.attempt_end import AttemptEnd
     from lotushill.requests.client_answer import ClientAnswer
-    from lotushill.requests.parts import GatewayParts
+    from lotushill.requests.gateway_components import GatewayComponents
     from lotushill.requests.upstream_gate import Permit
     from lotushill.routing.upstream import Upstream
     from lotushill.scheduling.request import Request
@@ -46,17 +46,19 @@
 class Exchange:
     """Sends one request to upstreams until the client has an answer."""
 
-    def __init__(self, parts: GatewayParts, request: Request, answer: ClientAnswer) -> None:
-        self._parts = parts
+    def __init__(
+        self, components: GatewayComponents, request: Request, answer: ClientAnswer
+    ) -> None:
+        self._components = components
         self._request = request
         self._answer = answer
         self._splitter = EventSplitter()
-        self._clock = parts.clock
+        self._clock = components.clock
         self._retry_after_seconds = _RETRY_AFTER_SECONDS
         self._unsent_count = 0
         self._rejection_count = 0
-        self._search = UpstreamSearch(parts, request)
-        self._continuation = Continuation(parts, request, self._splitter, self._attempt)
+        self._search = UpstreamSearch(components, request)
+        self._continuation = Continuation(components, request, self._splitter, self._attempt)
         self._start_counted = False
         """Whether the request was counted as started."""
         self.runs = 0
@@ -69,11 +71,11 @@
     async def run(self) -> None:
         """Try upstreams until the request is answered or given up."""
         request = self._request
-        self._parts.budgets.note_request(request.service.name, self._clock())
+        self._components.budgets.note_request(request.service.name, self._clock())
         while True:
-            if self._parts.quarantine.is_held(request):
+            if self._components.quarantine.is_held(request):
                 return await self._refuse_held()
-            await self._parts.suspension.wait_until_settled()
+            await self._components.suspension.wait_until_settled()
             placement = await self._search.find()
             if not isinstance(placement, Placement):
                 self._retry_after_seconds = placement.retry_after
@@ -81,7 +83,7 @@
             if self._clock() >= request.ends:
                 return await self.time_out()
             choice = placement.choice
-            permit = await self._parts.gate.admit(choice.upstream, request.need)
+            permit = await self._components.gate.admit(choice.upstream, request.need)
             if permit is None:
                 self._defer(placement)
                 continue
@@ -90,7 +92,7 @@
             end = await self._continue_run(choice, end, check)
             if end.kind is EndKind.WHOLE:
                 self.outcome = "whole"
-                self._parts.quarantine.record_completion(request)
+                self._components.quarantine.record_completion(request)
                 return None
             if not await self._may_retry(end, check):
                 return await self._give_up(end.detail, end)
@@ -106,10 +108,12 @@
             await self._answer.send_own_answer(_UNAVAILABLE, _RETRY_AFTER_SECONDS)
 
     async def _refuse_held(self) -> None:
-        """Refuse a quarantined request, under which upstreams failed, without sending it on."""
+        """Refuse a quarantined request, during which upstreams failed, without sending it on."""
         request = self._request
-        self._parts.quarantine.record_held(request)
-        self._parts.metrics.record_refusal(request.service.name, request.need.tier, "quarantined")
+        self._components.quarantine.record_held(request)
+        self._components.metrics.record_refusal(
+            request.service.name, request.need.tier, "quarantined"
+        )
         self._retry_after_seconds = _HELD_RETRY_AFTER_SECONDS
         await self._give_up("quarantined", None)
 
@@ -118,7 +122,7 @@
         if not end.connection_lost:
             return None
         begun = end.answer_started or self._splitter.event_count > 0
-        return self._parts.quarantine.record_interruption(self._request, upstream, begun)
+        return self._components.quarantine.record_interruption(self._request, upstream, begun)
 
     async def _may_continue(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
         """Return whether an interrupted request may be sent to another upstream.
@@ -129,7 +133,7 @@
             return False
         if check is not None:
             await asyncio.wait((check,), timeout=_FAILURE_CHECK_TIMEOUT_SECONDS)
-        return self._parts.quarantine.may_retry(self._request)
+        return self._components.quarantine.may_retry(self._request)
 
     async def _continue_run(
         self, choice: Choice, end: AttemptEnd, check: asyncio.Task[None] | None
@@ -137,7 +141,7 @@
         """Continue a moved or interrupted run from a copy of its memory."""
         while end.handover is not None:
             if end.kind is EndKind.BROKEN and not await self._may_continue(end, check):
-                self._parts.mover.release_handover(end.handover)
+                self._components.mover.release_handover(end.handover)
                 return replace(end, handover=None)
             end = await self._continuation.continue_from_handover(end.handover, end)
         if choice.backup is not None and await self._may_continue(end, check):
@@ -148,24 +152,24 @@
         """Exclude an upstream for which there is no permit at present from the search."""
         upstream = placement.choice.upstream
         self._search.defer(upstream.id)
-        rate = self._parts.limits.stated.rate(upstream.id)
+        rate = self._components.limits.stated.rate(upstream.id)
         self._note(
             "placement.put_off", upstream=upstream.id, why="no permit", limit=finite_or_none(rate)
         )
         if placement.scheduler:
-            self._parts.shared_load.give_up(placement.placed.request)
+            self._components.shared_load.give_up(placement.placed.request)
 
     async def _attempt(self, placement: Placement, permit: Permit) -> AttemptEnd:
         choice, attempt_number = placement.choice, placement.placed.request
         self.upstream = choice.upstream.id
         self._note_choice(placement)
-        self._parts.shared_load.start(
+        self._components.shared_load.start(
             placement.placed, self._request.service, announced=bool(placement.scheduler)
         )
         self.runs += 1
-        reporter = AttemptReporter(self._parts.shared_load, attempt_number, self._note_started)
+        reporter = AttemptReporter(self._components.shared_load, attempt_number, self._note_started)
         attempt = Attempt(
-            self._parts, self._request, choice, self._answer, self._splitter, reporter, permit
+            self._components, self._request, choice, self._answer, self._splitter, reporter, permit
         )
         kind = None
         try:
@@ -180,7 +184,7 @@
             run_seconds = self._clock() - attempt.sent_at if attempt.sent_at else 0.0
             reporter.report_end(kind, run_seconds)
             self.first_ms = round((attempt.first_event_at - attempt.sent_at) * 1000, 1)
-        self._parts.metrics.record_attempt(
+        self._components.metrics.record_attempt(
             self._request.service.name, self._request.need.tier, end.kind.value
         )
         if end.kind in _NOT_RUN:
@@ -209,7 +213,7 @@
     def _note_started(self) -> None:
         if not self._start_counted:
             self._start_counted = True
-            self._parts.work.record_start(self._request.team)
+            self._components.work.record_start(self._request.team)
 
     def _note_choice(self, placement: Placement) -> None:
         choice = placement.choice
@@ -240,12 +244,12 @@
             drawn=placement.drawn,
             pause_bound_ms=self._pause_bound_ms(),
             run=self.runs,
-            view=self._parts.upstreams.revision,
+            view=self._components.upstreams.revision,
         )
 
     def _pause_bound_ms(self) -> float | None:
         """Return the most by which a prefill extends a pause, in ms; None if unknown."""
-        pauses = self._parts.fleet.pace(self._request.service.name).pauses
+        pauses = self._components.fleet.pace(self._request.service.name).pauses
         return round(pauses.bound * 1000, 1) if pauses.bound_known else None
 
     async def _may_retry(self, end: AttemptEnd, check: asyncio.Task[None] | None) -> bool:
@@ -258,7 +262,7 @@
             return self._unsent_count < _MAX_UNSENT_ATTEMPTS
         if end.kind is EndKind.REJECTED:
             self._rejection_count += 1
-            return self._rejection_count < _MAX_REJECTIONS and self._parts.budgets.try_spend(
+            return self._rejection_count < _MAX_REJECTIONS and self._components.budgets.try_spend(
                 service, now
             )
         route = self._request.route
@@ -268,7 +272,7 @@
             return False
         if end.kind is EndKind.BROKEN and not await self._may_continue(end, check):
             return False
-        return self._parts.budgets.try_spend(service, self._clock())
+        return self._components.budgets.try_spend(service, self._clock())
 
     async def _give_up(self, why: str, end: AttemptEnd | None) -> None:
         self.outcome = f"given-up:{why}"
@@ -286,4 +290,4 @@
             await self._answer.send_own_answer(_UNAVAILABLE, self._retry_after_seconds)
 
     def _note(self, event: str, **fields: object) -> None:
-        self._parts.log.note(event, request=self._request.demand.request_id, **fields)
+        self._components.log.note(event, request=self._request.demand.request_id, **fields)
--- a/src/lotushill/requests/parts.py
+++ b/src/lotushill/requests/gateway_components.py
@@ -1,4 +1,4 @@
-"""Components that the request path uses."""
+"""Components of a gateway that the request path uses."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class GatewayParts:
+class GatewayComponents:
     """Components that all requests of one gateway share."""
 
     name: str
@@ -57,5 +57,5 @@
     suspension: SuspensionWatch
     view_is_fresh: Callable[[], bool]
     """Returns whether the store or a peer has recently confirmed the views."""
-    knows_holds: Callable[[], bool]
+    holds_are_known: Callable[[], bool]
     """Returns whether the list of quarantined requests, which reach no upstream, is known."""
--- a/src/lotushill/requests/handover.py
+++ b/src/lotushill/requests/handover.py
@@ -25,11 +25,11 @@
 
 NO_ANSWER = "no answer"
 _MAX_CALLS = 4
-"""Most calls for one step of a handover."""
+"""Maximum number of calls for one step of a handover."""
 _BUSY_RETRY_INTERVAL_SECONDS = 0.03
 """Interval between calls while another call for the run is in progress."""
 _CALL_TIMEOUT_MARGIN_SECONDS = 0.4
-"""Added to twice the time of the copy, which may wait behind another one, as timeout of a call."""
+"""Part of the timeout of a call beyond twice the copy time, as a copy may wait for another one."""
 _CLOSE_TIMEOUT_SECONDS = 0.1
 """Time for the source to close the stream of a stopped run before this gateway closes it."""
 _SILENCE_TIMEOUT_SECONDS = 0.5
@@ -46,7 +46,7 @@
     COPYING = "copying"
     """The run continues at its source while its memory is copied."""
     STOPPING = "stopping"
-    """The source was told to stop the run and may have done so."""
+    """The source was asked to stop the run and may have done so."""
     STOPPED = "stopped"
     """The run can be continued at any upstream that holds memory under its handle."""
     GIVEN_UP = "given up"
--- a/src/lotushill/requests/isolation_policy.py
+++ b/src/lotushill/requests/isolation_policy.py
@@ -22,7 +22,7 @@
     """Restricts isolated groups to one upstream of their service, and excludes all others from it.
 
     If that upstream fails, only requests that are suspected themselves are lost, and since nothing
-    runs beside such a request, the cause of the failure is evident. All gateways know the same
+    runs beside such a request, the cause of the failure is evident. All gateways have the same
     groups and upstreams, so they select the same upstream without communication.
     """
 
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -48,7 +48,7 @@
 _RELEASE_DELAY_SECONDS = 0.3
 """Time after a handover by which the run itself is counted in the load of its target."""
 _MAX_TARGETS = 2
-"""Most targets that are tried for one move."""
+"""Maximum number of targets that are tried for one move."""
 
 
 class Mover:
@@ -130,10 +130,10 @@
         for task in self._tasks:
             task.cancel()
 
-    def forget(self, known: set[str]) -> None:
+    def retain_only(self, known: set[str]) -> None:
         """Drop the data of upstreams that are not in `known`."""
-        self.notices.forget(known)
-        self._memory.forget({item.address for item in self._upstreams.all()})
+        self.notices.retain_only(known)
+        self._memory.retain_only({item.address for item in self._upstreams.all()})
 
     def start_due_handovers(self) -> None:
         """Start the handovers that are worthwhile now."""
--- a/src/lotushill/requests/upstream_connection.py
+++ b/src/lotushill/requests/upstream_connection.py
@@ -53,8 +53,8 @@
     """Connection to an upstream that carries one request at a time."""
 
     def __init__(self, answer_request_id: Callable[[Headers], str]) -> None:
-        """Create the protocol; `answered_id` returns the id of the request an answer belongs to."""
-        self._answered_id = answer_request_id
+        """Create the protocol; `answer_request_id` returns the id of the answered request."""
+        self._answer_request_id = answer_request_id
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._waiter: asyncio.Future[None] | None = None
@@ -227,7 +227,7 @@
         status = self._parser.get_status_code()
         if status < 200:
             return
-        self._skipping = self._answered_id(self._headers) != self._request_id
+        self._skipping = self._answer_request_id(self._headers) != self._request_id
         if self._skipping:
             # This is a surplus answer to an earlier request; the next one answers the current one.
             return
--- a/src/lotushill/requests/upstream_pool.py
+++ b/src/lotushill/requests/upstream_pool.py
@@ -23,7 +23,7 @@
 overloaded.
 """
 _MAX_IDLE_CONNECTIONS = 32
-"""Most idle connections kept to one upstream."""
+"""Maximum number of idle connections kept to one upstream."""
 
 
 class UpstreamPool:
@@ -36,7 +36,7 @@
         clock: Callable[[], float] = clocks.now,
     ) -> None:
         """Create an empty pool; `max_idle` returns the limit of idle connections to an upstream."""
-        self._answered_id = answer_request_id
+        self._answer_request_id = answer_request_id
         self._max_idle = max_idle
         self._clock = clock
         self._idle: dict[str, list[UpstreamConnection]] = {}
@@ -103,7 +103,7 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 _, connection = await loop.create_connection(
-                    lambda: UpstreamConnection(self._answered_id), host, port
+                    lambda: UpstreamConnection(self._answer_request_id), host, port
                 )
         except (OSError, TimeoutError) as error:
             raise NotSentError(repr(error)) from error
--- a/src/lotushill/requests/upstream_search.py
+++ b/src/lotushill/requests/upstream_search.py
@@ -15,7 +15,7 @@
 from lotushill.scheduling.placement import Placement
 
 if TYPE_CHECKING:
-    from lotushill.requests.parts import GatewayParts
+    from lotushill.requests.gateway_components import GatewayComponents
     from lotushill.scheduling.request import Request
 
 _MAX_WAIT_FRACTION = 0.2
@@ -31,10 +31,10 @@
 class UpstreamSearch:
     """Finds the next upstream for one request."""
 
-    def __init__(self, parts: GatewayParts, request: Request) -> None:
-        self._parts = parts
+    def __init__(self, components: GatewayComponents, request: Request) -> None:
+        self._components = components
         self._request = request
-        self._clock = parts.clock
+        self._clock = components.clock
         self._gives_up_at = min(
             request.arrived + _MAX_WAIT_FRACTION * request.route.target,
             request.ends - _MIN_TIME_LEFT_SECONDS,
@@ -72,7 +72,7 @@
 
     async def _try_find(self) -> Placement | NoChoice:
         """Try once to find an upstream."""
-        request, policy = self._request, self._parts.isolation_policy
+        request, policy = self._request, self._components.isolation_policy
         wait = policy.retry_delay(request)
         if wait > 0:
             return NoChoice(Refusal.ISOLATED, wait)
@@ -80,10 +80,10 @@
         if wait > 0:
             return NoChoice(Refusal.TEAM_LIMIT, wait)
         excluded = policy.excluded_upstreams(request) | self._excluded | self._without_permit()
-        result = await self._parts.placer.place(request, excluded, self._placement_requested)
+        result = await self._components.placer.place(request, excluded, self._placement_requested)
         self._placement_requested = True
         if isinstance(result, Placement) and not policy.admits(request, result.choice):
-            self._parts.shared_load.give_up(result.placed.request)
+            self._components.shared_load.give_up(result.placed.request)
             return NoChoice(Refusal.ISOLATED, _ISOLATED_RETRY_AFTER_SECONDS)
         return result
 
@@ -92,13 +92,13 @@
         limit = self._request.route.limit
         if limit is None or self._within_limit:
             return 0.0
-        wait = await self._parts.team_limits.request_permit(limit, self._request.need.tier)
+        wait = await self._components.team_limits.request_permit(limit, self._request.need.tier)
         self._within_limit = wait <= 0.0
         return wait
 
     def _without_permit(self) -> set[str]:
-        """Return the upstreams still without a permit, even if the schedulers do not know of it."""
-        route, denials = self._request.need.route, self._parts.limits.denials
+        """Return the upstreams still without a permit, whether or not schedulers have a denial."""
+        route, denials = self._request.need.route, self._components.limits.denials
         now = self._clock()
         return {name for name in self._deferred if denials.is_barred(name, route, now)}
 
@@ -113,7 +113,7 @@
         if refused.refusal is Refusal.RETURNED:
             pause = returned_request_wait(now - request.arrived, request.need)
             return pause if pause is not None and now + pause < request.ends else None
-        pause = _POLL_INTERVAL_SECONDS * self._parts.rng.uniform(0.7, 1.3)
+        pause = _POLL_INTERVAL_SECONDS * self._components.rng.uniform(0.7, 1.3)
         if refused.final:
             return None
         if refused.refusal is Refusal.ISOLATED:
@@ -122,10 +122,10 @@
 
     def _log_refusal(self, refused: NoChoice) -> None:
         request = self._request
-        self._parts.metrics.record_refusal(
+        self._components.metrics.record_refusal(
             request.service.name, request.need.tier, refused.refusal.value
         )
-        self._parts.log.note(
+        self._components.log.note(
             "placement.none",
             request=request.demand.request_id,
             reason=refused.refusal.value,
--- a/src/lotushill/waiting/open_engines.py
+++ b/src/lotushill/waiting/open_engines.py
@@ -51,9 +51,9 @@
         """Note that this gateway placed a request on an engine."""
         self._turns.note_taken(upstream_id, now)
 
-    def forget(self, known: set[str]) -> None:
+    def retain_only(self, known: set[str]) -> None:
         """Drop the state of engines that are not in `known`."""
-        self._turns.forget(known)
+        self._turns.retain_only(known)
 
 
 def _free_slots(load: UpstreamLoad, tier: int, slots: int) -> int:
--- a/src/lotushill/waiting/slot_turns.py
+++ b/src/lotushill/waiting/slot_turns.py
@@ -134,7 +134,7 @@
             del self._taken[upstream]
         return len(fresh)
 
-    def forget(self, known: set[str]) -> None:
+    def retain_only(self, known: set[str]) -> None:
         """Drop the state of engines that are not in `known`."""
         for states in (self._free_since, self._noted_at, self._taken):
             for upstream in [item for item in states if item not in known]:
--- a/tests/availability/test_cooldowns.py
+++ b/tests/availability/test_cooldowns.py
@@ -69,9 +69,9 @@
         """An entry that cannot be read for a second must not remove the cooldown of its engine."""
         cooldowns = Cooldowns()
         cooldowns.note_requested("a", 3.0, 10.0)
-        cooldowns.forget({"b"}, 11.0)
+        cooldowns.retain_only({"b"}, 11.0)
         self.assertTrue(cooldowns.is_barred("a", 11.1))
-        cooldowns.forget({"b"}, 13.1)
+        cooldowns.retain_only({"b"}, 13.1)
         self.assertEqual(0, len(cooldowns._cooldowns))
 
     @given(st.lists(st.tuples(st.floats(0.0, 40.0), st.floats(0.2, 30.0)), min_size=1, max_size=12))
--- a/tests/availability/test_stated_limits.py
+++ b/tests/availability/test_stated_limits.py
@@ -52,9 +52,9 @@
         self.limits.merge("over", LimitReport(1.0, 1.0, 1.1))
         self.limits.merge("over", LimitReport(NO_LIMIT, 2.0, 2.1))
         self.limits.merge("limited", LimitReport(1.0, 1.0, 1.1))
-        self.limits.forget({"over", "limited"}, 5.0)
+        self.limits.retain_only({"over", "limited"}, 5.0)
         self.assertEqual({"gone", "over", "limited"}, set(self.limits.reports()))
-        self.limits.forget({"over", "limited"}, 100.0)
+        self.limits.retain_only({"over", "limited"}, 100.0)
         self.assertEqual({"limited"}, set(self.limits.reports()))
 
     @given(st.permutations(range(6)))
--- a/tests/duties/test_duty_runner.py
+++ b/tests/duties/test_duty_runner.py
@@ -151,7 +151,7 @@
             host.start()
         await world.serve(30.0)
         world.end()
-        # No gateway knows the requests that started within the last second before the outage.
+        # Requests that started within the last second before the outage are known to no gateway.
         self.assertLessEqual(len(world.wrong_windows()), 1)
         self.check_invariants(world)
 
--- a/tests/duties/virtual_duties.py
+++ b/tests/duties/virtual_duties.py
@@ -273,26 +273,26 @@
         self._host = host
 
     async def report_usage(
-        self, window: int, counts: Mapping[str, int], signature: LeaseCredentials
+        self, window: int, counts: Mapping[str, int], credentials: LeaseCredentials
     ) -> CallOutcome:
         """Report a window."""
         platform, reported = self._host.world.platform, dict(counts)
 
         def act() -> CallOutcome:
-            if not platform.carry_out(self._host.name, "usage", signature.token):
+            if not platform.carry_out(self._host.name, "usage", credentials.token):
                 return CallOutcome.REFUSED
             platform.take_report(window, reported)
             return CallOutcome.DONE
 
         return await self._call(act)
 
-    async def order(self, order: EngineOrder, signature: LeaseCredentials) -> CallOutcome:
+    async def order(self, order: EngineOrder, credentials: LeaseCredentials) -> CallOutcome:
         """Order engines."""
         platform = self._host.world.platform
 
         def act() -> CallOutcome:
             subject = f"{order.service}/{order.hall}"
-            if not platform.carry_out(self._host.name, subject, signature.token):
+            if not platform.carry_out(self._host.name, subject, credentials.token):
                 return CallOutcome.REFUSED
             if order.reclaimable and order.hall in platform.halls_without_reclaimable:
                 return CallOutcome.REFUSED
--- a/tests/limits/test_denials.py
+++ b/tests/limits/test_denials.py
@@ -37,7 +37,7 @@
     def test_expired_denials_are_dropped(self) -> None:
         self.denials.note_denied("e1", "letters", 0, 12.0)
         self.denials.note_denied("gone", "letters", 0, 99.0)
-        self.denials.forget({"e1"}, 11.0)
+        self.denials.retain_only({"e1"}, 11.0)
         self.assertEqual({"e1"}, self.denials.barred("letters", 11.0))
-        self.denials.forget({"e1"}, 13.0)
+        self.denials.retain_only({"e1"}, 13.0)
         self.assertEqual(frozenset(), self.denials.barred("letters", 0.0))
--- a/tests/membership/network.py
+++ b/tests/membership/network.py
@@ -89,7 +89,7 @@
             self.send(receiver.own.name, answers)
 
     def views(self) -> dict[str, set[str]]:
-        """Return the live members as each running member knows them."""
+        """Return the live members according to each running member."""
         return {
             name: {state.name for state in member.live()}
             for name, member in self.members.items()
--- a/tests/membership/test_large_fleet.py
+++ b/tests/membership/test_large_fleet.py
@@ -19,7 +19,7 @@
 
 
 def converged_network(count: int, halls: int = 6) -> Network:
-    """Return a network in which all members know each other."""
+    """Return a network whose members have all discovered each other."""
     network = Network(0)
     network.halls = halls
     addresses = [network.address(index) for index in range(count)]
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -15,7 +15,7 @@
 from tests.membership.network import Network
 
 DETECTION_SECONDS = 4.0
-"""Time within which every member of these small fleets knows of a change."""
+"""Time within which a change reaches every member of these small fleets."""
 
 
 class TestMembership(unittest.TestCase):
--- a/tests/moves/test_move_plan.py
+++ b/tests/moves/test_move_plan.py
@@ -136,7 +136,7 @@
     def test_unknown_incarnations_are_dropped(self) -> None:
         notices = Notices()
         notices.note("a", None, 0.0)
-        notices.forget({"b"})
+        notices.retain_only({"b"})
         self.assertIsNone(notices.seconds_left("a", 0.0))
 
 
--- a/tests/peering/test_leaving_gossip.py
+++ b/tests/peering/test_leaving_gossip.py
@@ -74,7 +74,7 @@
         return Gateway(view, gossip, self.now + self.rng.uniform(0.0, TICK_SECONDS))
 
     def join(self) -> Gateway:
-        """Add a gateway that knows only the entries."""
+        """Add a gateway that has only the entries."""
         self.gateways.append(self._make(len(self.gateways)))
         return self.gateways[-1]
 
--- a/tests/peering/test_peers.py
+++ b/tests/peering/test_peers.py
@@ -120,7 +120,7 @@
         target.datagram_received(data, (host, int(port)))
 
     def converge(self) -> None:
-        """Tick until all gateways know each other."""
+        """Tick until all gateways have discovered each other."""
         for _ in range(ROUNDS):
             self.now += 0.2
             for peers in self.all():
--- a/tests/peering/test_return_gossip.py
+++ b/tests/peering/test_return_gossip.py
@@ -41,7 +41,7 @@
 
 @dataclass
 class Network:
-    """Schedulers that know of all started requests and lose some of each other's promises."""
+    """Schedulers that track all started requests and lose some of each other's promises."""
 
     count: int
     loss: float
--- a/tests/platform/test_object_store.py
+++ b/tests/platform/test_object_store.py
@@ -301,12 +301,12 @@
         views = self.follow_from_start()
         while not views.upstreams.is_loaded:
             await asyncio.sleep(0.005)
-        self.assertFalse(views.knows_holds())
+        self.assertFalse(views.holds_are_known())
         self.now += 2.1
         while views.configuration.table is None:
             await asyncio.sleep(0.005)
         await self.stop_following()
-        self.assertTrue(views.knows_holds())
+        self.assertTrue(views.holds_are_known())
 
     def follow_from_start(self) -> StoreViews:
         self.lines: list[bytes] = []
--- a/tests/quarantine/virtual_fleet.py
+++ b/tests/quarantine/virtual_fleet.py
@@ -80,7 +80,7 @@
         return groups_of(SERVICE.name, self.team, "route", self.target, ())
 
     def as_request(self) -> Request:
-        """Return this arrival under the type that the quarantine expects."""
+        """Return this arrival with the type that the quarantine expects."""
         return cast("Request", self)
 
 
@@ -98,10 +98,10 @@
         self._revision = 0
         self.quarantines = [Quarantine() for _ in range(gateways)]
         self.isolations = [Isolation() for _ in range(gateways)]
-        self.wards = [
+        self.isolation_policies = [
             IsolationPolicy(item, self._view, lambda: self.now) for item in self.isolations
         ]
-        self.gossips = [self._new_keeper(number) for number in range(gateways)]
+        self.gossips = [self._new_gossip(number) for number in range(gateways)]
         self.alive = set(range(gateways))
         self.outcomes: Counter[tuple[bytes, str]] = Counter()
         """Number of arrivals by identity (or "other") and outcome."""
@@ -112,7 +112,7 @@
             self._start_upstream()
         self._list_upstreams()
 
-    def _new_keeper(self, number: int) -> QuarantineGossip:
+    def _new_gossip(self, number: int) -> QuarantineGossip:
         log, rng = EventLog("gw", lambda _: None), random.Random(number)
 
         def broadcast(update: SuspectNews | ClearedNews | GroupNews) -> None:
@@ -125,7 +125,7 @@
                 f"gw-{number}", self.isolations[number], broadcast, log, rng, lambda: self.now
             ),
             self._view,
-            self._has_ended,
+            self._has_failed,
             broadcast,
             log,
             rng,
@@ -136,10 +136,12 @@
         """Restart a gateway without its former state."""
         self.quarantines[number] = Quarantine()
         self.isolations[number] = Isolation()
-        self.wards[number] = IsolationPolicy(self.isolations[number], self._view, lambda: self.now)
-        self.gossips[number] = self._new_keeper(number)
+        self.isolation_policies[number] = IsolationPolicy(
+            self.isolations[number], self._view, lambda: self.now
+        )
+        self.gossips[number] = self._new_gossip(number)
 
-    async def _has_ended(self, upstream: Upstream) -> bool:
+    async def _has_failed(self, upstream: Upstream) -> bool:
         return upstream.id not in self._running
 
     def _broadcast(self, sender: int, update: SuspectNews | ClearedNews | GroupNews) -> None:
@@ -180,8 +182,8 @@
         await self._send(Arrival(identity, gateway, seconds, team, b"/" + kind))
 
     async def _send(self, arrival: Arrival) -> None:
-        keeper = self.gossips[arrival.gateway]
-        if keeper.is_held(arrival.as_request()):
+        gossip = self.gossips[arrival.gateway]
+        if gossip.is_held(arrival.as_request()):
             return self._count_outcome(arrival, "held")
         if not self._running:
             return self._count_outcome(arrival, "none")
@@ -196,28 +198,28 @@
         return None
 
     def _choose(self, arrival: Arrival) -> str | None:
-        ward = self.wards[arrival.gateway]
+        policy = self.isolation_policies[arrival.gateway]
         request = arrival.as_request()
-        if ward.retry_delay(request):
+        if policy.retry_delay(request):
             return None
-        free = sorted(self._running.keys() - ward.excluded_upstreams(request))
+        free = sorted(self._running.keys() - policy.excluded_upstreams(request))
         if not free:
             return None
         name = self.rng.choice(free)
         upstream = Upstream(name, "s", "10.0.0.1:1", "z", 8, False)
         running = len(self._running[name])
         choice = Choice(upstream, 0.0, 0.0, 0, 0, 0.0, running=running)
-        return name if ward.admits(request, choice) else None
+        return name if policy.admits(request, choice) else None
 
     async def _interrupt(self, arrival: Arrival, upstream: str) -> None:
-        keeper = self.gossips[arrival.gateway]
+        gossip = self.gossips[arrival.gateway]
         found = self._view.find(upstream)
         if arrival.gateway not in self.alive or found is None:
             return
         begun = self.now - arrival.sent_at >= _FIRST_EVENT_SECONDS
-        await asyncio.wait((keeper.record_interruption(arrival.as_request(), found, begun),))
-        keeper.send_due()
-        if arrival.sent < 2 and keeper.may_retry(arrival.as_request()):
+        await asyncio.wait((gossip.record_interruption(arrival.as_request(), found, begun),))
+        gossip.send_due()
+        if arrival.sent < 2 and gossip.may_retry(arrival.as_request()):
             arrival.ends = 0.5
             await self._send(arrival)
         else:
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -43,9 +43,9 @@
 from lotushill.requests.client_application import ClientApplication
 from lotushill.requests.client_protocol import ClientProtocol
 from lotushill.requests.engine_memory_client import EngineMemoryClient
+from lotushill.requests.gateway_components import GatewayComponents
 from lotushill.requests.isolation_policy import IsolationPolicy
 from lotushill.requests.mover import Mover
-from lotushill.requests.parts import GatewayParts
 from lotushill.requests.retry_budgets import RetryBudgets
 from lotushill.requests.upstream_gate import UpstreamGate
 from lotushill.requests.upstream_pool import UpstreamPool
@@ -246,19 +246,19 @@
         self.view = UpstreamView()
         self.settings = SettingsView()
         self.fresh = True
-        self.knows_holds = True
+        self.holds_are_known = True
         self.slack = slack
         self.team_priority = team_priority
         self.lines: list[bytes] = []
         self.suspended = 0.0
-        self.woke: list[float] = []
+        self.suspension_lengths: list[float] = []
         self.confirmed = True
         """Whether the views were confirmed since the last suspension of the host."""
         self.quarantine = Quarantine()
         self.isolation = Isolation()
         self.sent_leaving_messages: list[LeavingNews] = []
         self.sent_messages: list[SuspectNews | ClearedNews | GroupNews] = []
-        """Messages sent to other gateways when `keeper.tell_due` was called."""
+        """Messages that `quarantine_gossip.send_due` sent to other gateways."""
 
     def clock(self) -> float:
         """Return seconds of a clock that continues during a suspension."""
@@ -268,10 +268,10 @@
         """Let time pass during which the steady clock is stopped."""
         self.suspended += seconds
 
-    def _on_woke(self, seconds: float) -> None:
-        self.woke.append(seconds)
+    def _on_suspension(self, seconds: float) -> None:
+        self.suspension_lengths.append(seconds)
         self.front.note_suspension(seconds)
-        self.parts.pool.close_idle()
+        self.components.pool.close_idle()
 
     async def __aenter__(self) -> Rig:
         """Start the upstreams and the request path."""
@@ -289,15 +289,15 @@
         shared_load = SharedLoad("gw", fleet, self.clock, lambda _: self.service, lambda _: None)
         pool = UpstreamPool(request_head.answer_request_id, clock=self.clock)
         self.suspension = SuspensionWatch(
-            self.clock, time.monotonic, self._on_woke, lambda _: self.confirmed
+            self.clock, time.monotonic, self._on_suspension, lambda _: self.confirmed
         )
         log = EventLog("gw", self.lines.append)
         cooldowns = Cooldowns()
         members, stated = alone("gw"), StatedLimits()
-        counting = LimitOwners(members, Schedulers(members), lambda: 1)
+        limit_owners = LimitOwners(members, Schedulers(members), lambda: 1)
         self.limits = FleetLimits(
             self.view,
-            counting,
+            limit_owners,
             stated,
             PermitRanks(fleet, stated, self.view.of),
             lambda *_: None,
@@ -328,12 +328,12 @@
         )
         budgets = RetryBudgets(RetrySettings(ratio=0.2, slack=self.slack), lambda: 1)
         metrics = Metrics()
-        ward = IsolationPolicy(self.isolation, self.view, self.clock)
+        isolation_policy = IsolationPolicy(self.isolation, self.view, self.clock)
         self.mover = Mover(
-            EngineMemoryClient(), placer, shared_load, self.view, ward, self.quarantine_gossip,
-            budgets, stated.rate, metrics, log, self.clock,
+            EngineMemoryClient(), placer, shared_load, self.view, isolation_policy,
+            self.quarantine_gossip, budgets, stated.rate, metrics, log, self.clock,
         )  # fmt: skip
-        self.parts = GatewayParts(
+        self.components = GatewayComponents(
             name="gw",
             configuration=self.configuration,
             upstreams=self.view,
@@ -342,13 +342,13 @@
             shared_load=shared_load,
             placer=placer,
             pool=pool,
-            isolation_policy=ward,
+            isolation_policy=isolation_policy,
             mover=self.mover,
             gate=UpstreamGate(
                 self.view, cooldowns, self.limits, self.leaving.note_answer, log, self.clock
             ),
             limits=self.limits,
-            team_limits=TeamLimits(counting, self.limits.client, random.Random(8), self.clock),
+            team_limits=TeamLimits(limit_owners, self.limits.client, random.Random(8), self.clock),
             quarantine=self.quarantine_gossip,
             budgets=budgets,
             work=RequestCounter("gw", 5.0, TrueTime(time.time, self.clock), self.clock),
@@ -358,9 +358,9 @@
             clock=self.clock,
             suspension=self.suspension,
             view_is_fresh=lambda: self.fresh,
-            knows_holds=lambda: self.knows_holds,
+            holds_are_known=lambda: self.holds_are_known,
         )
-        self.front = ClientApplication(self.parts)
+        self.front = ClientApplication(self.components)
         self.server = HttpServer(self.front, "127.0.0.1:0", protocol=ClientProtocol)
         self._task = asyncio.create_task(self.server.serve())
         await self.server.wait_started()
@@ -411,7 +411,7 @@
 
 
 def alone(name: str) -> Membership:
-    """Return the membership of a gateway that knows no other gateways."""
+    """Return the membership of a gateway without known peers."""
     own = MemberState(name, "127.0.0.1:1", "z", "r", 1, MemberPhase.ALIVE)
     return Membership(own, (), MembershipOptions(), random.Random(8))
 
--- a/tests/requests/test_cooldowns.py
+++ b/tests/requests/test_cooldowns.py
@@ -130,7 +130,7 @@
             prefer(rig, copy.id)
             await rig.call("asked", headers="Token-Usage: 50,20\r\n")
             # As after some seconds, when the failure no longer counts and the cooldown still does.
-            rig.parts.fleet.load(copy.id).failures = FailureRate()
+            rig.components.fleet.load(copy.id).failures = FailureRate()
             seen.reset()
             return None
 
@@ -150,7 +150,7 @@
 
 def delay_connection(rig: Rig, upstream_id: str, request_id: str) -> None:
     """Delay the first connection to an upstream until that has rejected another request."""
-    acquire = rig.parts.pool.acquire
+    acquire = rig.components.pool.acquire
     waited: list[str] = []
 
     async def wait(upstream: Upstream) -> UpstreamConnection:
@@ -160,12 +160,12 @@
         return await acquire(upstream)
 
     prefer(rig, upstream_id)
-    rig.parts.pool.acquire = wait  # type: ignore[method-assign]
+    rig.components.pool.acquire = wait  # type: ignore[method-assign]
 
 
 def prefer(rig: Rig, upstream_id: str) -> None:
     """Place requests at one upstream unless it is excluded, as if its cooldown were unknown."""
-    place = rig.parts.placer.place
+    place = rig.components.placer.place
     wanted = rig.view.find(upstream_id)
     assert wanted is not None
     choice = Choice(wanted, 0.0, 0.0, 0, 0, 0.0)
@@ -175,6 +175,6 @@
     ) -> Placement | NoChoice:
         if upstream_id in excluded:
             return await place(request, excluded, again, waits)
-        return rig.parts.placer.continuation_placement(request, choice)
+        return rig.components.placer.continuation_placement(request, choice)
 
-    rig.parts.placer.place = chosen  # type: ignore[method-assign]
+    rig.components.placer.place = chosen  # type: ignore[method-assign]
--- a/tests/requests/test_isolation_policy.py
+++ b/tests/requests/test_isolation_policy.py
@@ -1,4 +1,4 @@
-"""Requests of a group under which upstreams fail run at one upstream, one at a time.
+"""Requests of a group during which upstreams fail run at one upstream, one at a time.
 
 The requests of the group share their path, but differ in every byte of their bodies. Without
 isolation each counted as a new request, could make three upstreams fail, and interrupted all other
@@ -18,7 +18,7 @@
 
 SUSPECT = "/p/suspect"
 FAILURE_TIMES = (2.4, 1.2, 0.0)
-"""Times, in seconds before now, at which upstreams failed under the group."""
+"""Times, in seconds before now, at which upstreams failed during the group."""
 
 
 async def whole(seen: ReceivedRequest) -> None:
@@ -26,7 +26,7 @@
 
 
 def isolate(rig: Rig) -> None:
-    """Record failures under the group of three upstreams that no longer exist."""
+    """Record failures of three upstreams, which no longer exist, during the group."""
     now = rig.clock()
     for number, before in enumerate(FAILURE_TIMES):
         for group in groups_of("s", TEAM, rig.route.name, SUSPECT.encode(), ()):
--- a/tests/requests/test_limit.py
+++ b/tests/requests/test_limit.py
@@ -108,7 +108,7 @@
         upstreams = [ScriptedUpstream([serve]) for _ in range(2)]
         async with Rig(upstreams, RouteKind.STREAM, engine=True, backups=True) as rig:
             got = await rig.call("runs", headers="Token-Usage: 50,20\r\n")
-            unpermitted = rig.parts.gate.requests_without_permit
+            unpermitted = rig.components.gate.requests_without_permit
         sent = [seen for item in upstreams for seen in item.requests if seen.id == "runs"]
         self.assertEqual((False, 1, 1), (got.whole, len(sent), unpermitted))
 
--- a/tests/requests/test_logs.py
+++ b/tests/requests/test_logs.py
@@ -34,7 +34,7 @@
     async def test_a_refusal_logs_the_figures_that_decided_it(self) -> None:
         refused = NoChoice(Refusal.OVERLOAD, 1.2, 0.9, 0.4, 2_000.0, 3_000.0)
         async with Rig([ScriptedUpstream([whole])]) as rig:
-            rig.parts.fleet.choose = lambda *_: refused  # type: ignore[method-assign]
+            rig.components.fleet.choose = lambda *_: refused  # type: ignore[method-assign]
             got = await rig.call()
         self.assertEqual((503, "1.20"), (got.status, got.headers["retry-after"]))
         (line,) = logged(rig, "placement.none")
@@ -42,7 +42,7 @@
         expected = {"reason": "overload", "wait_ms": 900, "first_ms": 400, "usual_prompt": 2000}
         self.assertEqual(expected, figures)
         self.assertEqual((3000, "s"), (line["longest_prompt"], line["service"]))
-        text = rig.parts.metrics.text().decode()
+        text = rig.components.metrics.text().decode()
         self.assertIn('reason="overload",service="s",tier="2"} 1.0', text)
 
     async def test_an_interrupted_request_is_identified_when_it_arrives_again(self) -> None:
@@ -72,14 +72,14 @@
     async def test_an_upstream_at_which_a_fault_of_ours_shows_does_not_draw_all(self) -> None:
         upstreams = [ScriptedUpstream([whole]) for _ in range(3)]
         async with Rig(upstreams) as rig:
-            take = rig.parts.pool.acquire
+            take = rig.components.pool.acquire
 
             async def fail_at_one(upstream: Upstream) -> UpstreamConnection:
                 if upstream.id == "b0":
                     raise ZeroDivisionError
                 return await take(upstream)
 
-            rig.parts.pool.acquire = fail_at_one  # type: ignore[method-assign]
+            rig.components.pool.acquire = fail_at_one  # type: ignore[method-assign]
             statuses = [(await rig.call(f"r{n}")).status for n in range(30)]
         self.assertLessEqual(30 - statuses.count(200), 3)
 
@@ -88,7 +88,7 @@
             raise ZeroDivisionError
 
         async with Rig([ScriptedUpstream([whole])]) as rig:
-            rig.parts.fleet.choose = fail  # type: ignore[method-assign, assignment]
+            rig.components.fleet.choose = fail  # type: ignore[method-assign, assignment]
             got = await rig.call()
         self.assertEqual(503, got.status)
         (line,) = logged(rig, "request.fault")
--- a/tests/requests/test_moves.py
+++ b/tests/requests/test_moves.py
@@ -355,7 +355,7 @@
             calling = asyncio.create_task(site.call())
             while not site.source.calls:
                 await asyncio.sleep(0.001)
-            loads = [site.rig.parts.fleet.load(name) for name in ("b1", "b2")]
+            loads = [site.rig.components.fleet.load(name) for name in ("b1", "b2")]
             self.assertEqual(1, sum(len(load.running) for load in loads))
             await calling
             await site.wait_idle()
--- a/tests/requests/test_quarantine.py
+++ b/tests/requests/test_quarantine.py
@@ -81,9 +81,9 @@
     async def test_nothing_is_sent_though_the_configuration_is_known(self) -> None:
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
-            rig.knows_holds = False
+            rig.holds_are_known = False
             early = await rig.call("r1")
-            rig.knows_holds = True
+            rig.holds_are_known = True
             later = await rig.call("r2")
         self.assertEqual((503, 200, ["r2"]), (early.status, later.status, ids(upstream)))
 
@@ -91,10 +91,10 @@
         """Most clients return only once, and at a start all of them return within a second."""
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
-            rig.knows_holds = False
+            rig.holds_are_known = False
 
             def know() -> None:
-                rig.knows_holds = True
+                rig.holds_are_known = True
 
             asyncio.get_running_loop().call_later(0.1, know)
             early = await rig.call("r1")
@@ -219,12 +219,14 @@
             first, second = rig.view.all()
             other = asyncio.create_task(rig.call("other", body=COMMON))
             await began.wait()
-            busy = next(item for item in (first, second) if rig.parts.fleet.load(item.id).running)
-            rig.parts.upstreams.of = lambda service: [busy]  # type: ignore[method-assign]
+            busy = next(
+                item for item in (first, second) if rig.components.fleet.load(item.id).running
+            )
+            rig.components.upstreams.of = lambda service: [busy]  # type: ignore[method-assign]
             deadly = asyncio.create_task(rig.call("deadly", body=DEADLY))
             while not ended:
                 await asyncio.sleep(0.01)
-            rig.parts.upstreams.of = lambda service: [first, second]  # type: ignore[method-assign]
+            rig.components.upstreams.of = lambda service: [first, second]  # type: ignore[method-assign]
             got = await other
             await deadly
             rig.quarantine_gossip.send_due()
--- a/tests/requests/test_request_path.py
+++ b/tests/requests/test_request_path.py
@@ -313,7 +313,7 @@
             if not healthy:
                 for item in upstreams:
                     if item.address == seen.headers["kv-backup"]:
-                        load = rig.parts.fleet.load(f"b{upstreams.index(item)}")
+                        load = rig.components.fleet.load(f"b{upstreams.index(item)}")
                         load.failures.note(True, asyncio.get_running_loop().time())
             seen.reset()
 
@@ -400,7 +400,7 @@
             seen = upstream.requests[0]
             async with asyncio.timeout(2):
                 self.assertEqual(b"", await seen.reader.read())
-            self.assertEqual({}, rig.parts.fleet.load("b0").running)
+            self.assertEqual({}, rig.components.fleet.load("b0").running)
 
     async def test_when_time_is_up_the_answer_does_not_promise_that_nothing_ran(self) -> None:
         async with Rig([ScriptedUpstream([silent])], RouteKind.NON_IDEMPOTENT, timeout=0.2) as rig:
--- a/tests/requests/test_retry_budget.py
+++ b/tests/requests/test_retry_budget.py
@@ -56,7 +56,7 @@
     max_size=60,
 )
 JOIN_NOTICE_SECONDS = 4.0
-"""Seconds until all members know a new one (tests/membership/test_large_fleet.py)."""
+"""Seconds until a new member is known to all (tests/membership/test_large_fleet.py)."""
 
 
 class SharedBudget:
--- a/tests/requests/test_suspension.py
+++ b/tests/requests/test_suspension.py
@@ -46,10 +46,13 @@
 class TestSuspensionWatch(unittest.TestCase):
     def setUp(self) -> None:
         self.clocks = TwoClocks()
-        self.woke: list[float] = []
+        self.suspension_lengths: list[float] = []
         self.confirmed = False
         self.watch = SuspensionWatch(
-            self.clocks.clock, self.clocks.steady, self.woke.append, lambda _: self.confirmed
+            self.clocks.clock,
+            self.clocks.steady,
+            self.suspension_lengths.append,
+            lambda _: self.confirmed,
         )
 
     def test_each_suspension_is_noticed_once_with_its_length(self) -> None:
@@ -58,12 +61,12 @@
             self.clocks.suspend(seconds)
             self.watch.check()
             self.watch.check()
-        self.assertEqual(list(SECONDS), [round(item, 6) for item in self.woke])
+        self.assertEqual(list(SECONDS), [round(item, 6) for item in self.suspension_lengths])
 
     def test_a_host_that_was_idle_or_slow_was_not_suspended(self) -> None:
         self.clocks.run(60.0)
         self.watch.check()
-        self.assertEqual([], self.woke)
+        self.assertEqual([], self.suspension_lengths)
         self.assertTrue(self.watch.is_settled)
 
     def test_after_a_suspension_views_are_stale_until_confirmed_or_for_a_bounded_time(self) -> None:
@@ -128,7 +131,7 @@
         """An upstream may leave while the host is suspended between placement and sending."""
         upstreams = [ScriptedUpstream([whole]) for _ in range(2)]
         async with Rig(upstreams) as rig:
-            take = rig.parts.pool.acquire
+            take = rig.components.pool.acquire
             chosen: list[str] = []
 
             async def suspended_while_connecting(upstream):  # type: ignore[no-untyped-def]
@@ -139,7 +142,7 @@
                     rig.view.replace([i for i in rig.view.all() if i.id != upstream.id], 2)
                 return connection
 
-            rig.parts.pool.acquire = suspended_while_connecting  # type: ignore[method-assign]
+            rig.components.pool.acquire = suspended_while_connecting  # type: ignore[method-assign]
             got = await rig.call()
         left = upstreams[int(chosen[0][1:])]
         self.assertEqual((200, 0), (got.status, len(left.requests)))
@@ -147,14 +150,14 @@
     async def test_nothing_is_sent_beyond_the_deadline(self) -> None:
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
-            place = rig.parts.placer.place
+            place = rig.components.placer.place
 
             async def suspended_while_choosing(*arguments):  # type: ignore[no-untyped-def]
                 found = await place(*arguments)
                 rig.suspend(60.0)
                 return found
 
-            rig.parts.placer.place = suspended_while_choosing  # type: ignore[method-assign]
+            rig.components.placer.place = suspended_while_choosing  # type: ignore[method-assign]
             got = await rig.call()
         self.assertEqual((503, 0), (got.status, len(upstream.requests)))
 
@@ -167,4 +170,4 @@
             self.assertEqual(200, got.status)
             waited = [line for line in rig.lines if b"request.ended" in line]
         self.assertEqual(1, len(waited))
-        self.assertEqual([10.0], [round(item, 1) for item in rig.woke])
+        self.assertEqual([10.0], [round(item, 1) for item in rig.suspension_lengths])
--- a/tests/requests/test_tiers.py
+++ b/tests/requests/test_tiers.py
@@ -54,7 +54,7 @@
 UPSTREAMS = [Upstream(f"b{n}", "llm", f"10.0.0.{n}:80", "z", 48, False) for n in range(2)]
 OUTPUT = 200
 UPDATE_SECONDS = 0.05
-"""Seconds until all gateways know of a request; they publish updates every 0.01 s."""
+"""Seconds until a request is known to all gateways, which publish updates every 0.01 s."""
 
 
 def triage(own: int, tokens: int = 2_000) -> Need:
