--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -82,7 +82,8 @@
         if self._was_suspended():
             connection.close()
             return AttemptEnd(EndKind.NOT_SENT, "the host was suspended")
-        # The upstream may have announced that it takes no requests, without or after the placement.
+        # The placement may be older than the upstream's statement that it takes no requests, or
+        # have been made without it.
         if not self._components.gate.authorize_send(self._permit):
             connection.close()
             return AttemptEnd(EndKind.BARRED)
--- a/src/lotushill/requests/gateway_components.py
+++ b/src/lotushill/requests/gateway_components.py
@@ -58,4 +58,4 @@
     view_is_fresh: Callable[[], bool]
     """Returns whether the store or a peer has recently confirmed the views."""
     holds_are_known: Callable[[], bool]
-    """Returns whether the list of quarantined requests, which reach no upstream, is known."""
+    """Returns whether the list of held requests, which reach no upstream, is known."""
--- a/src/lotushill/requests/upstream_search.py
+++ b/src/lotushill/requests/upstream_search.py
@@ -97,7 +97,10 @@
         return wait
 
     def _without_permit(self) -> set[str]:
-        """Return the upstreams still without a permit, whether or not schedulers have a denial."""
+        """Return the deferred upstreams that still have no permit.
+
+        Schedulers may not have received the denials yet.
+        """
         route, denials = self._request.need.route, self._components.limits.denials
         now = self._clock()
         return {name for name in self._deferred if denials.is_barred(name, route, now)}
