--- a/scripts/break_rules.py
+++ b/scripts/break_rules.py
@@ -218,8 +218,8 @@
     Break(
         "gateway: a prompt is unread until its first event",
         "placement/prefill_queue.py",
-        "return min(float(tokens), max(0.0, now - self._current_since) * read_rate)",
-        "return max(0.0, now - self._current_since) * read_rate",
+        "return min(float(tokens), max(0.0, now - self._current_since) * prefill_rate)",
+        "return max(0.0, now - self._current_since) * prefill_rate",
         "tests.placement.test_upstream_load",
     ),
     Break(
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -111,7 +111,9 @@
             on_holds=lambda: self.quarantine.replace_stored(),
         )
         self.fleet = Fleet(
-            settings.hall, settings.recent_seconds, lambda hall: self.peers.is_cut_off(hall)
+            settings.hall,
+            settings.recent_seconds,
+            lambda hall: self.peers.is_hall_unreachable(hall),
         )
         self.peers = Peers(settings, self.log, rng, self._hooks())
         self.shared_load = SharedLoad(
@@ -411,7 +413,7 @@
 
     def _log_pace_changes(self) -> None:
         for item in self.fleet.engine_paces.take_changes():
-            steps, reading = round(item.step_slowness, 2), round(item.read_slowness, 2)
+            steps, reading = round(item.step_slowness, 2), round(item.prefill_slowness, 2)
             self.log.note("upstream.pace", upstream=item.upstream, steps=steps, reading=reading)
 
     def _on_tick(self) -> None:
@@ -428,7 +430,7 @@
             return True
         live_count = len(self.peers.membership.live())
         has_model = self.peers.model_sync.is_ready()
-        return self._startup_phase.knows_fleet(
+        return self._startup_phase.has_usable_model(
             live_count, self.registration.registered_count, has_model, now
         )
 
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -193,16 +193,18 @@
     add_gauge(
         "places_kept", "Callers that hold a promise and have not returned yet", lambda: len(returns)
     )
-    add_gauge("places_promised", "Promises made here since the start", lambda: returns.made)
+    add_gauge(
+        "places_promised", "Promises made here since the start", lambda: returns.promised_count
+    )
     add_gauge(
         "returns_placed",
         "Returned requests placed here as promised, since the start",
-        lambda: returns.kept,
+        lambda: returns.placed_count,
     )
     add_gauge(
         "returns_early",
         "Requests of returning callers before their retry time, since the start",
-        lambda: returns.early,
+        lambda: returns.early_count,
     )
     add_gauge(
         "moves_under_way",
@@ -268,7 +270,7 @@
             "resting": sorted(gateway.cooldowns.barred(clocks.now())),
             "limited": gateway.limits.stated.limited_rates(),
             "paces": {
-                item.upstream: [round(item.step_slowness, 2), round(item.read_slowness, 2)]
+                item.upstream: [round(item.step_slowness, 2), round(item.prefill_slowness, 2)]
                 for item in gateway.fleet.engine_paces.deviating_paces()
             },
         },
--- a/src/lotushill/links/pace_records.py
+++ b/src/lotushill/links/pace_records.py
@@ -28,7 +28,7 @@
 def pack_paces(paces: Sequence[LongTermPace]) -> bytes:
     """Return the records of the paces, up to the maximum of one page."""
     return b"".join(
-        _RECORD.pack(upstream_number(item.upstream), item.step_slowness, item.read_slowness)
+        _RECORD.pack(upstream_number(item.upstream), item.step_slowness, item.prefill_slowness)
         for item in paces[:MAX_PACES_PER_PAGE]
     )
 
--- a/src/lotushill/load/policy/replay.py
+++ b/src/lotushill/load/policy/replay.py
@@ -52,7 +52,7 @@
 from lotushill.waiting.admission_queue import AdmissionQueue
 from lotushill.waiting.entry import Queued
 from lotushill.waiting.entry import QueueEntry
-from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS as WAITING_NEWS_SECONDS
+from lotushill.waiting.slot_turns import QUEUE_UPDATE_INTERVAL_SECONDS as WAITING_NEWS_SECONDS
 from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
@@ -143,7 +143,7 @@
         """For how many reasons an engine is away now."""
         self._rest_asked = [0.0] * scenario.engines
         """Seconds of rest that an engine asks for while it turns all away, 0 while it does not."""
-        self._rests = [Cooldowns() for _ in range(scenario.schedulers)]
+        self._cooldowns = [Cooldowns() for _ in range(scenario.schedulers)]
         self._limits = StatedLimits()
         self._ranks = [
             PermitRanks(fleet, self._limits, lambda _: self.upstreams) for fleet in self.fleets
@@ -310,7 +310,7 @@
             self._at(self.now + WAITING_NEWS_SECONDS, lambda: self._tell_line(scheduler))
 
     def _choose(self, client: Client) -> Choice | NoChoice | Queued:
-        rests, denials = self._rests[client.scheduler], self._denials[client.scheduler]
+        rests, denials = self._cooldowns[client.scheduler], self._denials[client.scheduler]
         barred = BarredUpstreams(rests, denials)
         known = [item for n, item in enumerate(self.upstreams) if self._listed[n]]
         route = client.need.route
@@ -409,7 +409,7 @@
         client.number, client.choice = number, choice
         client.engine = int(choice.upstream.id[1:])
         client.sent_at = self.now
-        self._rests[client.scheduler].note_sent(choice.upstream.id, self.now)
+        self._cooldowns[client.scheduler].note_sent(choice.upstream.id, self.now)
         self._clients[number] = client
         told = placed_message(number, client.need, choice, True)
         self.fleets[client.scheduler].note_choice_used(client.need, self.now)
@@ -455,7 +455,7 @@
         name = self.upstreams[client.engine].id
         self._at(
             self.now + _WAY_SECONDS,
-            lambda: self._rests[client.scheduler].note_accepted(name, self.now),
+            lambda: self._cooldowns[client.scheduler].note_accepted(name, self.now),
         )
         client.run = run
         if client.need.first_event_timeout < client.kind.deadline:
@@ -490,7 +490,7 @@
         """Let an engine refuse a request and ask for rest."""
         self.turned_away += 1
         name, seconds = self.upstreams[client.engine].id, self._rest_asked[client.engine]
-        self._rests[client.scheduler].note_requested(name, seconds, self.now)
+        self._cooldowns[client.scheduler].note_requested(name, seconds, self.now)
         self._end_run(client, Outcome.FAILED)
         client.excluded |= {name}
         client.rejected += 1
@@ -552,7 +552,7 @@
             return
         fleet = self.fleets[client.scheduler]
         load, pace = fleet.load(self.upstreams[client.engine].id), fleet.pace("llm")
-        due = load.prefill_queue.remaining_tokens(pace.read_rate, self.now) / pace.read_rate
+        due = load.prefill_queue.remaining_tokens(pace.prefill_rate, self.now) / pace.prefill_rate
         if pause > 0.0:
             slowness = load.pace.step_slowness(self.now)
             ratio = pace.pauses.note(pause, client.due, len(load.running), slowness)
--- a/src/lotushill/moves/memory_copy.py
+++ b/src/lotushill/moves/memory_copy.py
@@ -25,7 +25,7 @@
     """The memory was copied to the other engine."""
 
     handle: str
-    made: int
+    events_produced: int
     """Number of events that the run had produced."""
 
 
--- a/src/lotushill/moves/move_plan.py
+++ b/src/lotushill/moves/move_plan.py
@@ -21,12 +21,12 @@
 
     from lotushill.routing.service import EngineProfile
 
-_CUT_LOSS = 0.9
+_INTERRUPTED_LOSS = 0.9
 """Fraction of its credit that a stream loses if it is cut off and cannot resume."""
 _RESUMED_LOSS = 0.5
 """Fraction that a stream loses if it is cut off and resumes elsewhere: a pause that is too long,
 and a second prefill of its prompt."""
-_COPIED_LOSS = 0.2
+_BACKED_UP_LOSS = 0.2
 """Fraction that a stream loses if a copy of its memory exists: tokens not yet copied are prefilled
 again, provided that the copy is still there."""
 _GAP_LOSS = 0.6
@@ -66,21 +66,21 @@
 
     tokens: int
     """Tokens in memory: those of the prompt and those generated."""
-    made: int
+    events_produced: int
     """Events produced so far."""
-    expected: float
+    expected_events: float
     """Events expected in total when the run ends."""
-    pause: float
+    mean_pause: float
     """Mean pause between the events of this run so far."""
-    usual_pause: float
+    typical_pause: float
     """Mean pause between the events of all streams of its service."""
     time_left: float
     """Time until its client or its route stops waiting."""
-    gap: float
+    target_gap: float
     """Longest pause that counts as in time, 0 if the route sets none."""
     repeatable: bool
     """Whether the run may resume elsewhere without its memory."""
-    copied: bool = False
+    has_backup: bool = False
     """Whether a backup copy of its memory is kept up to date at another upstream."""
     leaves_in: float | None = None
     """Time until its upstream shuts down, None if it does not leave.
@@ -105,16 +105,18 @@
 def plan_move(run: RunState, engine: EngineProfile) -> Move | None:
     """Return why and within which time to move a run, None if it is better not moved."""
     cause, time_limit = _most_urgent_cause(run)
-    move_seconds = copy_seconds(run.tokens, engine, near=False)
-    is_slow = run.pause >= _SLOW_RATIO * run.usual_pause
+    move_seconds = copy_seconds(run.tokens, engine, same_hall=False)
+    is_slow = run.mean_pause >= _SLOW_RATIO * run.typical_pause
     if move_seconds > time_limit or (cause is Cause.SLOW and not is_slow):
         return None
     events_left = _remaining_events(run)
     risk_here = (
-        1.0 if cause is Cause.STALLED else outlast_probability(events_left * run.pause, time_limit)
+        1.0
+        if cause is Cause.STALLED
+        else outlast_probability(events_left * run.mean_pause, time_limit)
     )
     risk_elsewhere = outlast_probability(
-        events_left * run.usual_pause + move_seconds, run.time_left
+        events_left * run.typical_pause + move_seconds, run.time_left
     )
     worth = (risk_here - risk_elsewhere) * _loss(run, cause) - _move_cost(run, move_seconds)
     return Move(cause, worth, time_limit) if worth > 0.0 else None
@@ -129,22 +131,26 @@
 
 def _loss(run: RunState, cause: Cause) -> float:
     """Return the loss of a run that is not moved and does not end in time."""
-    if cause is not Cause.SLOW and run.copied:
-        return _COPIED_LOSS
+    if cause is not Cause.SLOW and run.has_backup:
+        return _BACKED_UP_LOSS
     if cause is not Cause.SLOW and run.repeatable:
         return _RESUMED_LOSS
-    return _CUT_LOSS
+    return _INTERRUPTED_LOSS
 
 
 def _remaining_events(run: RunState) -> float:
-    return max(run.expected - run.made, _MIN_REMAINING_FRACTION * run.made, 1.0)
+    return max(
+        run.expected_events - run.events_produced,
+        _MIN_REMAINING_FRACTION * run.events_produced,
+        1.0,
+    )
 
 
 def _move_cost(run: RunState, move_seconds: float) -> float:
     """Return the cost of the move itself: the memory, and a pause that may be too long."""
     cost = _MOVE_OVERHEAD_LOSS + COPY_LOSS_PER_TOKEN * run.tokens
-    if run.gap > 0.0 and not run.stalled:
-        cost += _GAP_LOSS * exceed_probability(run.usual_pause + move_seconds, run.gap)
+    if run.target_gap > 0.0 and not run.stalled:
+        cost += _GAP_LOSS * exceed_probability(run.typical_pause + move_seconds, run.target_gap)
     return cost
 
 
@@ -160,11 +166,11 @@
     return 1.0 / (1.0 + math.pow(seconds_left / expected_seconds, _LENGTH_STEEPNESS))
 
 
-def copy_seconds(tokens: int, engine: EngineProfile, near: bool) -> float:
+def copy_seconds(tokens: int, engine: EngineProfile, same_hall: bool) -> float:
     """Return the seconds that a move of so many tokens takes; `near` means within one hall."""
     if engine.link_rate <= 0.0:
         return math.inf
-    factor = 1.0 if near else _OTHER_HALL_FACTOR
+    factor = 1.0 if same_hall else _OTHER_HALL_FACTOR
     return _CALL_OVERHEAD_SECONDS + factor * tokens * engine.token_bytes / engine.link_rate
 
 
--- a/src/lotushill/moves/stalls.py
+++ b/src/lotushill/moves/stalls.py
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self._long_pauses: dict[str, float] = {}
-        self._usual_pauses: dict[str, float] = {}
+        self._typical_pauses: dict[str, float] = {}
         self._pause_counts: Counter[str] = Counter()
 
     def note(self, service: str, pause: float) -> None:
@@ -46,15 +46,15 @@
         if not 0.0 < pause < math.inf:
             return
         long = self._long_pauses.get(service, _INITIAL_LONG_PAUSE_SECONDS)
-        usual = self._usual_pauses.get(service, pause)
-        self._usual_pauses[service] = usual + _MEAN_WEIGHT * (min(long, pause) - usual)
+        typical = self._typical_pauses.get(service, pause)
+        self._typical_pauses[service] = typical + _MEAN_WEIGHT * (min(long, pause) - typical)
         self._pause_counts[service] += 1
         step = _STEP_FRACTION * (_QUANTILE if pause > long else _QUANTILE - 1.0)
         self._long_pauses[service] = max(_MIN_LONG_PAUSE_SECONDS, long * math.exp(step))
 
-    def usual_pause(self, service: str) -> float | None:
+    def typical_pause(self, service: str) -> float | None:
         """Return the mean pause in seconds with long ones capped, None before the first one."""
-        return self._usual_pauses.get(service)
+        return self._typical_pauses.get(service)
 
     def long_pause(self, service: str) -> float:
         """Return the pause that one event in a hundred exceeds, in seconds."""
@@ -64,9 +64,9 @@
         """Return the long pause of each service, in milliseconds."""
         return {service: round(1000 * long, 1) for service, long in self._long_pauses.items()}
 
-    def threshold(self, service: str, gap: float) -> float:
+    def threshold(self, service: str, target_gap: float) -> float:
         """Return the seconds after which a stream counts as stalled; `gap` is the pause in time."""
-        return min(max_threshold(gap), self._service_threshold(service))
+        return min(max_threshold(target_gap), self._service_threshold(service))
 
     def threshold_if_known(self, service: str) -> float | None:
         """Return the threshold if no pause counts as in time, None until enough were observed."""
@@ -78,6 +78,6 @@
         return max(MIN_THRESHOLD_SECONDS, _LONG_PAUSE_FACTOR * self.long_pause(service))
 
 
-def max_threshold(gap: float) -> float:
+def max_threshold(target_gap: float) -> float:
     """Return the longest pause, in seconds, to wait for any stream that can resume elsewhere."""
-    return max(_MAX_THRESHOLD_WITHOUT_GAP_SECONDS, _MAX_GAP_FACTOR * gap)
+    return max(_MAX_THRESHOLD_WITHOUT_GAP_SECONDS, _MAX_GAP_FACTOR * target_gap)
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -198,7 +198,7 @@
         """Return the number of known gateways, including lost ones."""
         return self.membership.count
 
-    def is_cut_off(self, hall: str) -> bool:
+    def is_hall_unreachable(self, hall: str) -> bool:
         """Return whether gateways of a hall are known but none of them is reachable."""
         if self.membership.version != self._unreachable_version:
             self._unreachable_version = self.membership.version
--- a/src/lotushill/placement/backup.py
+++ b/src/lotushill/placement/backup.py
@@ -33,12 +33,12 @@
 """Failure rate above which an upstream is not used to hold copies."""
 
 
-def is_worth_copying(need: Need, seconds: float, cut_rate: float) -> bool:
+def is_worth_copying(need: Need, seconds: float, interruption_rate: float) -> bool:
     """Return whether the expected loss of a run exceeds the cost of copying its memory.
 
     `seconds` is the predicted duration of the run.
     """
-    loss_probability = -math.expm1(-cut_rate * seconds)
+    loss_probability = -math.expm1(-interruption_rate * seconds)
     return loss_probability * _LOST_STREAM_LOSS > COPY_LOSS_PER_TOKEN * (
         need.prompt_tokens + need.output_tokens
     )
--- a/src/lotushill/placement/engine_pace.py
+++ b/src/lotushill/placement/engine_pace.py
@@ -88,7 +88,7 @@
 
     upstream: str
     step_slowness: float
-    read_slowness: float
+    prefill_slowness: float
 
 
 class EnginePace:
@@ -99,7 +99,7 @@
         self.prefill_times = RecentMedian()
         self.long_term_step_slowness = 1.0
         """Step slowness relative to the other engines; 1 until a difference is established."""
-        self.long_term_read_slowness = 1.0
+        self.long_term_prefill_slowness = 1.0
         """Prefill slowness relative to the other engines, in addition to the step slowness."""
         self.is_known = False
         """Whether anything is known about this engine."""
@@ -116,9 +116,9 @@
             return self.long_term_step_slowness
         return self.long_term_step_slowness * self._decayed_short_term(now)
 
-    def read_slowness(self, now: float) -> float:
+    def prefill_slowness(self, now: float) -> float:
         """Return how many times slower than the other engines it processes prompts."""
-        return self.step_slowness(now) * self.long_term_read_slowness
+        return self.step_slowness(now) * self.long_term_prefill_slowness
 
     def note_pause_ratio(self, ratio: float, now: float) -> None:
         """Update the short-term pace from one pause between events.
@@ -154,13 +154,13 @@
         self.is_plain = True
         self.note_prefill_time(seconds, now)
 
-    def set_long_term(self, steps: float, reading: float) -> None:
+    def set_long_term(self, step_slowness: float, prefill_slowness: float) -> None:
         """Set the long-term pace and preserve the current overall step slowness."""
         self._short_term = max(
-            _MIN_SHORT_TERM_RATIO, self._short_term * self.long_term_step_slowness / steps
+            _MIN_SHORT_TERM_RATIO, self._short_term * self.long_term_step_slowness / step_slowness
         )
-        self.long_term_step_slowness = steps
-        self.long_term_read_slowness = reading
+        self.long_term_step_slowness = step_slowness
+        self.long_term_prefill_slowness = prefill_slowness
 
     def reset_stale(self, now: float) -> None:
         """Reset the long-term pace if there were no samples for a long time."""
@@ -172,11 +172,11 @@
             self.prefill_times = RecentMedian()
             self.set_long_term(1.0, 1.0)
 
-    def adopt_reported(self, step_slowness: float, read_slowness: float) -> None:
+    def adopt_reported(self, step_slowness: float, prefill_slowness: float) -> None:
         """Adopt the pace reported by another gateway until own samples contradict it."""
         if not self.is_known:
             self.is_known = True
-            self.set_long_term(step_slowness, read_slowness)
+            self.set_long_term(step_slowness, prefill_slowness)
 
     def _update_short_term(self, ratio: float, weight: float, now: float) -> None:
         current = self._decayed_short_term(now)
@@ -215,7 +215,7 @@
     def known_paces(self) -> list[LongTermPace]:
         """Return the paces of the upstreams of which something is known."""
         return [
-            LongTermPace(upstream, pace.long_term_step_slowness, pace.long_term_read_slowness)
+            LongTermPace(upstream, pace.long_term_step_slowness, pace.long_term_prefill_slowness)
             for upstream, pace in self._paces.items()
             if pace.is_known
         ]
@@ -225,13 +225,13 @@
         return [
             item
             for item in self.known_paces()
-            if (item.step_slowness, item.read_slowness) != (1.0, 1.0)
+            if (item.step_slowness, item.prefill_slowness) != (1.0, 1.0)
         ]
 
     def adopt_reported(self, reported: LongTermPace, pace: EnginePace) -> None:
         """Adopt the pace reported by another gateway for an engine that is unknown here."""
         self.add(reported.upstream, pace)
-        pace.adopt_reported(reported.step_slowness, reported.read_slowness)
+        pace.adopt_reported(reported.step_slowness, reported.prefill_slowness)
         self.has_deviating = self.has_deviating or _long_term_pair(pace) != (1.0, 1.0)
 
     def take_changes(self) -> list[LongTermPace]:
@@ -258,18 +258,21 @@
             for upstream, pace in self._paces.items()
         }
         self.has_deviating = any(pair != (1.0, 1.0) for pair in new_pairs.values())
-        for upstream, (step_slowness, read_slowness) in new_pairs.items():
-            if (step_slowness, read_slowness) != _long_term_pair(self._paces[upstream]):
-                self._paces[upstream].set_long_term(step_slowness, read_slowness)
-            if (step_slowness, read_slowness) != former_pairs[upstream]:
+        for upstream, (step_slowness, prefill_slowness) in new_pairs.items():
+            if (step_slowness, prefill_slowness) != _long_term_pair(self._paces[upstream]):
+                self._paces[upstream].set_long_term(step_slowness, prefill_slowness)
+            if (step_slowness, prefill_slowness) != former_pairs[upstream]:
                 self.change_count += 1
-                self._changed[upstream] = LongTermPace(upstream, step_slowness, read_slowness)
+                self._changed[upstream] = LongTermPace(upstream, step_slowness, prefill_slowness)
 
     def _long_term_slowness(
         self, pace: EnginePace, reference_step: float, reference_prefill: float
     ) -> tuple[float, float]:
         """Return the long-term step slowness of one engine and its additional prefill slowness."""
-        step_slowness, read_slowness = pace.long_term_step_slowness, pace.long_term_read_slowness
+        step_slowness, prefill_slowness = (
+            pace.long_term_step_slowness,
+            pace.long_term_prefill_slowness,
+        )
         if reference_step and pace.step_pauses.has_slots(_MIN_STEP_SLOTS):
             step_slowness = _updated_ratio(
                 step_slowness, pace.step_pauses.median / reference_step, _MIN_STEP_RATIO
@@ -278,12 +281,12 @@
         if reference_prefill and pace.prefill_times.has_slots(slots):
             ratio = pace.prefill_times.median / reference_prefill / step_slowness
             min_ratio = _MIN_ANSWER_RATIO if pace.is_plain else _MIN_PREFILL_RATIO
-            read_slowness = _updated_ratio(read_slowness, ratio, min_ratio)
-        return step_slowness, read_slowness
+            prefill_slowness = _updated_ratio(prefill_slowness, ratio, min_ratio)
+        return step_slowness, prefill_slowness
 
 
 def _long_term_pair(pace: EnginePace) -> tuple[float, float]:
-    return pace.long_term_step_slowness, pace.long_term_read_slowness
+    return pace.long_term_step_slowness, pace.long_term_prefill_slowness
 
 
 def _reference_time(times: list[RecentMedian], slots: int) -> float:
--- a/src/lotushill/placement/fetch.py
+++ b/src/lotushill/placement/fetch.py
@@ -59,7 +59,7 @@
         self._source = sources[0] if sources else None
         self._sources_by_hall = {item.hall: item for item in reversed(sources)}
 
-    def plan(self, target: Upstream, own_tokens: int, read_rate: float) -> Fetch | None:
+    def plan(self, target: Upstream, own_tokens: int, prefill_rate: float) -> Fetch | None:
         """Return the copy that saves `target` the most tokens, None if no copy is worthwhile.
 
         The target itself caches `own_tokens`. `read_rate` is in tokens per second.
@@ -69,7 +69,7 @@
         if source is None or not self._engine.link_rate or tokens < _MIN_TOKENS:
             return None
         seconds = self._copy_seconds(tokens, source.hall == target.hall)
-        if seconds > _MAX_TIME_FRACTION * tokens / read_rate:
+        if seconds > _MAX_TIME_FRACTION * tokens / prefill_rate:
             return None
         return Fetch(source, tokens, seconds)
 
--- a/src/lotushill/placement/fleet.py
+++ b/src/lotushill/placement/fleet.py
@@ -84,7 +84,7 @@
         self,
         hall: str,
         recent_seconds: float = 10.0,
-        is_cut_off: Callable[[str], bool] = lambda _: False,
+        is_hall_unreachable: Callable[[str], bool] = lambda _: False,
     ) -> None:
         """Create a model for a gateway in `hall`.
 
@@ -92,7 +92,7 @@
         seems unreachable.
         """
         self._hall = hall
-        self._is_cut_off = is_cut_off
+        self._is_hall_unreachable = is_hall_unreachable
         self.recent = RecentParts(recent_seconds)
         self.shedding = Shedding()
         self.shares = TeamShares()
@@ -117,7 +117,7 @@
 
     def note_arrival(self, need: Need, now: float) -> None:
         """Record the arrival of a request; not called again when its placement is retried."""
-        self.shedding.usual.note_size(need.route, need.size)
+        self.shedding.typical_requests.note_size(need.route, need.size)
         self.shares.note_arrival(need, now)
 
     def adopt_reported_pace(self, reported: LongTermPace, service: str) -> None:
@@ -162,7 +162,7 @@
         learn_pause(paced.pause, self._loads[location.upstream], baseline, now)
         self.engine_paces.for_service(location.service.name).update_long_term(now)
 
-    def end(self, ended: Ended, now: float, near: bool = True) -> None:
+    def end(self, ended: Ended, now: float, same_hall: bool = True) -> None:
         """Remove a request and update the estimates from its outcome.
 
         `near` tells that a gateway of the own hall reported it. A failure reported from another
@@ -176,7 +176,7 @@
         self.shares.note_end(ended.request, now, ended.outcome is not Outcome.NOT_SENT)
         if ended.outcome is Outcome.UNKNOWN:
             return
-        weight = 1.0 if near else _OTHER_HALL_WEIGHT
+        weight = 1.0 if same_hall else _OTHER_HALL_WEIGHT
         if ended.outcome is Outcome.NOT_SENT:
             load.failures.note(True, now, _NOT_SENT_WEIGHT * weight)
             return
@@ -213,7 +213,7 @@
         upstreams: Iterable[Upstream],
         excluded: frozenset[str],
         now: float,
-        closed: frozenset[str] = frozenset(),
+        closed_engines: frozenset[str] = frozenset(),
     ) -> Choice | NoChoice:
         """Return the upstream with the lowest cost for a request, or the reason why there is none.
 
@@ -232,12 +232,12 @@
             return self._with_team_usage(
                 self.shedding.refuse_for_others(need, withheld, now), need, now
             )
-        with_room = [item for item in reachable or candidates if item.id not in closed]
+        with_room = [item for item in reachable or candidates if item.id not in closed_engines]
         if not with_room:
             return self.shedding.refuse_without_room(need)
         weighed = shortlist(need, with_room)
         unreachable_halls = frozenset(
-            hall for hall in {item.hall for item in weighed} if self._is_cut_off(hall)
+            hall for hall in {item.hall for item in weighed} if self._is_hall_unreachable(hall)
         )
         weigher = self._weigher(need, service, reachable, by_id, unreachable_halls, now)
         choices = [
@@ -256,7 +256,7 @@
         best = min(with_free_slot or choices, key=lambda choice: choice.cost)
         if best.first_event_seconds > need.first_event_timeout:
             best = min(choices, key=lambda choice: choice.first_event_seconds)
-        returned = self.shedding.returns.has_place(need.caller, now)
+        returned = self.shedding.returns.has_due_promise(need.caller, now)
         return replace(best, returned=True) if returned else best
 
     def note_choice_used(self, need: Need, now: float) -> None:
@@ -292,13 +292,15 @@
         need: Need,
         engine: EngineProfile,
         upstreams: Sequence[Upstream],
-        most: float | None = None,
+        max_reserved_fraction: float | None = None,
     ) -> bool:
         """Return whether the free slots do not exceed those reserved for more urgent requests."""
         loads = [self.load(item.id) for item in upstreams]
         used_slots = sum(len(load.running) for load in loads)
         urgent_slots = sum(load.count_more_urgent(need.tier) for load in loads)
-        return only_reserved_left(used_slots, urgent_slots, len(loads) * engine.slots, most)
+        return only_reserved_left(
+            used_slots, urgent_slots, len(loads) * engine.slots, max_reserved_fraction
+        )
 
     def _has_to_yield(
         self, need: Need, service: Service, choices: Sequence[Choice], now: float
@@ -326,7 +328,9 @@
         engine = service.engine
         if engine is None or not engine.can_back_up_memory:
             return None
-        if not is_worth_copying(need, choice.answer_seconds, self.pace(need.service).cuts.rate):
+        if not is_worth_copying(
+            need, choice.answer_seconds, self.pace(need.service).interruptions.rate
+        ):
             return None
         return backup_target(choice.upstream, need, engine, upstreams, self._loads, now)
 
@@ -346,8 +350,9 @@
             return PlainWeigher(need, pace, location, has_deviating, now)
         chain = tuple(chain_parts(need.parts))
         typical = TypicalRequest(
-            self.shedding.usual.reading(need.service, need.route) or need.prompt_tokens,
-            self.shedding.usual.weight(need.route, need.size),
+            self.shedding.typical_requests.prefill_tokens(need.service, need.route)
+            or need.prompt_tokens,
+            self.shedding.typical_requests.weight(need.route, need.size),
             self.shedding.is_long(need),
         )
         planner = self._planner(chain, service.engine, sources, by_id, unreachable_halls, now)
--- a/src/lotushill/placement/learning.py
+++ b/src/lotushill/placement/learning.py
@@ -34,7 +34,7 @@
         load.note_pace(seconds / placed.first_event_seconds, now)
     if service.engine is None:
         load.pace.note_answer(seconds, now)
-        pace.note_answer(seconds / load.pace.long_term_read_slowness)
+        pace.note_answer(seconds / load.pace.long_term_prefill_slowness)
         return
     # Only a prompt without any concurrent one is a sample for the long-term pace.
     without_others = (
@@ -43,7 +43,7 @@
     token_seconds = seconds_per_token(placed.total_prefill_tokens, seconds)
     if without_others and token_seconds is not None:
         load.pace.note_prefill_time(token_seconds, now)
-    pace.note_first_event(placed.total_prefill_tokens, seconds / load.pace.read_slowness(now))
+    pace.note_first_event(placed.total_prefill_tokens, seconds / load.pace.prefill_slowness(now))
 
 
 def learn_pause(pause: float, load: UpstreamLoad, baseline: BaselinePause, now: float) -> None:
--- a/src/lotushill/placement/pace.py
+++ b/src/lotushill/placement/pace.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from lotushill.placement.cut_rate import CutRate
+from lotushill.placement.interruption_rate import InterruptionRate
 from lotushill.placement.messages import Outcome
 from lotushill.placement.pauses import Pauses
 
-_INITIAL_READ_RATE = 40_000.0
+_INITIAL_PREFILL_RATE = 40_000.0
 _INITIAL_ANSWER_SECONDS = 0.1
 _FAST_ANSWER_WEIGHT = 0.08
 _SLOW_ANSWER_WEIGHT = 0.02
@@ -22,8 +22,8 @@
 _OVERHEAD_SECONDS = 0.012
 _LONG_PREFILL_RISE_WEIGHT = 0.5
 _LONG_PREFILL_FALL_WEIGHT = 0.01
-_MIN_READ_RATE = 2_000.0
-_MAX_READ_RATE = 2_000_000.0
+_MIN_PREFILL_RATE = 2_000.0
+_MAX_PREFILL_RATE = 2_000_000.0
 
 
 def seconds_per_token(tokens: float, seconds: float) -> float | None:
@@ -40,11 +40,11 @@
     """Moving averages for one service."""
 
     def __init__(self) -> None:
-        self.read_rate = _INITIAL_READ_RATE
+        self.prefill_rate = _INITIAL_PREFILL_RATE
         """Prompt tokens that one engine processes per second."""
         self.pauses = Pauses()
         """Pauses between the events of a stream."""
-        self.cuts = CutRate()
+        self.interruptions = InterruptionRate()
         """Rate of streams whose upstream was lost."""
         self.answer_seconds = _INITIAL_ANSWER_SECONDS
         """Seconds that a plain request takes, without waiting."""
@@ -58,7 +58,7 @@
         """Update the averages from the end of a stream that ran for `seconds`."""
         if outcome is Outcome.WHOLE:
             self.stream_seconds += _RATE_WEIGHT * (seconds - self.stream_seconds)
-        self.cuts.note(seconds, outcome is Outcome.CUT, now)
+        self.interruptions.note(seconds, outcome is Outcome.CUT, now)
 
     def note_first_event(self, tokens: float, seconds: float) -> None:
         """Update the prefill rate from a stream's first event.
@@ -68,11 +68,13 @@
         if tokens < _MIN_RATE_TOKENS:
             return
         prefill_seconds = max(0.001, seconds - _OVERHEAD_SECONDS)
-        rate = min(_MAX_READ_RATE, max(_MIN_READ_RATE, tokens / prefill_seconds))
+        rate = min(_MAX_PREFILL_RATE, max(_MIN_PREFILL_RATE, tokens / prefill_seconds))
         # A rate far from the average belongs to a request that waited behind, or overtook, requests
         # that the model does not cover.
-        rate = min(_MAX_RATE_FACTOR * self.read_rate, max(self.read_rate / _MAX_RATE_FACTOR, rate))
-        self.read_rate += _RATE_WEIGHT * (rate - self.read_rate)
+        rate = min(
+            _MAX_RATE_FACTOR * self.prefill_rate, max(self.prefill_rate / _MAX_RATE_FACTOR, rate)
+        )
+        self.prefill_rate += _RATE_WEIGHT * (rate - self.prefill_rate)
 
     def note_answer(self, seconds: float) -> None:
         """Update the average from a plain answer."""
@@ -81,7 +83,7 @@
 
     def note_prefill(self, tokens: int) -> None:
         """Update the level of long prompts in the current mix; it rises fast and falls slowly."""
-        seconds = tokens / self.read_rate
+        seconds = tokens / self.prefill_rate
         weight = (
             _LONG_PREFILL_RISE_WEIGHT
             if seconds > self.long_prefill_seconds
--- a/src/lotushill/placement/precedence.py
+++ b/src/lotushill/placement/precedence.py
@@ -11,7 +11,7 @@
 
     tier: int
     """Tier; 0 is the most urgent."""
-    newcomer: bool = True
+    is_new: bool = True
     """False for the request of a caller that was refused and returned after its Retry-After time.
     """
     standing: float = 0.0
--- a/src/lotushill/placement/prefill_queue.py
+++ b/src/lotushill/placement/prefill_queue.py
@@ -48,16 +48,16 @@
         if request == self._current:
             self._start_next(now)
 
-    def remaining_tokens(self, read_rate: float, now: float) -> float:
+    def remaining_tokens(self, prefill_rate: float, now: float) -> float:
         """Return the tokens still to be processed, less those processed of the current prompt."""
-        return sum(self._totals.values()) - self._processed_tokens(read_rate, now)
+        return sum(self._totals.values()) - self._processed_tokens(prefill_rate, now)
 
-    def tokens_ahead(self, tier: int, read_rate: float, now: float) -> float:
+    def tokens_ahead(self, tier: int, prefill_rate: float, now: float) -> float:
         """Return the tokens that are processed before a new prompt of a tier."""
         total = sum(tokens for other, tokens in self._totals.items() if other <= tier)
         if self._current is not None and self._prompts[self._current].tier > tier:
             total += self._prompts[self._current].tokens
-        return total - self._processed_tokens(read_rate, now)
+        return total - self._processed_tokens(prefill_rate, now)
 
     @property
     def is_busy(self) -> bool:
@@ -75,11 +75,11 @@
         self._totals[prompt.tier] -= prompt.tokens
         return True
 
-    def _processed_tokens(self, read_rate: float, now: float) -> float:
+    def _processed_tokens(self, prefill_rate: float, now: float) -> float:
         if self._current is None:
             return 0.0
         tokens = self._prompts[self._current].tokens
-        return min(float(tokens), max(0.0, now - self._current_since) * read_rate)
+        return min(float(tokens), max(0.0, now - self._current_since) * prefill_rate)
 
     def _start_next(self, now: float) -> None:
         """Start the most urgent prompt, and among these the oldest."""
--- a/src/lotushill/placement/reserve.py
+++ b/src/lotushill/placement/reserve.py
@@ -17,7 +17,7 @@
 
 
 def only_reserved_left(
-    used_slots: int, urgent_slots: int, slots: int, most: float | None = None
+    used_slots: int, urgent_slots: int, slots: int, max_reserved_fraction: float | None = None
 ) -> bool:
     """Return whether the remaining slots are reserved for more urgent requests than a long one.
 
@@ -27,7 +27,7 @@
     are packed, and direct the requests of all schedulers to the few that are left.
     """
     fraction = min(
-        _MAX_RESERVED_FRACTION if most is None else most,
+        _MAX_RESERVED_FRACTION if max_reserved_fraction is None else max_reserved_fraction,
         _RESERVE_FACTOR * urgent_slots / max(1, slots),
     )
     return used_slots >= (1.0 - fraction) * slots
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -12,7 +12,7 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.recent_starts import RecentStarts
-from lotushill.placement.usual_request import TypicalRequests
+from lotushill.placement.typical_requests import TypicalRequests
 from lotushill.returns.promise import Requester
 from lotushill.returns.promises import ReturnPromises
 
@@ -42,13 +42,15 @@
     """Refuses the least urgent and longest requests first."""
 
     def __init__(self) -> None:
-        self.usual = TypicalRequests()
+        self.typical_requests = TypicalRequests()
         self.starts = RecentStarts()
         self.returns = ReturnPromises()
 
     def note(self, placed: Placed, service: str, now: float) -> None:
         """Record a request that any gateway has sent to an upstream."""
-        self.usual.note_prompt(service, placed.route, placed.prompt, placed.prefill_tokens)
+        self.typical_requests.note_prompt(
+            service, placed.route, placed.prompt, placed.prefill_tokens
+        )
         self.starts.note(service, placed.tier, placed.prompt, now - placed.age)
         self.returns.start_rate.note(service, placed.tier, now - placed.age)
 
@@ -68,15 +70,21 @@
         `prompt_tokens` stands for its typical prompt until any gateway has sent a request of the
         route.
         """
-        typical = self.usual.prompt_tokens(service, route) or prompt_tokens
-        return 0.0 < _LONG_ROUTE_FRACTION * self.usual.longest_prompt_tokens(service) < typical
+        typical = self.typical_requests.prompt_tokens(service, route) or prompt_tokens
+        return (
+            0.0
+            < _LONG_ROUTE_FRACTION * self.typical_requests.longest_prompt_tokens(service)
+            < typical
+        )
 
     def must_serve(self, need: Need, now: float) -> bool:
         """Return whether a refusal would disadvantage a request against less urgent, larger ones.
 
         While such requests start anywhere in the fleet, they have to be refused before it.
         """
-        typical = self.usual.prompt_tokens(need.service, need.route) or need.prompt_tokens
+        typical = (
+            self.typical_requests.prompt_tokens(need.service, need.route) or need.prompt_tokens
+        )
         size = min(float(need.prompt_tokens), typical)
         return self.starts.largest_less_urgent(need.service, need.tier, now) > _LARGER_FACTOR * size
 
@@ -137,7 +145,7 @@
             return self._refusal(
                 need, Refusal.EARLY, early_seconds, wait_seconds, first_event_seconds
             )
-        if self.returns.has_place(need.caller, now):
+        if self.returns.has_due_promise(need.caller, now):
             refusal = Refusal.RETURNED
         return self._refusal(
             need, refusal, self._retry_after(need, now, final), wait_seconds, first_event_seconds
@@ -177,8 +185,8 @@
             retry_after,
             wait_seconds,
             first_event_seconds,
-            self.usual.prompt_tokens(need.service, need.route),
-            self.usual.longest_prompt_tokens(need.service),
+            self.typical_requests.prompt_tokens(need.service, need.route),
+            self.typical_requests.longest_prompt_tokens(need.service),
         )
 
 
--- a/src/lotushill/placement/usual_request.py
+++ b/src/lotushill/placement/typical_requests.py
@@ -60,7 +60,7 @@
             _MAX_REQUEST_WEIGHT, _CONSTANT_FRACTION + (1.0 - _CONSTANT_FRACTION) * size / typical
         )
 
-    def reading(self, service: str, route: str) -> float:
+    def prefill_tokens(self, service: str, route: str) -> float:
         """Return the typical prefill tokens of a route's requests, 0 before the first request."""
         return self._prefills[service][route_number(route)].value
 
--- a/src/lotushill/placement/weigher.py
+++ b/src/lotushill/placement/weigher.py
@@ -98,7 +98,9 @@
         """Return the choice of one upstream; its rank is not used."""
         del rank
         expected_seconds = (
-            self._pace.answer_seconds * load.pace.long_term_read_slowness * load.slowness(self._now)
+            self._pace.answer_seconds
+            * load.pace.long_term_prefill_slowness
+            * load.slowness(self._now)
         )
         load_ratio = (len(load.running) + 1) / upstream.slots
         first_event_seconds = expected_seconds * max(1.0, load_ratio)
@@ -135,7 +137,7 @@
 
     pauses: UpstreamPauses
     """Pauses between the events of its streams."""
-    read_rate: float
+    prefill_rate: float
     """Prompt tokens that it processes per second."""
     queued_seconds: float
     """Time to process the prompts that are already queued."""
@@ -158,7 +160,7 @@
     @property
     def prefill_seconds(self) -> float:
         """Return the time to process the request's own prompt."""
-        return self.prefill_tokens / self.read_rate
+        return self.prefill_tokens / self.prefill_rate
 
 
 class EngineWeigher:
@@ -242,7 +244,7 @@
     def _forecast(self, upstream: Upstream, load: UpstreamLoad) -> _Forecast:
         need, pace, slots = self._need, self._pace, self._engine.slots
         slowness = load.pace.step_slowness(self._now)
-        rate = pace.read_rate / (slowness * load.pace.long_term_read_slowness)
+        rate = pace.prefill_rate / (slowness * load.pace.long_term_prefill_slowness)
         tokens_ahead = load.prefill_queue.tokens_ahead(need.tier, rate, self._now)
         cached_tokens = load.prefix_cache.matched_chain_tokens(self._chain)
         fetch = self._planner.plan(upstream, cached_tokens, rate) if self._planner else None
@@ -260,7 +262,7 @@
         slot_wait_seconds = max(0, excess_requests) * load.mean_expected_seconds / slots
         return _Forecast(
             pauses=pauses,
-            read_rate=rate,
+            prefill_rate=rate,
             queued_seconds=load.prefill_queue.remaining_tokens(rate, self._now) / rate,
             tokens_ahead=tokens_ahead,
             wait_seconds=wait_seconds,
@@ -284,7 +286,7 @@
     def _typical_request_cost(self, load: UpstreamLoad, forecast: _Forecast, rank: float) -> float:
         if not self._typical.is_long_route:
             return 0.0
-        prefill_seconds = self._typical.prefill_tokens / forecast.read_rate
+        prefill_seconds = self._typical.prefill_tokens / forecast.prefill_rate
         late = _late_loss(
             forecast.wait_seconds + forecast.slot_wait_seconds + prefill_seconds, self._need.target
         )
--- a/src/lotushill/requests/attempt_pauses.py
+++ b/src/lotushill/requests/attempt_pauses.py
@@ -59,5 +59,5 @@
     def _due_prefill(self, now: float) -> float:
         """Return the seconds that the upstream needs for all prefills that are due there."""
         load = self._components.fleet.load(self._upstream.id)
-        rate = self._components.fleet.pace(self._service).read_rate
+        rate = self._components.fleet.pace(self._service).prefill_rate
         return load.prefill_queue.remaining_tokens(rate, now) / rate
--- a/src/lotushill/requests/movable_run.py
+++ b/src/lotushill/requests/movable_run.py
@@ -103,24 +103,24 @@
         return max(1, engine.tokens_per_event) if engine else 1
 
     def state(
-        self, now: float, usual_pause: float | None, leaves_in: float | None, stalled: bool
+        self, now: float, typical_pause: float | None, leaves_in: float | None, stalled: bool
     ) -> RunState:
         """Return the state by which it is decided whether the run is moved."""
         request = self.request
         events = self._splitter.event_count - self._first_events
-        pause = usual_pause
+        pause = typical_pause
         if events >= _MIN_EVENTS_FOR_PACE or pause is None:
             pause = (self._last_at - self._first_at) / max(1, events)
         return RunState(
             tokens=self.tokens,
-            made=self._splitter.event_count,
-            expected=request.need.output_tokens / self._tokens_per_event,
-            pause=pause,
-            usual_pause=pause if usual_pause is None else usual_pause,
+            events_produced=self._splitter.event_count,
+            expected_events=request.need.output_tokens / self._tokens_per_event,
+            mean_pause=pause,
+            typical_pause=pause if typical_pause is None else typical_pause,
             time_left=request.ends - now,
-            gap=request.need.target_gap,
+            target_gap=request.need.target_gap,
             repeatable=request.route.repeatable,
-            copied=self._has_backup,
+            has_backup=self._has_backup,
             leaves_in=leaves_in,
             stalled=stalled,
         )
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -173,7 +173,7 @@
         service = run.request.service.name
         stall_threshold = self.stalls.threshold(service, run.request.need.target_gap)
         stalled = now >= self._unblocked_at and run.is_stalled(now, stall_threshold)
-        usual_pause = self.stalls.usual_pause(service)
+        usual_pause = self.stalls.typical_pause(service)
         move = plan_move(run.state(now, usual_pause, leaves_in, stalled), engine)
         if move is None or not self._quarantine.may_retry(run.request):
             return None
@@ -182,7 +182,7 @@
     def _start(self, run: MovableRun, move: Move, now: float) -> None:
         engine = run.request.service.engine
         assert engine is not None
-        seconds = copy_seconds(run.tokens, engine, near=False)
+        seconds = copy_seconds(run.tokens, engine, same_hall=False)
         if not self._links.try_reserve(run.upstream.id, seconds, move.time_limit):
             return
         run.begin_handover()
--- a/src/lotushill/returns/promises.py
+++ b/src/lotushill/returns/promises.py
@@ -66,11 +66,11 @@
         """When returns were placed, by service and tier."""
         self._to_send: dict[int, None] = {}
         self._next_sweep = float("-inf")
-        self.made = 0
+        self.promised_count = 0
         """Number of promises with priority made here since the start."""
-        self.kept = 0
+        self.placed_count = 0
         """Number of returns placed here as promised since the start."""
-        self.early = 0
+        self.early_count = 0
         """Number of early returns received here since the start."""
 
     def __len__(self) -> int:
@@ -97,7 +97,7 @@
         rate = self.start_rate.rate(requester.service, requester.tier, now)
         result = return_time(self._backlog(requester), rate, requester.time_left, spread)
         if requester.caller and len(self._promises) < MAX_PROMISES:
-            self.made += result.promised
+            self.promised_count += result.promised
             due = now + result.seconds
             promise = Promise(
                 requester.service, requester.tier, due, now, result.promised, own=True
@@ -113,11 +113,11 @@
             if service == requester.service and tier <= requester.tier
         )
 
-    def note_scarce(self, service: str, tier: int, now: float) -> None:
+    def note_capacity_wait(self, service: str, tier: int, now: float) -> None:
         """Note that a request of a tier has to wait for capacity."""
         self._last_waited[service, tier] = now
 
-    def has_place(self, caller: int, now: float) -> bool:
+    def has_due_promise(self, caller: int, now: float) -> bool:
         """Return whether a caller returns on time to a promise with priority."""
         known = self._promises.get(caller)
         if known is None or known.used or not known.prioritized:
@@ -126,7 +126,7 @@
 
     def is_due(self, caller: int, now: float) -> bool:
         """Return whether a caller returns as promised while the reserve is not used up."""
-        if not self.has_place(caller, now):
+        if not self.has_due_promise(caller, now):
             return False
         known = self._promises[caller]
         if self._more_urgent_refused(known, now):
@@ -161,7 +161,7 @@
             > _SHORTAGE_SECONDS
         ):
             return 0.0
-        self.early += 1
+        self.early_count += 1
         return max(0.0, known.due_at - now)
 
     def note_placed(self, caller: int, now: float) -> bool:
@@ -169,9 +169,9 @@
         known = self._promises.get(caller)
         if known is None or known.used:
             return False
-        promised = self.has_place(caller, now)
+        promised = self.has_due_promise(caller, now)
         if promised:
-            self.kept += 1
+            self.placed_count += 1
             key = known.service, known.tier
             self._placed_returns.setdefault(key, deque(maxlen=_MAX_COUNTED_RETURNS)).append(now)
         if known.prioritized:
--- a/src/lotushill/scheduling/placer.py
+++ b/src/lotushill/scheduling/placer.py
@@ -160,13 +160,13 @@
     def _refuse_barred(self, request: Request, barred: frozenset[str]) -> NoChoice:
         """Refuse until the first upstream may be sent a request, or for lack of any upstream."""
         known = [item.id for item in self._upstreams.of(request.service.name)]
-        closed = [name for name in known if name in barred]
-        if not closed:
+        barred_ids = [name for name in known if name in barred]
+        if not barred_ids:
             return NoChoice(Refusal.NO_UPSTREAM, NO_UPSTREAM_RETRY_AFTER_SECONDS)
         now, route = self._clock(), request.need.route
-        limited = self._barred.any_limited(closed, route, now)
+        limited = self._barred.any_limited(barred_ids, route, now)
         refusal = Refusal.LIMITED if limited else Refusal.RESTING
-        return NoChoice(refusal, self._barred.seconds_to_first_end(closed, route, now))
+        return NoChoice(refusal, self._barred.seconds_to_first_end(barred_ids, route, now))
 
     def _note_arrival(self, need: Need) -> None:
         self._fleet.note_arrival(need, self._clock())
--- a/src/lotushill/scheduling/queue_runner.py
+++ b/src/lotushill/scheduling/queue_runner.py
@@ -10,7 +10,7 @@
 from lotushill.links.messages import WaitingNews
 from lotushill.placement.choice import Choice
 from lotushill.waiting.entry import Queued
-from lotushill.waiting.slot_turns import QUEUE_REPORT_INTERVAL_SECONDS
+from lotushill.waiting.slot_turns import QUEUE_UPDATE_INTERVAL_SECONDS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -132,7 +132,7 @@
         waiting = self.queue.requests.services()
         for name in {*waiting, *self._last_updates}:
             if (
-                now - self._last_updates.get(name, float("-inf")) < QUEUE_REPORT_INTERVAL_SECONDS
+                now - self._last_updates.get(name, float("-inf")) < QUEUE_UPDATE_INTERVAL_SECONDS
                 and name in waiting
             ):
                 continue
--- a/src/lotushill/starting/startup_phase.py
+++ b/src/lotushill/starting/startup_phase.py
@@ -12,7 +12,7 @@
 """Time after its start in which a gateway counts as new: members discover each other within a
 second, and a model is pulled within 1.5 s more. Later, few members mean a partition, and the
 members on its own side are known."""
-_KNOWN_FRACTION = 0.5
+_MIN_REACHABLE_FRACTION = 0.5
 """Fraction of the registered gateways that the reachable ones must exceed; their updates then cover
 the running requests."""
 
@@ -29,7 +29,9 @@
         """Return whether the start is so recent that the fleet may be largely unknown."""
         return now - self._started_at < STARTUP_SECONDS
 
-    def knows_fleet(self, reachable: int, registered: int, has_model: bool, now: float) -> bool:
+    def has_usable_model(
+        self, reachable: int, registered: int, has_model: bool, now: float
+    ) -> bool:
         """Return whether to choose by the own model.
 
         `reachable` is the number of live gateways, including this one; `registered` is the number
@@ -41,5 +43,5 @@
         if not registered:
             return reachable > 1
         if reachable <= self._small_fleet:
-            return reachable > _KNOWN_FRACTION * registered
+            return reachable > _MIN_REACHABLE_FRACTION * registered
         return has_model
--- a/src/lotushill/waiting/admission_queue.py
+++ b/src/lotushill/waiting/admission_queue.py
@@ -114,7 +114,7 @@
         if not self.requests.add(entry):
             return self._refuse(entry, decision, now)
         self.held += 1
-        self._fleet.shedding.returns.note_scarce(entry.need.service, entry.need.tier, now)
+        self._fleet.shedding.returns.note_capacity_wait(entry.need.service, entry.need.tier, now)
         return Queued()
 
     def _choose_engine_queue(
@@ -159,7 +159,7 @@
             return _OVERLOAD
         need = entry.need_at(now)
         usable = [item for item in upstreams if item.id not in entry.excluded]
-        closed = self.engines.closed(service, need.tier, usable, now)
+        closed = self.engines.closed_engines(service, need.tier, usable, now)
         if usable and len(closed) == len(usable):
             return _NO_ROOM
         if is_new and self._has_predecessor(entry, now):
@@ -236,7 +236,9 @@
         most_urgent = min(self.requests.tiers(service.name), default=None)
         if most_urgent is None:
             return False
-        return len(self.engines.closed(service, most_urgent, upstreams, now)) < len(upstreams)
+        return len(self.engines.closed_engines(service, most_urgent, upstreams, now)) < len(
+            upstreams
+        )
 
     def _refuse_overdue(
         self, service: Service, now: float
@@ -262,7 +264,7 @@
         precedence = Precedence(
             need.tier,
             # Returning requests of a team over its share do not go before new ones of other teams.
-            newcomer=standing > 0.0 or not self._returns.is_due(need.caller, now),
+            is_new=standing > 0.0 or not self._returns.is_due(need.caller, now),
             standing=standing,
             arrived_at=entry.arrived_at,
         )
@@ -272,7 +274,7 @@
         return (
             precedence.tier,
             late,
-            precedence.newcomer,
+            precedence.is_new,
             precedence.standing,
             precedence.arrived_at,
         )
--- a/src/lotushill/waiting/open_engines.py
+++ b/src/lotushill/waiting/open_engines.py
@@ -30,7 +30,7 @@
         self._remote_queues = remote_queues
         self._turns = SlotTurns(remote_queues)
 
-    def closed(
+    def closed_engines(
         self, service: Service, tier: int, upstreams: Sequence[Upstream], now: float
     ) -> frozenset[str]:
         """Return the ids of engines that this gateway must not send requests of a tier now."""
--- a/src/lotushill/waiting/slot_turns.py
+++ b/src/lotushill/waiting/slot_turns.py
@@ -21,7 +21,7 @@
 TURN_SECONDS = 0.04
 """Time until other schedulers have been notified that a slot was taken: one batch interval, two
 network transits and some margin."""
-QUEUE_REPORT_INTERVAL_SECONDS = 0.05
+QUEUE_UPDATE_INTERVAL_SECONDS = 0.05
 """Interval between two queue updates of one scheduler."""
 _MAX_UPDATE_AGE_SECONDS = 0.2
 """Age from which a queue update no longer counts: three updates may be lost."""
--- a/src/lotushill/waiting/wait_limits.py
+++ b/src/lotushill/waiting/wait_limits.py
@@ -30,9 +30,11 @@
     def on_time_until(self, entry: QueueEntry) -> float:
         """Return until when a request can be placed so that its first event is on time."""
         need, pace = entry.need, self._fleet.pace(entry.need.service)
-        typical_tokens = self._fleet.shedding.usual.reading(need.service, need.route)
+        typical_tokens = self._fleet.shedding.typical_requests.prefill_tokens(
+            need.service, need.route
+        )
         tokens = min(float(need.prompt_tokens), typical_tokens or need.prompt_tokens)
-        return entry.arrived_at + need.target - tokens / pace.read_rate
+        return entry.arrived_at + need.target - tokens / pace.prefill_rate
 
     def is_overdue(self, entry: QueueEntry, now: float) -> bool:
         """Return whether a request must leave the queue without an upstream."""
--- a/tests/console/test_gateway_program.py
+++ b/tests/console/test_gateway_program.py
@@ -168,7 +168,7 @@
         registered = self.store.list_kind("lotushill-gateways")["items"]
         self.assertEqual(["gw-1"], [item["metadata"]["name"] for item in registered])
 
-    async def test_signals_that_come_during_a_planned_stop_cut_nothing(self) -> None:
+    async def test_signals_during_a_planned_stop_interrupt_no_request(self) -> None:
         """A reload 0.1 s after a stop signal killed a gateway with all requests in progress."""
         async with asyncio.timeout(_TIMEOUT_SECONDS):
             process = await self.start()
@@ -210,7 +210,7 @@
         again.replace(path)
         return held, writer
 
-    async def test_a_signal_to_read_settings_that_comes_while_it_starts_ends_nothing(self) -> None:
+    async def test_a_reload_signal_during_the_start_does_not_terminate_it(self) -> None:
         """A reload signal during the start killed a gateway, which delayed its next start."""
         async with asyncio.timeout(_TIMEOUT_SECONDS):
             process, writer = await self.start_blocked_on_settings()
@@ -225,7 +225,7 @@
         reloads = [json.loads(line) for line in output.splitlines() if b"process.reload" in line]
         self.assertEqual(["in force"], [line["outcome"] for line in reloads])
 
-    async def test_a_planned_stop_while_it_starts_is_one(self) -> None:
+    async def test_a_planned_stop_during_the_start_is_carried_out(self) -> None:
         async with asyncio.timeout(_TIMEOUT_SECONDS):
             process, writer = await self.start_blocked_on_settings()
             process.send_signal(signal.SIGTERM)
--- a/tests/console/test_process_signals.py
+++ b/tests/console/test_process_signals.py
@@ -37,7 +37,7 @@
             check=False,
         )
 
-    def test_a_stop_ends_the_program_wherever_it_comes(self) -> None:
+    def test_a_stop_signal_ends_the_program_at_any_time(self) -> None:
         done = self.run_with(signal.SIGTERM)
         self.assertEqual((0, "", ""), (done.returncode, done.stdout, done.stderr))
 
--- a/tests/console/test_quarantine_commands.py
+++ b/tests/console/test_quarantine_commands.py
@@ -27,7 +27,7 @@
         for told in (FIRST_IDENTITY, "bakery", "/p/x", "2023-11-14T22:13:20+00:00", "i-1, i-2"):
             self.assertIn(told, result.text)
 
-    async def test_one_is_released_by_how_it_begins_and_no_other(self) -> None:
+    async def test_a_hold_is_released_by_its_prefix_and_no_other(self) -> None:
         self.put(FIRST_IDENTITY, 1.7e9)
         self.put(SECOND_IDENTITY, 1.8e9)
         result = await self.commands.release(argparse.Namespace(identity=FIRST_IDENTITY[:6]))
--- a/tests/contracts/test_effective.py
+++ b/tests/contracts/test_effective.py
@@ -71,7 +71,7 @@
                 self.assertEqual(PLATFORM, origins[name].level)
 
     @given(TREES, st.booleans(), st.integers(1, 4))
-    def test_the_tree_never_widens_how_often_a_request_may_run(
+    def test_the_settings_tree_never_increases_the_number_of_attempts(
         self, policies: dict[str, dict[str, Any]], may_repeat: bool, attempts: int
     ) -> None:
         root, team = make_tree(policies)
--- a/tests/duties/test_duty_runner.py
+++ b/tests/duties/test_duty_runner.py
@@ -78,7 +78,7 @@
         self.check_invariants(world)
 
     @in_virtual_time
-    async def test_a_killed_holder_is_followed_and_no_window_is_missed(self) -> None:
+    async def test_a_killed_holder_is_replaced_and_no_window_is_missed(self) -> None:
         world = await start_fleet()
         for _ in range(3):
             await world.serve(11.0)
@@ -208,7 +208,7 @@
         self.check_invariants(world)
 
     @in_virtual_time
-    async def test_a_holder_that_the_platform_does_not_answer_is_followed(self) -> None:
+    async def test_a_holder_that_the_platform_does_not_answer_is_replaced(self) -> None:
         world = await start_fleet()
         holder = world.holder()
         assert holder is not None
@@ -287,7 +287,7 @@
         world.end()
         self.assertEqual(world.platform.engines, before)
 
-    def test_drawn_histories_keep_what_must_hold(self) -> None:
+    def test_random_histories_keep_the_invariants(self) -> None:
         acts = st.tuples(
             st.sampled_from(
                 ("kill", "stop", "freeze", "store", "api", "peers", "step", "lost", "late", "down")
--- a/tests/duties/test_lease.py
+++ b/tests/duties/test_lease.py
@@ -39,7 +39,7 @@
         self.assertFalse(lease.may_acquire(DutyRecord("", 1), 16.9))
         self.assertTrue(lease.may_acquire(DutyRecord("", 1), 17.0))
 
-    def test_without_checked_tokens_acts_end_half_a_lease_after_the_last_write(self) -> None:
+    def test_without_checked_tokens_work_ends_half_a_lease_after_the_last_write(self) -> None:
         lease = self.lease(fenced=False)
         lease.acquire(9, 10.0)
         self.assertTrue(lease.may_act(11.4))
--- a/tests/duties/test_true_time.py
+++ b/tests/duties/test_true_time.py
@@ -24,7 +24,7 @@
         self.clocks.error = 3.0
         self.assertEqual(self.time.now(), before)
 
-    def test_a_minority_of_wrong_clocks_does_not_show(self) -> None:
+    def test_a_minority_of_wrong_clocks_does_not_change_the_time(self) -> None:
         truth = 1_000_100.0
         for member, off in (("a", 0.001), ("b", -0.001), ("c", 2.5), ("d", 0.0), ("e", -4.0)):
             self.time.add_sample(member, truth + off)
--- a/tests/limits/test_permit_rank.py
+++ b/tests/limits/test_permit_rank.py
@@ -24,7 +24,9 @@
         self.fleet, self.limits = Fleet("h0"), StatedLimits()
         self.ranks = PermitRanks(self.fleet, self.limits, lambda _: UPSTREAMS)
         for route, prompt in (("letters", 6000), ("queries", 600)):
-            self.fleet.shedding.usual.note_prompt("llm", route_number(route), prompt, prompt)
+            self.fleet.shedding.typical_requests.note_prompt(
+                "llm", route_number(route), prompt, prompt
+            )
         self.limits.merge("e0", LimitReport(1.0, 0.0, 0.1))
 
     def ranks_of_both_routes(self) -> tuple[int, int]:
--- a/tests/moves/reclaim.py
+++ b/tests/moves/reclaim.py
@@ -21,7 +21,7 @@
 
 ENGINE = EngineProfile(16, 200_000, 6, token_bytes=160_000, link_rate=6e10)
 BASE_RUN = RunState(
-    tokens=1_000, made=10, expected=50, pause=0.08, usual_pause=0.08, time_left=12.0, gap=0.3,
+    tokens=1_000, events_produced=10, expected_events=50, mean_pause=0.08, typical_pause=0.08, time_left=12.0, target_gap=0.3,
     repeatable=False, leaves_in=2.0,
 )  # fmt: skip
 NOTICE_SECONDS = 2.0
@@ -29,7 +29,7 @@
 """Number of upstreams that leave at once, each with a full batch."""
 _TICK_SECONDS = 0.05
 _PROMPT_TOKENS = 900
-_CUT_LOSS = 0.9
+_INTERRUPTED_LOSS = 0.9
 _RESUMED_FROM_COPY_LOSS = 0.05
 """Loss of a run that resumes from a copy after its upstream shut down unexpectedly."""
 _RUNS_PER_RECLAIM = 40
@@ -68,17 +68,22 @@
     moved: bool = False
     done_at: float = 0.0
 
-    def state(self, now: float, copied: bool) -> RunState:
-        made = self.made + int(now / BASE_RUN.pause)
+    def state(self, now: float, has_backup: bool) -> RunState:
+        made = self.made + int(now / BASE_RUN.mean_pause)
         tokens = _PROMPT_TOKENS + ENGINE.tokens_per_event * made
         left = NOTICE_SECONDS - now
         return replace(
-            BASE_RUN, made=made, expected=self.hint, tokens=tokens, leaves_in=left, copied=copied
+            BASE_RUN,
+            made=made,
+            expected=self.hint,
+            tokens=tokens,
+            leaves_in=left,
+            copied=has_backup,
         )
 
     @property
     def remaining_seconds(self) -> float:
-        return (self.length - self.made) * BASE_RUN.pause
+        return (self.length - self.made) * BASE_RUN.mean_pause
 
 
 def simulate(strategy: Strategy, engine: EngineProfile, seed: int) -> Result:
@@ -115,7 +120,7 @@
                 if run.moved or run.remaining_seconds <= now
                 else plan_move(run.state(now, copied), engine)
             )
-            seconds = copy_seconds(run.state(now, copied).tokens, engine, near=False)
+            seconds = copy_seconds(run.state(now, copied).tokens, engine, same_hall=False)
             if move is None or not links.try_reserve("source", seconds, move.time_limit):
                 continue
             link_free_at = max(now, link_free_at) + seconds
@@ -139,7 +144,7 @@
         result.loss += _RESUMED_FROM_COPY_LOSS
         return
     result.cut += 1
-    result.loss += _CUT_LOSS
+    result.loss += _INTERRUPTED_LOSS
 
 
 def _charge(tokens: int, result: Result) -> None:
--- a/tests/moves/test_move_plan.py
+++ b/tests/moves/test_move_plan.py
@@ -36,7 +36,7 @@
             for made in (0, 25, 49):
                 move = plan_move(replace(BASE_RUN, tokens=tokens, made=made), ENGINE)
                 if move is not None:
-                    rest = max(BASE_RUN.expected - made, 0.3 * made, 1) * BASE_RUN.pause
+                    rest = max(BASE_RUN.expected_events - made, 0.3 * made, 1) * BASE_RUN.mean_pause
                     self.assertGreater(
                         0.9 * outlast_probability(rest, NOTICE_SECONDS), 2e-5 * tokens
                     )
@@ -44,7 +44,7 @@
 
     def test_a_copy_that_would_not_be_done_in_time_is_not_started(self) -> None:
         slow = replace(ENGINE, link_rate=1e8)
-        self.assertGreater(copy_seconds(BASE_RUN.tokens, slow, near=False), NOTICE_SECONDS)
+        self.assertGreater(copy_seconds(BASE_RUN.tokens, slow, same_hall=False), NOTICE_SECONDS)
         self.assertIsNone(plan_move(BASE_RUN, slow))
 
     def test_after_the_notice_no_move_is_started_since_the_run_could_not_return(self) -> None:
--- a/tests/moves/test_stalls.py
+++ b/tests/moves/test_stalls.py
@@ -41,11 +41,11 @@
 
     def test_the_usual_pause_is_known_from_the_first_one_on_and_robust_to_long_ones(self) -> None:
         stalls = StallThresholds()
-        self.assertIsNone(stalls.usual_pause("s"))
+        self.assertIsNone(stalls.typical_pause("s"))
         for _ in range(100):
             stalls.note("s", 0.05)
         stalls.note("s", 30.0)
-        self.assertAlmostEqual(0.05, stalls.usual_pause("s") or 0.0, delta=0.01)
+        self.assertAlmostEqual(0.05, stalls.typical_pause("s") or 0.0, delta=0.01)
 
     def test_the_threshold_for_a_first_event_is_known_after_enough_waits(self) -> None:
         waits, rng = StallThresholds(), random.Random(3)
--- a/tests/peering/test_peers.py
+++ b/tests/peering/test_peers.py
@@ -258,14 +258,14 @@
         scheduler = self.schedulers[0]
         hall = next(name for name in HALLS if name != scheduler.membership.own.hall)
         self.network.run(2.0)
-        self.assertFalse(scheduler.is_cut_off(hall))
+        self.assertFalse(scheduler.is_hall_unreachable(hall))
         members = [item.membership.own for item in self.network.all()]
         self.network.down = {item.name for item in members if item.hall == hall}
         self.network.run(1.0)
-        self.assertTrue(scheduler.is_cut_off(hall))
+        self.assertTrue(scheduler.is_hall_unreachable(hall))
         self.network.down = set()
         self.network.run(0.5)
-        self.assertFalse(scheduler.is_cut_off(hall))
+        self.assertFalse(scheduler.is_hall_unreachable(hall))
 
 
 class TestPulls(unittest.IsolatedAsyncioTestCase):
--- a/tests/peering/test_return_gossip.py
+++ b/tests/peering/test_return_gossip.py
@@ -120,7 +120,7 @@
             if at > self.now:
                 self.run(at - self.now)
             to = self.rng.choice(running)
-            if self.returns[to].has_place(caller, self.now):
+            if self.returns[to].has_due_promise(caller, self.now):
                 placed += self.returns[to].note_placed(caller, self.now)
         return placed
 
--- a/tests/placement/test_backup.py
+++ b/tests/placement/test_backup.py
@@ -7,7 +7,7 @@
 
 from lotushill.placement.backup import backup_target
 from lotushill.placement.backup import is_worth_copying
-from lotushill.placement.cut_rate import CutRate
+from lotushill.placement.interruption_rate import InterruptionRate
 from lotushill.placement.messages import Placed
 from lotushill.placement.need import Need
 from lotushill.placement.upstream_load import UpstreamLoad
@@ -38,7 +38,7 @@
         self.assertFalse(is_worth_copying(need(800), 2.0, 0.001))
 
     def test_copying_stops_after_a_minute_without_losses_and_starts_after_some(self) -> None:
-        rate = CutRate()
+        rate = InterruptionRate()
         self.assertTrue(is_worth_copying(need(800), 2.0, rate.rate))
         for second in range(60):
             rate.note(4.0, False, float(second))
@@ -48,7 +48,7 @@
         self.assertTrue(is_worth_copying(need(800), 2.0, rate.rate))
 
     def test_old_losses_decay(self) -> None:
-        rate = CutRate()
+        rate = InterruptionRate()
         for _ in range(100):
             rate.note(0.0, True, 0.0)
         rate.note(1.0, False, 1200.0)
--- a/tests/placement/test_fleet.py
+++ b/tests/placement/test_fleet.py
@@ -179,7 +179,7 @@
         found = started.choose(short(target=20.0), ENGINE, candidates, NO_UPSTREAMS, 0.0)
         self.assertIsInstance(found, Choice)
 
-    def test_large_and_small_ones_of_a_route_are_refused_alike(self) -> None:
+    def test_large_and_small_requests_of_a_route_are_refused_alike(self) -> None:
         driver = Driver()
         candidates = upstreams("llm", 2)
         sizes = (2_000, 11_500, 40_000)
@@ -197,7 +197,7 @@
             self.assertIsInstance(found, NoChoice)
 
     def test_unreachable_hall_is_avoided_while_another_serves(self) -> None:
-        fleet = Fleet("z", is_cut_off=lambda hall: hall == "far")
+        fleet = Fleet("z", is_hall_unreachable=lambda hall: hall == "far")
         near, far = upstreams("llm", 2)
         far = replace(far, hall="far")
         for _ in range(3):
--- a/tests/placement/test_shedding.py
+++ b/tests/placement/test_shedding.py
@@ -68,7 +68,7 @@
         self.assertIsNotNone(shedding.refuse(need(2, 12_000), [full], 0.1))
 
     @given(EVENTS)
-    def test_nothing_is_refused_while_less_urgent_larger_ones_begin(
+    def test_nothing_is_refused_while_less_urgent_larger_requests_start(
         self, events: list[tuple[float, bool, int, int]]
     ) -> None:
         history = History()
--- a/tests/placement/test_uneven_fleet.py
+++ b/tests/placement/test_uneven_fleet.py
@@ -85,7 +85,7 @@
         fleet, sent = self.serve({"u0": 0.18, "u1": 0.08, "u2": 0.08, "u3": 0.08}, 2000)
         (slow,) = fleet.engine_paces.for_service("app").deviating_paces()
         self.assertEqual("u0", slow.upstream)
-        self.assertAlmostEqual(2.25, slow.read_slowness, delta=0.3)
+        self.assertAlmostEqual(2.25, slow.prefill_slowness, delta=0.3)
         self.assertLess(sent["u0"], min(sent["u1"], sent["u2"], sent["u3"]))
 
     def test_equal_instances_have_no_long_term_difference(self) -> None:
--- a/tests/platform/test_object_store.py
+++ b/tests/platform/test_object_store.py
@@ -140,7 +140,7 @@
 
         await self.follow(lambda: self.version() == 1, change, lambda: self.version() == 3)
 
-    async def test_an_outage_changes_nothing_and_is_told_once_each_way(self) -> None:
+    async def test_an_outage_changes_nothing_and_its_start_and_end_are_logged_once(self) -> None:
         self.put_version(1)
 
         def fail() -> bool:
@@ -179,7 +179,7 @@
         )
         self.assertEqual(1, self.version())
 
-    async def test_a_peers_view_is_taken_only_if_it_is_newer(self) -> None:
+    async def test_a_peers_view_is_applied_only_if_it_is_newer(self) -> None:
         def receive(kind: ViewKind, revision: int, value: Any) -> None:
             self.views.receive_from_peer(kind, revision, json.dumps(value))
 
@@ -236,7 +236,7 @@
         self.views.expire()
         self.assertEqual((), self.views.upstreams.all())
 
-    async def test_an_upstream_that_goes_in_calm_times_is_gone_at_once(self) -> None:
+    async def test_an_upstream_removed_without_an_outage_is_dropped_at_once(self) -> None:
         self.store.put("servers", "i-1", UPSTREAM)
 
         def remove() -> bool:
@@ -273,7 +273,7 @@
     ready.
     """
 
-    async def test_a_store_that_comes_back_late_is_asked_for_the_holds_first(self) -> None:
+    async def test_holds_are_read_first_when_the_store_returns_late(self) -> None:
         self.store.put("config", "main", SPEC)
         self.app.fault = StoreFault.BUSY
         views = self.follow_from_start()
--- a/tests/platform/test_request_head.py
+++ b/tests/platform/test_request_head.py
@@ -48,7 +48,7 @@
 
 
 class TestForwarded(unittest.TestCase):
-    def test_the_key_the_forged_team_and_the_hop_stay_here(self) -> None:
+    def test_the_key_the_forged_team_and_hop_headers_are_not_forwarded(self) -> None:
         kept = dict(request_head.forwarded_headers(HEADERS, b"body"))
         for name in (b"authorization", b"tenant", b"x-hop", b"connection", b"deadline-ms"):
             self.assertNotIn(name, kept)
--- a/tests/platform/test_upstream_answer.py
+++ b/tests/platform/test_upstream_answer.py
@@ -18,14 +18,14 @@
 
 
 class TestNotExecuted(unittest.TestCase):
-    def test_what_promises_that_nothing_ran(self) -> None:
+    def test_which_answers_state_that_nothing_ran(self) -> None:
         self.assertTrue(read_statement(503, [(b"not-executed", b"1")]).not_executed)
         self.assertTrue(read_statement(421, []).not_executed)
         self.assertFalse(read_statement(503, []).not_executed)
         self.assertFalse(read_statement(500, []).not_executed)
 
 
-class TestRest(unittest.TestCase):
+class TestCooldown(unittest.TestCase):
     def test_whole_and_fractional_seconds(self) -> None:
         for text, seconds in ((b"3", 3.0), (b"0.25", 0.25), (b" 2 ", 2.0), (b"0", 0.0)):
             with self.subTest(text=text):
@@ -57,7 +57,7 @@
         self.assertEqual(MAX_COOLDOWN_SECONDS, stated.cooldown)
 
     @given(st.integers(100, 599), st.lists(st.tuples(st.just(RETRY), st.binary(max_size=30))))
-    def test_any_bytes_give_a_rest_within_bounds(
+    def test_any_bytes_give_a_cooldown_within_bounds(
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
         stated = read_statement(status, headers)
--- a/tests/platform/test_upstreams.py
+++ b/tests/platform/test_upstreams.py
@@ -32,7 +32,7 @@
 
 
 class TestEntries(unittest.TestCase):
-    def test_an_entry_that_lacks_a_field_or_has_one_of_another_type_names_nothing(self) -> None:
+    def test_an_entry_with_a_missing_or_mistyped_field_is_rejected(self) -> None:
         wrong: dict[str, tuple[Any, ...]] = {
             "service": (None, "", 5, ["llm"]),
             "address": (None, 5, "here", "10.0.0.1", "10.0.0.1:0", "10.0.0.1:99999", "a.b:80"),
@@ -99,7 +99,7 @@
     def ignored_entries(self) -> list[str]:
         return [line["object"] for line in self.lines if line["event"] == "entry.ignored"]
 
-    def test_a_bad_entry_costs_none_of_the_others_and_later_changes_are_seen(self) -> None:
+    def test_a_malformed_entry_affects_no_other_and_later_changes_are_applied(self) -> None:
         bad = {**GOOD, "slots": float("inf")}
         self.list_entries(a=GOOD, b=bad, c=GOOD)
         self.assertEqual(["a", "c"], self.ready_ids())
@@ -122,14 +122,14 @@
         self.list_entries(a="spoilt", b=GOOD)
         self.assertEqual(["b"], self.ready_ids())
 
-    def test_one_that_drained_and_ended_works_again_under_its_name(self) -> None:
+    def test_a_drained_upstream_that_restarts_under_its_name_is_available_again(self) -> None:
         self.list_entries(a={**GOOD, "born": 1})
         self.list_entries(a={**GOOD, "born": 1, "state": "draining"})
         self.list_entries(a={**GOOD, "born": 2})
         self.assertEqual(["a@2"], self.ready_ids())
         self.assertIsNone(self.views.upstreams.find("a@1"))
 
-    def test_a_former_life_is_not_kept_beside_the_present_one(self) -> None:
+    def test_a_former_incarnation_is_not_kept_with_the_current_one(self) -> None:
         self.list_entries(a={**GOOD, "born": 1})
         self.views.upstreams.replace([], 2, {"a@1": 1e12})
         self.revision = 2
@@ -138,7 +138,7 @@
 
     @given(st.sampled_from(list(ViewKind)), st.binary(max_size=60) | PLAIN.map(json.dumps))
     @settings(max_examples=200)
-    def test_whatever_a_peer_sends_is_taken_or_a_typed_error(
+    def test_any_data_of_a_peer_is_applied_or_a_typed_error(
         self, kind: ViewKind, text: bytes | str
     ) -> None:
         decoded = text.decode("latin-1") if isinstance(text, bytes) else text
--- a/tests/quarantine/test_fleet.py
+++ b/tests/quarantine/test_fleet.py
@@ -52,8 +52,8 @@
         await fleet.step()
 
 
-class TestDeadly(unittest.IsolatedAsyncioTestCase):
-    async def test_it_reaches_no_upstream_soon_after_its_third_and_all_others_are_served(
+class TestDeadlyRequest(unittest.IsolatedAsyncioTestCase):
+    async def test_it_reaches_no_upstream_soon_after_the_third_failure_and_others_are_served(
         self,
     ) -> None:
         for gateways, upstreams in FLEETS:
@@ -79,14 +79,14 @@
         )
 
 
-class TestBodiesThatDiffer(unittest.IsolatedAsyncioTestCase):
+class TestVaryingBodies(unittest.IsolatedAsyncioTestCase):
     """Tests a caller that changes a byte each time, as with a time or an id in the body.
 
     If each of its requests counts as a new one, each may crash three upstreams: with four gateways
     and six engines, 103 engines failed in 35 s, and only 0.28 of all other requests were served.
     """
 
-    async def test_others_are_served_soon_after_its_third_end(self) -> None:
+    async def test_other_requests_are_served_soon_after_the_third_failure(self) -> None:
         for gateways, upstreams in FLEETS:
             for seed in range(3):
                 with self.subTest(gateways=gateways, seed=seed):
@@ -101,7 +101,7 @@
                     self.assertGreaterEqual(fleet.completed_fraction(b"other"), 0.97)
                     self.assertGreaterEqual(fleet.completed_fraction(COMMON), 0.97)
 
-    async def test_a_gateway_that_starts_anew_keeps_apart_what_the_others_do(self) -> None:
+    async def test_a_restarted_gateway_isolates_the_same_groups_as_the_others(self) -> None:
         fleet = VirtualFleet(9, 9, 1, loss=0.1)
         await run(fleet, 5.0, deadly=0.0, others=50.0)
         await run(fleet, 8.0, deadly=3.0, others=50.0, varying=True)
@@ -111,7 +111,7 @@
             [True] * 9, [bool(item.isolated_groups(fleet.now)) for item in fleet.isolations]
         )
 
-    async def test_sound_requests_of_the_same_team_are_served_as_those_of_others(self) -> None:
+    async def test_harmless_requests_of_the_same_team_are_served_like_those_of_others(self) -> None:
         for seed in range(3):
             fleet = VirtualFleet(9, 9, seed, loss=0.1)
             await run(fleet, 5.0, deadly=0.0, others=50.0)
@@ -122,10 +122,10 @@
                 self.assertGreaterEqual(fleet.completed_fraction(SAME_TEAM), 0.97)
 
 
-class TestNobodyToBlame(unittest.IsolatedAsyncioTestCase):
+class TestUnrelatedFailures(unittest.IsolatedAsyncioTestCase):
     """Tests repeated failures of half of the upstreams at once, which no request causes."""
 
-    async def test_the_common_request_goes_on_and_hardly_any_other_is_held(self) -> None:
+    async def test_the_common_request_is_served_and_hardly_any_other_is_held(self) -> None:
         for storm in (2.0, 5.0):
             fleet = VirtualFleet(9, 9, 4, loss=0.1)
             await run(fleet, 5.0, deadly=0.0, others=50.0)
@@ -135,7 +135,7 @@
                 self.assertEqual(0, fleet.outcomes[COMMON, "held"])
                 self.assertEqual(0, fleet.outcomes[b"other", "held"])
 
-    async def test_no_group_is_kept_apart_however_few_its_requests_are(self) -> None:
+    async def test_no_group_is_isolated_even_if_it_has_few_requests(self) -> None:
         for gateways, upstreams in FLEETS:
             for same_team in (0.3, 3.0):
                 fleet = VirtualFleet(gateways, upstreams, 4, loss=0.1)
--- a/tests/quarantine/test_hold_store.py
+++ b/tests/quarantine/test_hold_store.py
@@ -84,7 +84,7 @@
         await self.advance(5.0)
         self.assertEqual(1, len(self.store.calls))
 
-    async def test_an_outage_is_tried_again_now_and_then(self) -> None:
+    async def test_writes_are_retried_at_intervals_during_an_outage(self) -> None:
         self.store.is_away = True
         self.hold()
         await self.advance(30.0)
@@ -93,7 +93,9 @@
         await self.advance(4.0)
         self.assertIn(ONE.hex(), self.store.objects)
 
-    async def test_what_only_others_saw_is_left_to_them_for_some_seconds(self) -> None:
+    async def test_failures_that_only_others_observed_are_left_to_them_for_some_seconds(
+        self,
+    ) -> None:
         self.quarantine.merge_peer_state(SuspectState(ONE, "team", "/p", ("a", "b", "c")), self.now)
         await self.advance(3.5)
         self.assertEqual([], self.store.calls)
@@ -109,7 +111,7 @@
         await self.holds.reconcile()
         self.assertEqual({}, self.store.objects)
 
-    async def test_the_objects_are_bounded_and_the_oldest_of_the_same_team_goes(self) -> None:
+    async def test_the_objects_are_bounded_and_the_oldest_of_the_same_team_is_evicted(self) -> None:
         specs = {
             number.to_bytes(16, "big").hex(): StoredHold(
                 "team" if number % 2 else "other", "/p", (), 1e9 + number
--- a/tests/quarantine/test_quarantine.py
+++ b/tests/quarantine/test_quarantine.py
@@ -37,7 +37,7 @@
         self.assertEqual([ONE], self.quarantine.replace_stored({}))
         self.assertFalse(self.quarantine.is_held(ONE, 5.0))
 
-    def test_a_release_counts_also_where_the_ends_are_known(self) -> None:
+    def test_a_release_applies_at_gateways_that_know_the_failures(self) -> None:
         self.record_failures(ONE, "a", "b", "c")
         self.quarantine.replace_stored({ONE: HOLD})
         self.quarantine.replace_stored({})
@@ -65,7 +65,7 @@
         self.record_failures(ONE, "a", "b", "c", "d")
         self.assertFalse(self.quarantine.is_held(ONE, 5.0))
 
-    def test_one_team_cannot_push_the_suspects_of_another_out(self) -> None:
+    def test_one_team_cannot_evict_the_suspects_of_another(self) -> None:
         self.record_failures(ONE, "a", "b", "c", team="other")
         for number in range(5000):
             self.record_failures(number.to_bytes(16, "big"), "a", "b", "c", team="many")
--- a/tests/quarantine/test_suspect.py
+++ b/tests/quarantine/test_suspect.py
@@ -25,7 +25,7 @@
     return suspect, now
 
 
-class TestNeverWhole(unittest.TestCase):
+class TestNeverCompleted(unittest.TestCase):
     def test_request_is_held_indefinitely_after_exactly_three_upstreams(self) -> None:
         self.assertFalse(suspect_after("ab")[0].is_held(100.0))
         self.assertTrue(suspect_after("abc")[0].is_held(1e9))
@@ -33,7 +33,7 @@
     def test_repeated_reports_of_one_upstream_count_once(self) -> None:
         self.assertFalse(suspect_after("ababaab")[0].is_held(100.0))
 
-    def test_a_whole_answer_clears_it_and_late_news_of_those_ends_do_not_count(self) -> None:
+    def test_completion_clears_it_and_late_updates_on_those_failures_do_not_count(self) -> None:
         suspect, now = suspect_after("ab")
         suspect.clear()
         for name in "abc":
@@ -50,7 +50,9 @@
         self.assertTrue(suspect.is_held_indefinitely)
 
     @given(FAILED_UPSTREAMS, st.randoms(use_true_random=False))
-    def test_the_order_in_which_ends_are_heard_does_not_matter(self, ends: list[str], rng) -> None:  # type: ignore[no-untyped-def]
+    def test_the_order_in_which_failures_are_received_does_not_matter(
+        self, ends: list[str], rng
+    ) -> None:  # type: ignore[no-untyped-def]
         first, _ = suspect_after("".join(ends))
         rng.shuffle(ends)
         second, _ = suspect_after("".join(ends))
@@ -58,10 +60,10 @@
         self.assertEqual(len(set(ends)) >= FAILURES_TO_HOLD, first.is_held(0.0))
 
 
-class TestAnsweredWholeBefore(unittest.TestCase):
+class TestKnownGood(unittest.TestCase):
     """Tests a common request: it runs at many upstreams, so many may fail during it at once."""
 
-    def test_a_hall_that_loses_power_says_no_more_than_one_end(self) -> None:
+    def test_a_hall_that_loses_power_counts_as_one_failure(self) -> None:
         suspect, now = suspect_after("abcdefgh", known_good=True)
         self.assertFalse(suspect.is_held(now))
 
--- a/tests/requests/test_cooldowns.py
+++ b/tests/requests/test_cooldowns.py
@@ -45,7 +45,7 @@
 
 
 class TestOneGateway(unittest.IsolatedAsyncioTestCase):
-    async def test_while_some_rest_the_others_get_all(self) -> None:
+    async def test_upstreams_without_a_cooldown_get_all_requests(self) -> None:
         upstreams = [ScriptedUpstream([asks_for_cooldown]) for _ in range(2)] + [
             ScriptedUpstream([whole])
         ]
@@ -54,14 +54,14 @@
         self.assertEqual({200}, {item.status for item in got})
         self.assertGreaterEqual(1, max(len(item.requests) for item in upstreams[:2]))
 
-    async def test_while_all_rest_none_gets_anything(self) -> None:
+    async def test_no_upstream_gets_requests_while_all_are_in_cooldown(self) -> None:
         upstreams = [ScriptedUpstream([asks_for_cooldown]) for _ in range(3)]
         async with Rig(upstreams, max_attempts=5) as rig:
             got = [await rig.call(f"r{number}") for number in range(20)]
         self.assertEqual({503}, {item.status for item in got})
         self.assertEqual([1, 1, 1], [len(item.requests) for item in upstreams])
 
-    async def test_it_is_over_when_its_time_is_up_also_after_a_suspension(self) -> None:
+    async def test_a_cooldown_ends_in_time_after_a_suspension(self) -> None:
         upstream = ScriptedUpstream([asks_for_cooldown, whole])
         async with Rig([upstream]) as rig:
             await rig.call("r1")
@@ -71,7 +71,7 @@
             late = await rig.call("r3")
         self.assertEqual((503, 200), (early.status, late.status))
 
-    async def test_one_that_may_have_run_the_request_rests_as_well(self) -> None:
+    async def test_an_upstream_that_may_have_run_the_request_gets_a_cooldown(self) -> None:
         async def fails(seen: ReceivedRequest) -> None:
             seen.answer(
                 f"503 Busy\r\nContent-Length: 0\r\nRetry-After: {COOLDOWN_SECONDS}\r\n{SIGNED}"
@@ -83,7 +83,7 @@
             await rig.call("r2")
         self.assertEqual(1, len(upstream.requests))
 
-    async def test_odd_wishes_change_nothing(self) -> None:
+    async def test_malformed_retry_after_values_are_ignored(self) -> None:
         for text in ("soon", "-1", "nan", "1e999", "", "Wed, 21 Oct 2026 07:28:00 GMT"):
             with self.subTest(text=text):
 
@@ -98,10 +98,10 @@
                 self.assertEqual(200, got.status)
 
 
-class TestEveryWay(unittest.IsolatedAsyncioTestCase):
+class TestEverySend(unittest.IsolatedAsyncioTestCase):
     """No request is written to an upstream in its cooldown, however the upstream was chosen."""
 
-    async def test_what_waited_for_a_connection_is_chosen_again(self) -> None:
+    async def test_a_request_that_waited_for_a_connection_is_placed_again(self) -> None:
         upstreams = [ScriptedUpstream([asks_for_cooldown]), ScriptedUpstream([whole])]
         async with Rig(upstreams, max_attempts=1, slack=0.0) as rig:
             delay_connection(rig, "b0", "r1")
@@ -109,7 +109,7 @@
         self.assertEqual(200, got.status)
         self.assertEqual(["asked"], [item.id for item in upstreams[0].requests])
 
-    async def test_a_choice_that_does_not_know_of_it_is_not_followed(self) -> None:
+    async def test_a_placement_that_ignores_the_cooldown_is_not_used(self) -> None:
         upstreams = [ScriptedUpstream([asks_for_cooldown]), ScriptedUpstream([whole])]
         async with Rig(upstreams, max_attempts=1, slack=2.0) as rig:
             prefer(rig, "b0")
@@ -117,7 +117,7 @@
         self.assertEqual({200}, {item.status for item in got})
         self.assertEqual(1, len(upstreams[0].requests))
 
-    async def test_a_run_does_not_go_on_there(self) -> None:
+    async def test_a_run_is_not_continued_at_an_upstream_in_cooldown(self) -> None:
         async def serve(seen: ReceivedRequest) -> None:
             if seen.id == "asked":
                 return seen.answer(COOLDOWN_HEAD)
--- a/tests/requests/test_event_stream.py
+++ b/tests/requests/test_event_stream.py
@@ -32,7 +32,7 @@
         self.assertEqual(str(count - 1) if count else "", splitter.last_id)
 
     @given(st.integers(1, 5), st.integers(1, 10))
-    def test_a_resumed_run_does_not_repeat_what_a_broken_one_left(
+    def test_a_resumed_run_does_not_repeat_the_partial_event_of_a_broken_one(
         self, before: int, cut: int
     ) -> None:
         splitter = EventSplitter()
--- a/tests/requests/test_isolation_policy.py
+++ b/tests/requests/test_isolation_policy.py
@@ -37,7 +37,7 @@
     return [item for item in upstreams if any(SUSPECT in seen.line for seen in item.requests)]
 
 
-class TestWard(unittest.IsolatedAsyncioTestCase):
+class TestIsolationPolicy(unittest.IsolatedAsyncioTestCase):
     async def test_the_group_runs_at_one_upstream_and_all_others_elsewhere(self) -> None:
         upstreams = [ScriptedUpstream([whole]) for _ in range(4)]
         async with Rig(upstreams) as rig:
@@ -49,7 +49,7 @@
         (ward,) = upstreams_with_suspect(upstreams)
         self.assertEqual(8, len(ward.requests))
 
-    async def test_one_runs_at_a_time_and_the_next_is_refused_as_not_run(self) -> None:
+    async def test_requests_run_one_at_a_time_and_the_next_is_refused_as_not_run(self) -> None:
         async def slow(seen: ReceivedRequest) -> None:
             began.set()
             await release.wait()
@@ -66,7 +66,9 @@
             self.assertEqual((200, 503), ((await first).status, second.status))
         self.assertEqual(1, sum(len(item.requests) for item in upstreams))
 
-    async def test_one_that_ends_the_upstream_is_not_sent_on_and_the_next_waits(self) -> None:
+    async def test_a_request_that_crashes_the_upstream_is_not_retried_and_the_next_waits(
+        self,
+    ) -> None:
         async def ends(seen: ReceivedRequest) -> None:
             upstream = next(item for item in upstreams if seen in item.requests)
             upstream.crash(seen)
--- a/tests/requests/test_leaving.py
+++ b/tests/requests/test_leaving.py
@@ -30,14 +30,14 @@
 
 
 class TestOneGateway(unittest.IsolatedAsyncioTestCase):
-    async def test_a_whole_answer_that_says_so_is_the_last(self) -> None:
+    async def test_a_complete_answer_that_announces_it_is_the_last(self) -> None:
         upstreams = [ScriptedUpstream([leaves]), ScriptedUpstream([whole])]
         async with Rig(upstreams) as rig:
             got = [await rig.call(f"r{number}") for number in range(20)]
         self.assertEqual({200}, {item.status for item in got})
         self.assertEqual(1, len(upstreams[0].requests))
 
-    async def test_a_refusal_or_a_failure_says_it_as_well(self) -> None:
+    async def test_a_refusal_or_a_failure_announces_it_as_well(self) -> None:
         for head in ("421 No\r\n", "503 Busy\r\nNot-Executed: 1\r\n", "500 Bad\r\n"):
             with self.subTest(head=head):
 
@@ -50,7 +50,7 @@
                         await rig.call(f"r{number}")
                 self.assertGreaterEqual(1, len(upstreams[0].requests))
 
-    async def test_the_head_of_a_stream_says_it_while_the_stream_goes_on(self) -> None:
+    async def test_the_head_of_a_stream_announces_it_while_the_stream_continues(self) -> None:
         async def stream(seen: ReceivedRequest) -> None:
             seen.answer(
                 f"200 OK\r\nTransfer-Encoding: chunked\r\n{LEAVES}Response-Signature: s1\r\n"
@@ -74,7 +74,7 @@
             [["first"], ["other"]], sorted([s.id for s in u.requests] for u in upstreams)
         )
 
-    async def test_an_entry_that_says_ready_later_does_not_take_it_back(self) -> None:
+    async def test_a_later_ready_entry_does_not_revoke_it(self) -> None:
         upstreams = [ScriptedUpstream([leaves]), ScriptedUpstream([whole])]
         async with Rig(upstreams) as rig:
             prefer(rig, "b0")
@@ -86,7 +86,7 @@
                 await rig.call(f"later{number}")
         self.assertEqual(["r1"], [seen.id for seen in upstreams[0].requests])
 
-    async def test_a_later_life_under_its_name_is_sent_requests(self) -> None:
+    async def test_a_later_incarnation_is_sent_requests(self) -> None:
         upstreams = [ScriptedUpstream([leaves, whole])]
         async with Rig(upstreams) as rig:
             await rig.call("r1")
--- a/tests/requests/test_limit.py
+++ b/tests/requests/test_limit.py
@@ -36,7 +36,7 @@
 
 
 class TestOneGateway(unittest.IsolatedAsyncioTestCase):
-    async def test_what_is_over_the_limit_goes_to_the_others(self) -> None:
+    async def test_requests_over_the_limit_go_to_other_upstreams(self) -> None:
         upstreams = [ScriptedUpstream([limits]), ScriptedUpstream([whole])]
         async with Rig(upstreams) as rig:
             prefer(rig, "b0")
@@ -44,7 +44,7 @@
         self.assertEqual({200}, {item.status for item in got})
         self.assertLessEqual(len(upstreams[0].requests), 2)
 
-    async def test_where_all_have_a_limit_what_is_over_is_refused_as_not_run(self) -> None:
+    async def test_if_all_have_a_limit_requests_over_it_are_refused_as_not_run(self) -> None:
         upstreams = [ScriptedUpstream([limits]) for _ in range(2)]
         async with Rig(upstreams, max_attempts=5) as rig:
             got = [await rig.call(f"r{number}") for number in range(20)]
@@ -53,7 +53,7 @@
         self.assertGreaterEqual(min(times), 1.0)
         self.assertLessEqual(max(len(item.requests) for item in upstreams), 2)
 
-    async def test_any_answer_names_it(self) -> None:
+    async def test_any_answer_can_state_a_limit(self) -> None:
         for head in ("421 No\r\n", "503 Busy\r\nNot-Executed: 1\r\n", "500 Bad\r\n", "429 No\r\n"):
             with self.subTest(head=head):
 
@@ -67,7 +67,7 @@
                         await rig.call(f"r{number}")
                 self.assertLessEqual(len(upstreams[0].requests), 2)
 
-    async def test_the_head_of_a_stream_names_it_while_the_stream_goes_on(self) -> None:
+    async def test_the_head_of_a_stream_states_the_limit_while_the_stream_continues(self) -> None:
         async def stream(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\nTransfer-Encoding: chunked\r\n{LIMIT}{SIGNED}")
             seen.event(0)
@@ -84,7 +84,7 @@
         self.assertTrue(got.whole)
         self.assertEqual(["first"], [seen.id for seen in upstreams[0].requests])
 
-    async def test_what_is_kept_back_has_spent_neither_a_run_nor_a_repeat(self) -> None:
+    async def test_a_request_without_a_permit_spends_neither_a_run_nor_a_retry(self) -> None:
         upstreams = [ScriptedUpstream([limits]), ScriptedUpstream([whole])]
         async with Rig(upstreams, max_attempts=1, slack=0.0) as rig:
             prefer(rig, "b0")
@@ -92,7 +92,7 @@
         self.assertEqual({200}, {item.status for item in got})
         self.assertEqual(1, upstreams[0].connections)
 
-    async def test_a_run_does_not_go_on_there_without_a_permit(self) -> None:
+    async def test_a_run_is_not_continued_without_a_permit(self) -> None:
         async def serve(seen: ReceivedRequest) -> None:
             if seen.id == "asked":
                 seen.answer_whole(status=f"200 OK\r\n{LIMIT.strip()}")
@@ -112,7 +112,7 @@
         sent = [seen for item in upstreams for seen in item.requests if seen.id == "runs"]
         self.assertEqual((False, 1, 1), (got.whole, len(sent), unpermitted))
 
-    async def test_no_copy_is_kept_at_one_that_has_a_limit(self) -> None:
+    async def test_no_backup_is_kept_at_an_upstream_with_a_limit(self) -> None:
         """A run continued there would need a permit, just when another engine has failed."""
 
         async def serve(seen: ReceivedRequest) -> None:
@@ -129,7 +129,7 @@
         self.assertEqual(5, len(others))
         self.assertNotIn(limited.address, [seen.headers.get("kv-backup") for seen in others])
 
-    async def test_a_later_life_has_none(self) -> None:
+    async def test_a_later_incarnation_has_no_limit(self) -> None:
         upstreams = [ScriptedUpstream([limits, limits, whole])]
         async with Rig(upstreams) as rig:
             await rig.call("r1")
@@ -138,7 +138,7 @@
             served = await rig.call("r3")
         self.assertEqual((503, 200), (refused.status, served.status))
 
-    async def test_with_other_words_in_one_answer_each_holds(self) -> None:
+    async def test_each_statement_of_one_answer_applies(self) -> None:
         async def busy(seen: ReceivedRequest) -> None:
             head = f"503 Busy\r\nNot-Executed: 1\r\nRetry-After: 0.05\r\n{LIMIT}"
             seen.answer(f"{head}Content-Length: 0\r\n")
@@ -152,7 +152,7 @@
                 await rig.call(f"later{number}")
         self.assertEqual(["r1"], [seen.id for seen in upstreams[0].requests])
 
-    async def test_a_word_that_cannot_be_read_ends_no_limit(self) -> None:
+    async def test_a_malformed_limit_does_not_end_the_limit(self) -> None:
         async def odd(seen: ReceivedRequest) -> None:
             seen.answer_whole(status="200 OK\r\nServer-Limit: few")
 
--- a/tests/requests/test_logs.py
+++ b/tests/requests/test_logs.py
@@ -30,7 +30,7 @@
     return [line for line in lines if line["event"] == event]
 
 
-class TestSight(unittest.IsolatedAsyncioTestCase):
+class TestRequestLogs(unittest.IsolatedAsyncioTestCase):
     async def test_a_refusal_logs_the_figures_that_decided_it(self) -> None:
         refused = NoChoice(Refusal.OVERLOAD, 1.2, 0.9, 0.4, 2_000.0, 3_000.0)
         async with Rig([ScriptedUpstream([whole])]) as rig:
@@ -69,7 +69,9 @@
         figures = (line["kind"], line["rest"], line["leaving"], line["unreadable"])
         self.assertEqual(("rejected", 3.0, True, ""), figures)
 
-    async def test_an_upstream_at_which_a_fault_of_ours_shows_does_not_draw_all(self) -> None:
+    async def test_an_upstream_at_which_the_gateway_faults_does_not_attract_all_requests(
+        self,
+    ) -> None:
         upstreams = [ScriptedUpstream([whole]) for _ in range(3)]
         async with Rig(upstreams) as rig:
             take = rig.components.pool.acquire
--- a/tests/requests/test_moves.py
+++ b/tests/requests/test_moves.py
@@ -136,7 +136,7 @@
         self.assertEqual([f"{site.source.address}/h0-r1"], resumed)
         self.assertEqual("s1", got.headers["response-signature"])
 
-    async def test_one_that_may_be_resumed_is_moved_as_well(self) -> None:
+    async def test_a_resumable_run_is_moved_as_well(self) -> None:
         got, site = await self.call_with(resumable=True)
         self.assert_whole(got, site)
         self.assertEqual(1, site.resumed_count())
@@ -166,7 +166,7 @@
         self.assertEqual(2, len(set(targets)))
         self.assertEqual(1, site.resumed_count())
 
-    async def test_with_no_room_anywhere_the_run_goes_on_where_it_is(self) -> None:
+    async def test_with_no_room_anywhere_the_run_stays(self) -> None:
         got, site = await self.call_with([503] * 100)
         self.assert_whole(got, site)
         self.assertEqual(0, site.resumed_count())
@@ -176,17 +176,17 @@
         self.assert_whole(got, site)
         self.assertEqual(0, site.resumed_count())
 
-    async def test_a_call_under_way_is_waited_for(self) -> None:
+    async def test_a_call_in_progress_is_awaited(self) -> None:
         got, site = await self.call_with([409, 200, 409])
         self.assert_whole(got, site)
         self.assertEqual(1, site.resumed_count())
 
-    async def test_a_lost_answer_to_the_copy_is_asked_for_again(self) -> None:
+    async def test_a_copy_whose_answer_was_lost_is_requested_again(self) -> None:
         got, site = await self.call_with(["lost"])
         self.assert_whole(got, site)
         self.assertEqual(1, site.resumed_count())
 
-    async def test_a_lost_answer_to_the_stop_costs_nothing(self) -> None:
+    async def test_a_lost_answer_to_the_stop_does_no_harm(self) -> None:
         got, site = await self.call_with([200, "lost"])
         self.assert_whole(got, site)
         self.assertEqual(1, site.resumed_count())
@@ -205,7 +205,7 @@
         self.assert_whole(got, site)
         self.assertEqual(1, len(site.source.resumed_handles()))
 
-    async def test_a_target_that_is_gone_when_the_run_comes_sends_it_back(self) -> None:
+    async def test_a_run_whose_target_is_gone_returns_to_its_source(self) -> None:
         async with Site().open() as site:
             calling = asyncio.create_task(site.call())
             await site.wait_started()
@@ -218,19 +218,21 @@
         self.assert_whole(got, site)
         self.assertEqual(1, len(site.source.resumed_handles()))
 
-    async def test_a_source_that_ends_before_the_copy_cuts_a_run_that_runs_once(self) -> None:
+    async def test_a_source_that_fails_before_the_copy_truncates_a_run_that_may_run_once(
+        self,
+    ) -> None:
         got, site = await self.call_with(["dead"])
         self.assertFalse(got.whole)
         self.assertTrue(WHOLE.startswith(got.body))
         self.assertEqual(0, site.resumed_count())
         self.assert_clean(site)
 
-    async def test_a_source_that_ends_after_the_copy_leaves_it_to_go_on_from(self) -> None:
+    async def test_a_run_continues_from_the_copy_after_its_source_fails(self) -> None:
         got, site = await self.call_with([200, "dead"])
         self.assert_whole(got, site)
         self.assertEqual(1, site.resumed_count())
 
-    async def test_a_target_that_ends_after_the_handover_cuts_the_answer(self) -> None:
+    async def test_a_target_that_fails_after_the_handover_truncates_the_answer(self) -> None:
         async with Site().open() as site:
             for other in site.others:
                 other.crashes_after = 20
@@ -240,7 +242,7 @@
         self.assertTrue(WHOLE.startswith(got.body))
         self.assert_clean(site)
 
-    async def test_one_that_may_run_again_goes_on_elsewhere_after_its_target_has_ended(
+    async def test_a_repeatable_run_continues_elsewhere_after_its_target_fails(
         self,
     ) -> None:
         async with Site(resumable=True, max_attempts=3).open() as site:
@@ -251,7 +253,7 @@
         self.assert_whole(got, site)
         self.assertEqual([1, 1], [len(item.requests) for item in site.others])
 
-    async def test_a_run_that_stands_still_is_moved_with_its_memory(self) -> None:
+    async def test_a_stalled_run_is_moved_with_its_memory(self) -> None:
         async with Site().open() as site:
             site.source.stalls_after = 10
             got = await site.call(leaves=False)
@@ -259,7 +261,7 @@
         self.assert_whole(got, site)
         self.assertEqual(1, site.resumed_count())
 
-    async def test_one_that_stands_still_and_may_be_repeated_goes_on_without_its_memory(
+    async def test_a_stalled_repeatable_run_continues_without_its_memory(
         self,
     ) -> None:
         async with Site(resumable=True).open() as site:
@@ -270,7 +272,7 @@
         self.assert_whole(got, site)
         self.assertEqual(0, site.resumed_count())
 
-    async def test_one_that_may_have_stopped_is_ended_where_nothing_comes(self) -> None:
+    async def test_a_run_that_may_have_stopped_is_ended_if_no_event_arrives(self) -> None:
         async with Site([200, "lost"]).open() as site:
             site.source.hides_stream_end = True
             got = await site.call()
@@ -278,7 +280,7 @@
         self.assert_whole(got, site)
         self.assertEqual(1, site.resumed_count())
 
-    async def test_a_client_that_takes_nothing_makes_no_run_stand_still(self) -> None:
+    async def test_a_run_is_not_stalled_while_its_client_does_not_read(self) -> None:
         async with Site().open() as site:
             big = b"data: " + b"x" * 4_000_000 + b"\n\n"
 
@@ -300,7 +302,7 @@
         self.assertEqual([], site.source.calls)
         self.assertEqual([], [seen.line for seen in site.source.requests if "/kv-" in seen.line])
 
-    async def test_a_process_that_stood_still_itself_moves_nothing_for_that(self) -> None:
+    async def test_a_process_that_was_frozen_itself_moves_no_run(self) -> None:
         async with Site().open() as site:
             calling = asyncio.create_task(site.call(leaves=False))
             await site.wait_started()
@@ -309,7 +311,7 @@
         self.assert_whole(got, site)
         self.assertEqual([], site.source.calls)
 
-    async def test_one_that_makes_no_first_event_and_may_be_repeated_goes_on_elsewhere(
+    async def test_a_repeatable_run_without_a_first_event_continues_elsewhere(
         self,
     ) -> None:
         async with Site(resumable=True).open() as site:
@@ -320,7 +322,7 @@
         self.assert_whole(got, site)
         self.assertEqual(1, sum(len(other.requests) for other in site.others))
 
-    async def test_one_that_may_run_once_is_waited_for(self) -> None:
+    async def test_a_run_that_may_run_once_is_awaited(self) -> None:
         async with Site().open() as site:
             for _ in range(200):
                 site.rig.mover.first_event_waits.note("s", 0.02)
@@ -332,7 +334,7 @@
         self.assert_whole(got, site)
         self.assertEqual([], [other.requests for other in site.others if other.requests])
 
-    async def test_a_stream_whose_end_is_never_seen_is_ended_once_its_run_has_stopped(self) -> None:
+    async def test_a_stream_whose_end_is_lost_is_ended_once_its_run_has_stopped(self) -> None:
         async with Site().open() as site:
             site.source.hides_stream_end = True
             got = await site.call()
@@ -362,7 +364,7 @@
             await asyncio.sleep(0.4)
             self.assertEqual(0, sum(len(load.running) for load in loads))
 
-    async def test_without_a_repeat_left_nothing_is_stopped(self) -> None:
+    async def test_without_a_retry_left_no_run_is_stopped(self) -> None:
         async with Site(slack=0.0).open() as site:
             got = await site.call()
             await site.wait_idle()
@@ -370,7 +372,7 @@
         self.assertEqual([False], [call["last"] for call in site.source.calls][:1])
         self.assertNotIn(True, [call["last"] for call in site.source.calls])
 
-    async def test_a_client_that_leaves_meanwhile_leaves_nothing_held(self) -> None:
+    async def test_a_client_that_disconnects_during_a_move_leaves_no_memory_held(self) -> None:
         for steps in range(6):
             with self.subTest(steps=steps):
                 async with Site().open() as site:
@@ -410,7 +412,7 @@
             await site.wait_idle()
             return got, site
 
-    async def test_runs_are_moved_before_it_ends(self) -> None:
+    async def test_runs_are_moved_before_the_upstream_ends(self) -> None:
         got, site = await self.reclaim(moves=True)
         self.assertEqual([WHOLE] * RUNS, [item.body for item in got])
         self.assertEqual([True] * RUNS, [item.whole for item in got])
--- a/tests/requests/test_quarantine.py
+++ b/tests/requests/test_quarantine.py
@@ -78,7 +78,7 @@
 
 
 class TestBeforeTheHoldsAreKnown(unittest.IsolatedAsyncioTestCase):
-    async def test_nothing_is_sent_though_the_configuration_is_known(self) -> None:
+    async def test_no_request_is_sent_although_the_configuration_is_known(self) -> None:
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
             rig.holds_are_known = False
@@ -87,7 +87,7 @@
             later = await rig.call("r2")
         self.assertEqual((503, 200, ["r2"]), (early.status, later.status, ids(upstream)))
 
-    async def test_who_comes_just_before_is_served_and_not_turned_away(self) -> None:
+    async def test_a_request_shortly_before_readiness_is_served_and_not_refused(self) -> None:
         """Most clients return only once, and at a start all of them return within a second."""
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
@@ -109,10 +109,10 @@
     return [seen.id for seen in upstream.requests]
 
 
-class TestWhatIsNoEnd(unittest.IsolatedAsyncioTestCase):
+class TestFailureDetection(unittest.IsolatedAsyncioTestCase):
     """Interruptions that are not caused by the request."""
 
-    async def test_a_connection_that_ends_while_its_upstream_goes_on_counts_for_nothing(
+    async def test_a_lost_connection_to_a_running_upstream_is_not_counted(
         self,
     ) -> None:
         async def cut(seen: ReceivedRequest) -> None:
@@ -124,7 +124,7 @@
                 self.assertEqual(502, got.status)
         self.assertEqual(0, len(rig.quarantine))
 
-    async def test_an_upstream_that_was_leaving_ends_as_planned(self) -> None:
+    async def test_the_end_of_a_leaving_upstream_is_a_planned_shutdown(self) -> None:
         """It starts to drain with the request in progress; if draining before, it gets none."""
         ended: list[ScriptedUpstream] = []
         upstreams: list[ScriptedUpstream] = []
@@ -149,7 +149,7 @@
                 await rig.call(f"r{number}", body=DEADLY)
         self.assertEqual((4, 0), (len(ended), len(rig.quarantine)))
 
-    async def test_an_end_that_shows_only_in_the_list_counts_then(self) -> None:
+    async def test_a_failure_that_only_the_entries_show_is_counted(self) -> None:
         ended: list[ScriptedUpstream] = []
         async with Rig(
             [crashing_upstream(ended) for _ in range(4)], RouteKind.NON_IDEMPOTENT
@@ -184,7 +184,7 @@
 
 
 class TestSuspects(unittest.IsolatedAsyncioTestCase):
-    async def test_an_arrival_that_ended_two_upstreams_is_not_sent_on(self) -> None:
+    async def test_a_request_under_which_two_upstreams_failed_is_not_retried(self) -> None:
         ended: list[ScriptedUpstream] = []
         async with Rig([crashing_upstream(ended) for _ in range(8)], max_attempts=8) as rig:
             got = await rig.call(body=DEADLY)
@@ -234,7 +234,7 @@
         cleared = [news for news in rig.sent_messages if isinstance(news, ClearedNews)]
         self.assertEqual(1, len(cleared))
 
-    async def test_a_copy_of_its_memory_is_not_where_a_suspect_goes_on(self) -> None:
+    async def test_a_suspect_is_not_continued_from_a_backup(self) -> None:
         ended: list[ScriptedUpstream] = []
 
         def streams(upstream: ScriptedUpstream) -> Script:
@@ -347,7 +347,7 @@
             await self.replace_ended()
             await asyncio.sleep(0.1)
 
-    async def test_what_one_gateway_saw_holds_at_all_and_after_all_were_killed(self) -> None:
+    async def test_a_hold_applies_at_all_gateways_and_after_all_were_killed(self) -> None:
         async with asyncio.timeout(60):
             await self.repeat(12)
             await self.kill()
--- a/tests/requests/test_request_path.py
+++ b/tests/requests/test_request_path.py
@@ -41,7 +41,7 @@
 
 
 class TestForwarding(unittest.IsolatedAsyncioTestCase):
-    async def test_method_target_and_body_are_unchanged_and_the_key_stays_here(self) -> None:
+    async def test_method_target_and_body_are_unchanged_and_the_key_is_removed(self) -> None:
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
             got = await rig.call(
@@ -60,7 +60,7 @@
         self.assertNotIn(KEY, str(seen.headers))
         self.assertLessEqual(int(seen.headers["deadline-ms"]), 900)
 
-    async def test_a_chunked_body_arrives_whole(self) -> None:
+    async def test_a_chunked_body_arrives_complete(self) -> None:
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
             reader, writer = await rig.connect()
@@ -78,7 +78,7 @@
         self.assertEqual((4, 1), (len(upstream.requests), upstream.connections))
 
 
-class TestTurnedAway(unittest.IsolatedAsyncioTestCase):
+class TestDenials(unittest.IsolatedAsyncioTestCase):
     async def test_unknown_routes_and_keys_are_told_apart(self) -> None:
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
@@ -87,7 +87,7 @@
             self.assertEqual(401, got.status)
         self.assertEqual([], upstream.requests)
 
-    async def test_while_the_view_may_be_old_the_unknown_is_asked_to_come_back(self) -> None:
+    async def test_while_the_view_may_be_stale_unknown_requests_get_a_retry_after(self) -> None:
         async with Rig([ScriptedUpstream([whole])]) as rig:
             rig.fresh = False
             got = await rig.call(path="/q/x")
@@ -109,7 +109,7 @@
 
 
 class TestAtMostOnce(unittest.IsolatedAsyncioTestCase):
-    async def test_after_a_reset_what_may_not_be_repeated_is_not(self) -> None:
+    async def test_after_a_reset_a_request_that_may_run_once_is_not_retried(self) -> None:
         upstreams = [ScriptedUpstream([reset]), ScriptedUpstream([reset])]
         async with Rig(upstreams, RouteKind.NON_IDEMPOTENT) as rig:
             got = await rig.call()
@@ -124,7 +124,9 @@
             statuses = [(await rig.call(f"r{n}")).status for n in range(6)]
         self.assertEqual([200] * 6, statuses)
 
-    async def test_a_rejection_is_tried_elsewhere_and_then_told_as_not_run(self) -> None:
+    async def test_a_rejected_request_is_retried_elsewhere_and_then_reported_as_not_run(
+        self,
+    ) -> None:
         upstreams = [ScriptedUpstream([rejects]), ScriptedUpstream([rejects])]
         async with Rig(upstreams, RouteKind.NON_IDEMPOTENT) as rig:
             got = await rig.call()
@@ -142,13 +144,13 @@
         )
         self.assertEqual(2, sum(len(item.requests) for item in upstreams))
 
-    async def test_without_budget_nothing_is_repeated(self) -> None:
+    async def test_without_retry_budget_nothing_is_retried(self) -> None:
         upstreams = [ScriptedUpstream([fails]) for _ in range(2)]
         async with Rig(upstreams, slack=0.0) as rig:
             await rig.call()
         self.assertEqual(1, sum(len(item.requests) for item in upstreams))
 
-    async def test_a_dead_upstream_costs_no_repeat(self) -> None:
+    async def test_an_unreachable_upstream_spends_no_retry(self) -> None:
         upstreams = [ScriptedUpstream([whole]), ScriptedUpstream([whole])]
         async with Rig(upstreams, RouteKind.NON_IDEMPOTENT, slack=0.0) as rig:
             upstreams[0].stop()
@@ -157,7 +159,7 @@
         self.assertEqual([200] * 4, statuses)
 
 
-class TestWholeAnswers(unittest.IsolatedAsyncioTestCase):
+class TestCompleteAnswers(unittest.IsolatedAsyncioTestCase):
     async def assert_incomplete(self, script: object) -> None:
         upstream = ScriptedUpstream([script])  # type: ignore[list-item]
         async with Rig([upstream], RouteKind.NON_IDEMPOTENT) as rig:
@@ -165,7 +167,7 @@
         self.assertEqual(502, got.status)
         self.assertNotIn("response-signature", got.headers)
 
-    async def test_an_answer_cut_short_is_no_success(self) -> None:
+    async def test_a_truncated_answer_is_not_a_success(self) -> None:
         async def cut(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\nContent-Length: 100\r\n{SIGNED}", b"half")
             await seen.writer.drain()
@@ -173,13 +175,13 @@
 
         await self.assert_incomplete(cut)
 
-    async def test_bytes_that_are_no_answer_are_no_success(self) -> None:
+    async def test_malformed_answer_bytes_are_not_a_success(self) -> None:
         async def garbage(seen: ReceivedRequest) -> None:
             seen.writer.write(b"\x00\x01 nonsense\r\n\r\n")
 
         await self.assert_incomplete(garbage)
 
-    async def test_an_encoded_body_is_not_the_upstreams(self) -> None:
+    async def test_an_encoded_body_is_not_forwarded(self) -> None:
         async def encoded(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\nContent-Encoding: gzip\r\nContent-Length: 1\r\n{SIGNED}", b"x")
 
@@ -195,7 +197,7 @@
             got = await rig.call()
         self.assertEqual((200, b"all of it", True), (got.status, got.body, got.whole))
 
-    async def test_an_answer_without_length_that_is_reset_is_not_whole(self) -> None:
+    async def test_a_reset_answer_without_length_is_not_complete(self) -> None:
         async def unframed(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\n{SIGNED}", b"some of it")
             await asyncio.sleep(0.05)
@@ -214,7 +216,7 @@
             second = await rig.call("r2")
         self.assertEqual((b"first", b"done"), (first.body, second.body))
 
-    async def test_a_late_surplus_answer_in_the_place_of_the_next_is_passed_over(self) -> None:
+    async def test_a_late_surplus_answer_before_the_next_one_is_skipped(self) -> None:
         async def late(seen: ReceivedRequest) -> None:
             seen.answer(f"200 OK\r\nContent-Length: 3\r\n{SIGNED}", b"old", request_id="r0")
             seen.answer_whole(b"own")
@@ -261,7 +263,7 @@
                 self.assertIn(b"piece-1", rest)
                 writer.close()
 
-    async def test_a_stream_goes_on_after_the_last_whole_event(self) -> None:
+    async def test_a_stream_continues_after_the_last_complete_event(self) -> None:
         async def breaks(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(0)
@@ -331,7 +333,7 @@
         self.assertIn(first.headers["kv-backup"], addresses)
         return got, first, later
 
-    async def test_a_stream_with_a_copy_goes_on_there_as_the_same_run(self) -> None:
+    async def test_a_stream_with_a_backup_continues_there_as_the_same_run(self) -> None:
         async def goes_on(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(1)
@@ -365,7 +367,7 @@
         self.assertFalse(got.whole)
         self.assertEqual([], later)
 
-    async def test_a_stream_whose_copy_is_missing_is_cut_and_not_run_again(self) -> None:
+    async def test_a_stream_whose_backup_is_missing_is_truncated_and_not_run_again(self) -> None:
         async def rejects(seen: ReceivedRequest) -> None:
             seen.answer_whole(b"no copy", "503 Service Unavailable\r\nNot-Executed: 1")
 
@@ -373,7 +375,7 @@
         self.assertFalse(got.whole)
         self.assertEqual(1, len(later))
 
-    async def test_a_stream_that_may_not_be_resumed_is_visibly_cut_off(self) -> None:
+    async def test_a_stream_that_may_not_be_resumed_is_visibly_truncated(self) -> None:
         async def breaks(seen: ReceivedRequest) -> None:
             seen.start_events()
             seen.event(0)
@@ -389,7 +391,7 @@
 
 
 class TestTime(unittest.IsolatedAsyncioTestCase):
-    async def test_a_client_that_leaves_ends_the_work_of_the_upstream(self) -> None:
+    async def test_a_client_disconnect_ends_the_work_of_the_upstream(self) -> None:
         upstream = ScriptedUpstream([silent])
         async with Rig([upstream], RouteKind.NON_IDEMPOTENT) as rig:
             _, writer = await rig.connect()
@@ -402,7 +404,7 @@
                 self.assertEqual(b"", await seen.reader.read())
             self.assertEqual({}, rig.components.fleet.load("b0").running)
 
-    async def test_when_time_is_up_the_answer_does_not_promise_that_nothing_ran(self) -> None:
+    async def test_after_a_timeout_the_answer_does_not_state_that_nothing_ran(self) -> None:
         async with Rig([ScriptedUpstream([silent])], RouteKind.NON_IDEMPOTENT, timeout=0.2) as rig:
             got = await rig.call()
         self.assertEqual(504, got.status)
--- a/tests/requests/test_retry_budget.py
+++ b/tests/requests/test_retry_budget.py
@@ -34,7 +34,7 @@
             window_requests = sum(1 for at in requests if at > now - WINDOW)
             self.assertLessEqual(window_repeats, RATIO * window_requests + SLACK)
 
-    def test_gateways_that_each_take_all_they_can_stay_within_it_together(self) -> None:
+    def test_gateways_that_each_spend_the_maximum_stay_within_the_budget(self) -> None:
         budgets = [RetryBudget(RATIO, SLACK, WINDOW) for _ in range(GATEWAYS)]
         granted = sum(budget.try_spend(GATEWAYS, 0.0) for budget in budgets for _ in range(100))
         self.assertTrue(0 < granted <= SLACK)
@@ -94,7 +94,7 @@
 
 class TestFleetOfBudgets(unittest.TestCase):
     @given(st.integers(1, 40), _EVENTS)
-    def test_the_sum_holds_while_gateways_come_and_start_again(
+    def test_the_sum_stays_within_the_budget_while_gateways_join_and_restart(
         self, count: int, events: list[tuple[str, int, float]]
     ) -> None:
         fleet = SharedBudget(count)
--- a/tests/requests/test_suspension.py
+++ b/tests/requests/test_suspension.py
@@ -87,7 +87,7 @@
 class TestLease(unittest.TestCase):
     """Two successive holders of a lease never act together, whenever the first is suspended."""
 
-    def test_a_holder_that_slept_starts_no_act_once_another_may_have_taken_over(self) -> None:
+    def test_a_suspended_holder_starts_no_work_once_another_may_have_taken_over(self) -> None:
         options = LeaseOptions(seconds=3.0, fenced=False)
         for seconds, before in itertools.product(SECONDS, (0.0, 0.4, 1.4, 2.9)):
             clocks = TwoClocks()
@@ -104,7 +104,7 @@
 
 
 class TestRequests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_request_ends_when_its_time_is_up_though_its_timer_stood_still(self) -> None:
+    async def test_a_request_times_out_although_its_timer_was_suspended(self) -> None:
         async def silent(_: ReceivedRequest) -> None:
             await asyncio.sleep(30)
 
@@ -119,7 +119,7 @@
                 got = await asyncio.wait_for(call, 5.0)
             self.assertEqual(504, got.status)
 
-    async def test_connections_that_rested_through_it_are_not_used_again(self) -> None:
+    async def test_connections_that_were_idle_during_a_suspension_are_not_reused(self) -> None:
         upstream = ScriptedUpstream([whole])
         async with Rig([upstream]) as rig:
             await rig.call("r1")
@@ -127,7 +127,7 @@
             await rig.call("r2")
         self.assertEqual(2, upstream.connections)
 
-    async def test_what_was_chosen_before_it_is_chosen_again(self) -> None:
+    async def test_an_upstream_chosen_before_a_suspension_is_chosen_again(self) -> None:
         """An upstream may leave while the host is suspended between placement and sending."""
         upstreams = [ScriptedUpstream([whole]) for _ in range(2)]
         async with Rig(upstreams) as rig:
--- a/tests/requests/test_tiers.py
+++ b/tests/requests/test_tiers.py
@@ -131,7 +131,9 @@
 
 
 class TestRefusals(unittest.TestCase):
-    def test_no_urgent_request_is_taken_for_the_longest_by_what_one_gateway_placed(self) -> None:
+    def test_an_urgent_request_does_not_count_as_longest_by_the_requests_of_one_gateway(
+        self,
+    ) -> None:
         for need in (triage(1, 4_500), chat(1, 465)):
             with self.subTest(need.route):
                 erring, *others = gateways(4)
@@ -211,7 +213,7 @@
             await rig.call()
         return int(upstream.requests[0].headers["request-priority"])
 
-    async def test_engines_are_told_the_tier_of_the_route_first(self) -> None:
+    async def test_engine_priorities_are_ordered_by_the_tier_of_the_route_first(self) -> None:
         priorities = [
             await self.sent_priority(tier, team) for tier in range(3) for team in range(3)
         ]
--- a/tests/returns/test_promises.py
+++ b/tests/returns/test_promises.py
@@ -94,7 +94,7 @@
         returns = busy_promises()
         due = 2.0 + returns.retry_after(requester(7, 2.0, tier=1), 0.0, 2.0)
         returns.retry_after(requester(8, due, tier=0), 0.0, due)
-        self.assertTrue(returns.has_place(7, due))
+        self.assertTrue(returns.has_due_promise(7, due))
         self.assertFalse(returns.is_due(7, due))
 
     def test_number_of_promises_is_bounded(self) -> None:
@@ -123,7 +123,7 @@
         for pause, caller, placed in steps:
             now += pause
             if placed:
-                before = returns.has_place(caller, now)
+                before = returns.has_due_promise(caller, now)
                 self.assertEqual(before, returns.note_placed(caller, now))
             else:
                 returns.retry_after(requester(caller, now), 0.3, now)
--- a/tests/scheduling/test_placer.py
+++ b/tests/scheduling/test_placer.py
@@ -87,7 +87,7 @@
         view = UpstreamView()
         view.replace(UPSTREAMS, 1)
         fleet = Fleet("h0")
-        self.rests = Cooldowns()
+        self.cooldowns = Cooldowns()
         self.denials = Denials()
         self.client = FakeClient()
         load = SharedLoad("gw", fleet, lambda: self.now, lambda _: SERVICE, lambda _: None)
@@ -98,7 +98,7 @@
             view,
             random.Random(1),
             lambda: self.now,
-            BarredUpstreams(self.rests, self.denials),
+            BarredUpstreams(self.cooldowns, self.denials),
             StatedLimits(),
             cast("Schedulers", FakeSchedulers()),
             cast("PlacementClient", self.client),
@@ -107,7 +107,7 @@
 
     def start_cooldowns(self, *names: str, seconds: float = 3.0) -> None:
         for name in names:
-            self.rests.note_requested(name, seconds, self.now)
+            self.cooldowns.note_requested(name, seconds, self.now)
 
     async def place(self) -> Placement | NoChoice:
         request = cast("Request", FakeRequest())
--- a/tests/scheduling/test_queueing_client.py
+++ b/tests/scheduling/test_queueing_client.py
@@ -60,7 +60,7 @@
             self._answer(grant)
 
 
-class TestWaiting(unittest.IsolatedAsyncioTestCase):
+class TestQueueing(unittest.IsolatedAsyncioTestCase):
     membership = large_fleet()
 
     def setUp(self) -> None:
@@ -136,7 +136,7 @@
         await asyncio.sleep(RENEW_SECONDS)
         self.assertEqual([1], self.late)
 
-    async def test_one_lost_datagram_costs_no_place(self) -> None:
+    async def test_one_lost_datagram_does_not_lose_the_place_in_the_queue(self) -> None:
         task = await self.start()
         self.first.silent = True
         await asyncio.sleep(RENEW_SECONDS * 1.5)
--- a/tests/starting/test_starting.py
+++ b/tests/starting/test_starting.py
@@ -24,23 +24,23 @@
         self.start = StartupPhase(MAX_SMALL_FLEET_GATEWAYS, 100.0)
 
     def test_few_reachable_members_of_many_are_not_a_small_fleet(self) -> None:
-        self.assertFalse(self.start.knows_fleet(3, 82, False, 100.3))
-        self.assertFalse(self.start.knows_fleet(16, 82, True, 100.3))
+        self.assertFalse(self.start.has_usable_model(3, 82, False, 100.3))
+        self.assertFalse(self.start.has_usable_model(16, 82, True, 100.3))
 
     def test_scheduler_without_a_model_does_not_know_the_fleet(self) -> None:
-        self.assertFalse(self.start.knows_fleet(80, 82, False, 100.5))
-        self.assertTrue(self.start.knows_fleet(80, 82, True, 100.5))
+        self.assertFalse(self.start.has_usable_model(80, 82, False, 100.5))
+        self.assertTrue(self.start.has_usable_model(80, 82, True, 100.5))
 
     def test_small_fleet_is_known_once_more_than_half_is_reachable(self) -> None:
-        self.assertFalse(self.start.knows_fleet(4, 9, False, 100.2))
-        self.assertTrue(self.start.knows_fleet(5, 9, False, 100.2))
-        self.assertTrue(self.start.knows_fleet(1, 1, False, 100.2))
+        self.assertFalse(self.start.has_usable_model(4, 9, False, 100.2))
+        self.assertTrue(self.start.has_usable_model(5, 9, False, 100.2))
+        self.assertTrue(self.start.has_usable_model(1, 1, False, 100.2))
 
     def test_isolated_gateway_does_not_know_the_fleet_before_the_list_is_read(self) -> None:
-        self.assertFalse(self.start.knows_fleet(1, 0, False, 100.0))
+        self.assertFalse(self.start.has_usable_model(1, 0, False, 100.0))
 
     def test_few_members_after_the_startup_phase_are_one_side_of_a_partition(self) -> None:
-        self.assertTrue(self.start.knows_fleet(3, 82, False, 100.0 + STARTUP_SECONDS))
+        self.assertTrue(self.start.has_usable_model(3, 82, False, 100.0 + STARTUP_SECONDS))
 
 
 class TestDraw(unittest.TestCase):
--- a/tests/views/test_views.py
+++ b/tests/views/test_views.py
@@ -22,7 +22,7 @@
 
 class TestConfigurationView(unittest.TestCase):
     @given(st.lists(st.integers(0, 50), max_size=30))
-    def test_whatever_comes_in_any_order_it_never_goes_back(self, revisions: list[int]) -> None:
+    def test_updates_in_any_order_never_revert_the_revision(self, revisions: list[int]) -> None:
         view = ConfigurationView()
         highest = -1
         for revision in revisions:
@@ -44,7 +44,7 @@
         self.assertFalse(view.replace([upstream("b")], 4))
         self.assertEqual(["a"], [item.id for item in view.of("s")])
 
-    def test_a_draining_upstream_gets_nothing_and_never_comes_back(self) -> None:
+    def test_a_draining_upstream_gets_no_requests_and_never_returns(self) -> None:
         view = UpstreamView()
         view.replace([upstream("a", draining=True)], 1)
         view.replace([upstream("a")], 2)
--- a/tests/views/test_watcher.py
+++ b/tests/views/test_watcher.py
@@ -120,7 +120,7 @@
         self.assertEqual(["list@10", "list@10", "['a']@12"], await self.follow(store))
         self.assertEqual((2, [10, 10, 10, 12]), (store.lists, store.watched))
 
-    async def test_what_is_doubted_is_listed_again_though_a_watch_still_waits(self) -> None:
+    async def test_an_unconfirmed_view_is_listed_again_while_a_watch_is_open(self) -> None:
         store = ScriptedStore(([change("a", 12)], 12))
         kind = WatchedKind(
             "k", lambda listed: None, lambda changes, revision: None, lambda: 10, 0.0
@@ -138,7 +138,7 @@
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    async def test_a_fault_in_reading_ends_no_following(self) -> None:
+    async def test_an_error_in_reading_does_not_stop_the_watcher(self) -> None:
         seen: list[int] = []
 
         def fail_once(listed: ObjectList) -> None:
@@ -157,7 +157,7 @@
         await asyncio.gather(task, waiting, return_exceptions=True)
         self.assertEqual(2, len(seen))
 
-    async def test_one_that_leaves_reading_to_others_makes_no_call_and_goes_on_from_theirs(
+    async def test_a_passive_watcher_makes_no_call_and_continues_from_the_revision_of_others(
         self,
     ) -> None:
         store = ScriptedStore(([change("a", 12)], 14), ([change("b", 31)], 31))
@@ -171,7 +171,7 @@
         await self.follow(store)
         self.assertEqual((0, [30, 31]), (store.lists, store.watched))
 
-    async def test_what_others_brought_meanwhile_is_not_asked_for_again(self) -> None:
+    async def test_changes_received_from_others_are_not_requested_again(self) -> None:
         store = ScriptedStore(([change("a", 12)], 12), ([change("b", 40)], 40))
         scripted_watch = store.watch
 
