--- a/src/lotushill/peering/group_gossip.py
+++ b/src/lotushill/peering/group_gossip.py
@@ -66,7 +66,7 @@
             self._record_failure(failure, self._name)
 
     def expire(self) -> None:
-        """Discard groups under which no upstream has failed for a while."""
+        """Discard groups during which no upstream has failed for a while."""
         self._isolation.expire(self._clock())
 
     def receive(self, update: GroupNews) -> None:
--- a/src/lotushill/platform/duty_api.py
+++ b/src/lotushill/platform/duty_api.py
@@ -15,7 +15,7 @@
     from collections.abc import Mapping
 
 _TIMEOUT_SECONDS = 1.5
-"""Short enough to retry an unanswered report several times within its limit of ten seconds."""
+"""Timeout of a call; allows several retries of a report, which is due within ten seconds."""
 _CONNECT_SECONDS = 0.7
 _MAX_CONNECTIONS = 16
 _KEEPALIVE_SECONDS = 3.0
--- a/src/lotushill/requests/attempt.py
+++ b/src/lotushill/requests/attempt.py
@@ -32,7 +32,7 @@
 
 _SUCCESS = range(200, 300)
 _MIN_HEAD_TIMEOUT_SECONDS = 0.8
-"""Least time to wait for the head of an answer before the upstream counts as silent."""
+"""Minimum wait for the head of an answer before the upstream counts as silent."""
 _HEAD_TIMEOUT_FACTOR = 4.0
 """Multiple of the predicted time to the first event after which the upstream counts as silent."""
 
@@ -82,7 +82,8 @@
         if self._was_suspended():
             connection.close()
             return AttemptEnd(EndKind.NOT_SENT, "the host was suspended")
-        # The placement may not know that the upstream takes no requests now, or be older than that.
+        # The placement may be older than the upstream's statement that it takes no requests, or
+        # have been made without it.
         if not self._components.gate.authorize_send(self._permit):
             connection.close()
             return AttemptEnd(EndKind.BARRED)
--- a/src/lotushill/requests/exchange.py
+++ b/src/lotushill/requests/exchange.py
@@ -108,7 +108,7 @@
             await self._answer.send_own_answer(_UNAVAILABLE, _RETRY_AFTER_SECONDS)
 
     async def _refuse_held(self) -> None:
-        """Refuse a quarantined request, under which upstreams failed, without sending it on."""
+        """Refuse a quarantined request, during which upstreams failed, without sending it on."""
         request = self._request
         self._components.quarantine.record_held(request)
         self._components.metrics.record_refusal(
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -48,7 +48,7 @@
 _RELEASE_DELAY_SECONDS = 0.3
 """Time after a handover by which the run itself is counted in the load of its target."""
 _MAX_TARGETS = 2
-"""Most targets that are tried for one move."""
+"""Maximum number of targets that are tried for one move."""
 
 
 class Mover:
@@ -173,8 +173,8 @@
         service = run.request.service.name
         stall_threshold = self.stalls.threshold(service, run.request.need.target_gap)
         stalled = now >= self._unblocked_at and run.is_stalled(now, stall_threshold)
-        typical_pause = self.stalls.typical_pause(service)
-        move = plan_move(run.state(now, typical_pause, leaves_in, stalled), engine)
+        usual_pause = self.stalls.typical_pause(service)
+        move = plan_move(run.state(now, usual_pause, leaves_in, stalled), engine)
         if move is None or not self._quarantine.may_retry(run.request):
             return None
         return move
--- a/src/lotushill/requests/upstream_connection.py
+++ b/src/lotushill/requests/upstream_connection.py
@@ -53,7 +53,7 @@
     """Connection to an upstream that carries one request at a time."""
 
     def __init__(self, answer_request_id: Callable[[Headers], str]) -> None:
-        """Create the protocol; `answered_id` returns the id of the request an answer belongs to."""
+        """Create the protocol; `answer_request_id` returns the id of the answered request."""
         self._answer_request_id = answer_request_id
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
--- a/src/lotushill/requests/upstream_pool.py
+++ b/src/lotushill/requests/upstream_pool.py
@@ -23,7 +23,7 @@
 overloaded.
 """
 _MAX_IDLE_CONNECTIONS = 32
-"""Most idle connections kept to one upstream."""
+"""Maximum number of idle connections kept to one upstream."""
 
 
 class UpstreamPool:
--- a/tests/quarantine/virtual_fleet.py
+++ b/tests/quarantine/virtual_fleet.py
@@ -80,7 +80,7 @@
         return groups_of(SERVICE.name, self.team, "route", self.target, ())
 
     def as_request(self) -> Request:
-        """Return this arrival under the type that the quarantine expects."""
+        """Return this arrival with the type that the quarantine expects."""
         return cast("Request", self)
 
 
--- a/tests/requests/rig.py
+++ b/tests/requests/rig.py
@@ -258,7 +258,7 @@
         self.isolation = Isolation()
         self.sent_leaving_messages: list[LeavingNews] = []
         self.sent_messages: list[SuspectNews | ClearedNews | GroupNews] = []
-        """Messages sent to other gateways when `keeper.tell_due` was called."""
+        """Messages that `quarantine_gossip.send_due` sent to other gateways."""
 
     def clock(self) -> float:
         """Return seconds of a clock that continues during a suspension."""
@@ -330,8 +330,8 @@
         metrics = Metrics()
         isolation_policy = IsolationPolicy(self.isolation, self.view, self.clock)
         self.mover = Mover(
-            EngineMemoryClient(), placer, shared_load, self.view, isolation_policy, self.quarantine_gossip,
-            budgets, stated.rate, metrics, log, self.clock,
+            EngineMemoryClient(), placer, shared_load, self.view, isolation_policy,
+            self.quarantine_gossip, budgets, stated.rate, metrics, log, self.clock,
         )  # fmt: skip
         self.components = GatewayComponents(
             name="gw",
@@ -411,7 +411,7 @@
 
 
 def alone(name: str) -> Membership:
-    """Return the membership of a gateway that knows no other gateways."""
+    """Return the membership of a gateway without known peers."""
     own = MemberState(name, "127.0.0.1:1", "z", "r", 1, MemberPhase.ALIVE)
     return Membership(own, (), MembershipOptions(), random.Random(8))
 
