--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -106,13 +106,8 @@
         "_PREFILL_LOSS_PER_TOKEN = 0.0",
     ),
     Variant(
-<<<<<<< /tmp/ls/m.ours
         "size relative to the typical request",
-        f"{PLACEMENT}/usual_request.py",
-=======
-        "size beside the usual",
         f"{PLACEMENT}/typical_requests.py",
->>>>>>> /tmp/ls/m.theirs
         "if typical <= 0:",
         "if True:",
     ),
--- a/src/lotushill/requests/mover.py
+++ b/src/lotushill/requests/mover.py
@@ -173,8 +173,8 @@
         service = run.request.service.name
         stall_threshold = self.stalls.threshold(service, run.request.need.target_gap)
         stalled = now >= self._unblocked_at and run.is_stalled(now, stall_threshold)
-        usual_pause = self.stalls.typical_pause(service)
-        move = plan_move(run.state(now, usual_pause, leaves_in, stalled), engine)
+        typical_pause = self.stalls.typical_pause(service)
+        move = plan_move(run.state(now, typical_pause, leaves_in, stalled), engine)
         if move is None or not self._quarantine.may_retry(run.request):
             return None
         return move
