--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -255,7 +255,7 @@
                 "the engines of a hall are withdrawn before a burst",
                 (
                     "tests.load.policy.test_replay.TestWithdrawn."
-                    "test_urgent_ones_do_not_get_nothing_while_longer_ones_begin",
+                    "test_urgent_requests_are_served_while_longer_ones_start",
                 ),
             ),
         ),
@@ -351,10 +351,10 @@
             Case(
                 "one team at eight times its usual load, at and above the capacity of the engines",
                 (
-                    f"{_TEAMS}.TestTeamAtEightTimes.test_beside_what_the_engines_bear",
+                    f"{_TEAMS}.TestTeamAtEightTimes.test_at_the_capacity_of_the_engines",
                     f"{_TEAMS}.TestTeamAtEightTimes.test_beside_twice_as_much",
-                    f"{_TEAMS}.TestManyTimes.test_a_team_at_thirty_times_is_not_starved_itself",
-                    f"{_TEAMS}.TestTiers.test_no_urgent_request_is_put_behind_for_a_share",
+                    f"{_TEAMS}.TestTeamAtThirtyTimes.test_a_team_at_thirty_times_is_not_starved_itself",
+                    f"{_TEAMS}.TestTiers.test_no_urgent_request_is_delayed_for_a_share",
                 ),
             ),
             Case(
@@ -392,16 +392,16 @@
             Case(
                 "many gateways, with lost datagrams",
                 (
-                    f"{_FLEET_LIMITS}.TestCalm.test_what_arrives_stays_at_the_limit_and_most_of_it_is_used",
-                    f"{_FLEET_LIMITS}.TestCalm.test_so_it_is_with_hundreds_of_gateways",
+                    f"{_FLEET_LIMITS}.TestWithoutFaults.test_arrivals_stay_within_the_limit_and_use_most_of_it",
+                    f"{_FLEET_LIMITS}.TestWithoutFaults.test_the_limit_is_kept_and_used_with_hundreds_of_gateways",
                     "tests.soak.test_limits.TestLimits.test_all_gateways_together_keep_to_the_limits_of_two_engines",
                 ),
             ),
             Case(
                 "gateways are killed, frozen, partitioned, join, restart, disagree on the owner",
                 (
-                    f"{_FLEET_LIMITS}.TestFaults.test_whatever_happens_to_the_gateways_it_holds",
-                    f"{_FLEET_LIMITS}.TestFaults.test_also_where_the_limit_is_high",
+                    f"{_FLEET_LIMITS}.TestFaults.test_faults_of_gateways_do_not_break_the_limit",
+                    f"{_FLEET_LIMITS}.TestFaults.test_faults_do_not_break_a_high_limit",
                     "tests.limits.test_limit_owners.TestLimitOwners.test_the_fractions_of_both_sides_of_a_partition_are_at_most_one",
                 ),
             ),
@@ -410,7 +410,7 @@
                 (
                     f"{_FLEET_LIMITS}.TestChanges.test_a_lower_limit_holds_soon_for_all",
                     f"{_FLEET_LIMITS}.TestChanges.test_a_higher_limit_is_used_soon",
-                    f"{_FLEET_LIMITS}.TestChanges.test_after_its_end_nobody_asks_any_more",
+                    f"{_FLEET_LIMITS}.TestChanges.test_after_its_end_no_gateway_requests_permits",
                     f"{_LIMIT}.test_a_malformed_limit_does_not_end_the_limit",
                     f"{_LIMIT}.test_a_later_incarnation_has_no_limit",
                     "tests.availability.test_stated_limits.TestStatedLimits.test_successive_reports_lead_to_the_last_one_in_any_order",
@@ -833,8 +833,8 @@
             Case(
                 "far too few engines",
                 (
-                    f"{_REPLAY}.test_more_urgent_ones_do_not_get_nothing_while_larger_ones_begin",
-                    f"{_REPLAY}.test_nor_where_a_third_of_the_engines_needed_is_left",
+                    f"{_REPLAY}.test_more_urgent_requests_are_served_while_larger_ones_start",
+                    f"{_REPLAY}.test_they_are_served_with_a_third_of_the_engines_needed",
                 ),
             ),
         ),
@@ -847,12 +847,12 @@
                 "long requests at 1.3 times the capacity",
                 (
                     f"{_RETURNS}.test_in_a_brief_wave_few_are_refused_again_and_more_are_served",
-                    f"{_RETURNS}.test_in_a_long_one_no_less_is_earned",
+                    f"{_RETURNS}.test_a_long_wave_earns_no_less_credit",
                 ),
             ),
             Case(
                 "clients that return at once and often",
-                (f"{_RETURNS}.test_who_comes_at_once_and_often_gains_nothing",),
+                (f"{_RETURNS}.test_clients_that_return_at_once_and_often_gain_nothing",),
             ),
             Case(
                 "the scheduler that made the promise is killed",
--- a/tests/load/limits/test_emulated_fleet.py
+++ b/tests/load/limits/test_emulated_fleet.py
@@ -22,15 +22,15 @@
     return EmulatedFleet(Play(*args, **kwargs)).run()  # type: ignore[arg-type]
 
 
-class TestCalm(unittest.TestCase):
-    def test_what_arrives_stays_at_the_limit_and_most_of_it_is_used(self) -> None:
+class TestWithoutFaults(unittest.TestCase):
+    def test_arrivals_stay_within_the_limit_and_use_most_of_it(self) -> None:
         for gateways, rate, seconds in ((9, 0.2, 100.0), (9, 1, 40.0), (9, 4, 20.0), (81, 1, 30.0)):
             with self.subTest(gateways=gateways, rate=rate):
                 outcome = play(gateways, rate, seconds=seconds)
                 self.assertLessEqual(outcome.max_in_window, 4 * rate + 2)
                 self.assertGreater(outcome.used_fraction, MIN_USED_FRACTION)
 
-    def test_so_it_is_with_hundreds_of_gateways(self) -> None:
+    def test_the_limit_is_kept_and_used_with_hundreds_of_gateways(self) -> None:
         outcome = play(360, 4, seconds=12.0)
         self.assertLessEqual(outcome.max_in_window, 4 * 4 + 2)
         self.assertGreater(outcome.used_fraction, MIN_USED_FRACTION)
@@ -48,14 +48,14 @@
 
 
 class TestFaults(unittest.TestCase):
-    def test_whatever_happens_to_the_gateways_it_holds(self) -> None:
+    def test_faults_of_gateways_do_not_break_the_limit(self) -> None:
         for fault in Fault:
             for gateways, rate, seed in ((9, 1, 1), (9, 4, 2), (81, 0.2, 3)):
                 with self.subTest(fault=fault, gateways=gateways, rate=rate, seed=seed):
                     outcome = play(gateways, rate, fault=fault, seed=seed)
                     self.assertLessEqual(outcome.max_in_window, max_requests_per_window(rate))
 
-    def test_also_where_the_limit_is_high(self) -> None:
+    def test_faults_do_not_break_a_high_limit(self) -> None:
         for fault in (Fault.KILL, Fault.CUT, Fault.DISAGREE):
             with self.subTest(fault=fault):
                 outcome = play(9, 50, fault=fault, seconds=16.0)
@@ -74,7 +74,7 @@
         outcome = play(81, 1, demand=80.0, changes=((8.0, 20.0),), seconds=15.0)
         self.assertGreater(self.count_arrivals(outcome, 10.5, 14.5), MIN_USED_FRACTION * 4 * 20)
 
-    def test_after_its_end_nobody_asks_any_more(self) -> None:
+    def test_after_its_end_no_gateway_requests_permits(self) -> None:
         for rate in (0.2, 4):
             with self.subTest(rate=rate):
                 demand = 40.0 / rate
--- a/tests/load/policy/test_replay.py
+++ b/tests/load/policy/test_replay.py
@@ -49,12 +49,12 @@
         self.assertGreater(on_time_fraction(result, "triage"), 0.95)
         self.assertGreater(result.credit, 0.64)
 
-    def test_more_urgent_ones_do_not_get_nothing_while_larger_ones_begin(self) -> None:
+    def test_more_urgent_requests_are_served_while_larger_ones_start(self) -> None:
         for engines, seed in ((6, 1), (7, 2), (8, 2)):
             with self.subTest(engines=engines, seed=seed):
                 self.assertEqual(Replay(scarce(engines), seed).play().put_behind, [])
 
-    def test_nor_where_a_third_of_the_engines_needed_is_left(self) -> None:
+    def test_they_are_served_with_a_third_of_the_engines_needed(self) -> None:
         """Two larger requests begin before a burst of the most urgent and occupy slots through it.
 
         The burst is not predictable. Engines whose slots these requests occupied were considered
@@ -93,7 +93,7 @@
     refused them for lack of capacity while longer requests waited in those queues.
     """
 
-    def test_urgent_ones_do_not_get_nothing_while_longer_ones_begin(self) -> None:
+    def test_urgent_requests_are_served_while_longer_ones_start(self) -> None:
         for seed in (1, 2):
             with self.subTest(seed=seed):
                 result = Replay(scenario("hall-withdrawn"), seed).play()
@@ -146,12 +146,12 @@
         self.assertGreater(sum(result.served for result in results), 1191)
         self.assertGreater(sum(result.credit for result in results) / len(results), 0.82)
 
-    def test_in_a_long_one_no_less_is_earned(self) -> None:
+    def test_a_long_wave_earns_no_less_credit(self) -> None:
         results = [Replay(scenario("long-wave"), seed).play() for seed in (1, 2)]
         self.assertGreater(sum(result.credit for result in results) / len(results), 0.7)
         self.assertLess(max(result.refused_again_fraction for result in results), 0.5)
 
-    def test_who_comes_at_once_and_often_gains_nothing(self) -> None:
+    def test_clients_that_return_at_once_and_often_gain_nothing(self) -> None:
         load = scenario("long-wave")
         classes = tuple(replace(item, impatient=0.2) for item in load.classes)
         for seed in (1, 2):
--- a/tests/load/policy/test_teams.py
+++ b/tests/load/policy/test_teams.py
@@ -79,14 +79,14 @@
         self.assertGreater(served_count(bursting), 0.95 * served_count(unshared))
         self.assertLess(statistics.mean(other_team_credits(unshared)), 0.95 * statistics.mean(calm))
 
-    def test_beside_what_the_engines_bear(self) -> None:
+    def test_at_the_capacity_of_the_engines(self) -> None:
         self.check(1.0)
 
     def test_beside_twice_as_much(self) -> None:
         self.check(2.0)
 
 
-class TestManyTimes(unittest.TestCase):
+class TestTeamAtThirtyTimes(unittest.TestCase):
     def test_a_team_at_thirty_times_is_not_starved_itself(self) -> None:
         """A team counts as starved if it is served under a quarter as often as all teams."""
         load = replace(scenario(2.0), team_bursts=(TeamBurst(BURSTING_TEAM, 3.0, 13.0, 30.0),))
@@ -127,7 +127,7 @@
 
 
 class TestTiers(unittest.TestCase):
-    def test_no_urgent_request_is_put_behind_for_a_share(self) -> None:
+    def test_no_urgent_request_is_delayed_for_a_share(self) -> None:
         load = scenario(1.0, "overlapping-bursts")
         teams = (Team("some", 11), Team(BURSTING_TEAM))
         bursts = (Burst(1.0, 9.0, 3.0, "letter"), Burst(4.0, 6.0, 2.9, "query"))
