--- a/scripts/write_pages.py
+++ b/scripts/write_pages.py
@@ -1,4 +1,4 @@
-"""Writes the pages that come from the code: the settings reference and the fault matrix."""
+"""Writes the pages generated from the code: the settings reference and the fault matrix."""
 
 from __future__ import annotations
 
@@ -47,15 +47,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class _Setting:
-    """One value of a settings file."""
+    """One key of a settings file."""
 
     name: str
-    kind: str
+    type_name: str
     default: Any
 
 
 def pages() -> dict[str, str]:
-    """Return each page by its path."""
+    """Return the text of each page by its path."""
     return {
         "docs/configuration.md": _configuration(),
         "docs/fault-matrix.md": fault_matrix.page(),
@@ -66,8 +66,8 @@
     lines = [
         "# Configuration",
         "",
-        "Written from the settings' own definitions by `python scripts/write_pages.py`, and held",
-        "against them in CI. Each fault is told by its path.",
+        "Generated from the definitions of the settings by `python scripts/write_pages.py`, and",
+        "checked against them in CI. Each error is reported with the path of its key.",
         "",
         "## The settings tree",
         "",
@@ -76,26 +76,28 @@
         "platform's route to the root, its services and their classes, then to the team, its",
         "services and their classes; the nearest level that sets a value wins.",
         "`lotushill get team/NAME --effective SERVICE/CLASS` shows each value with the level that",
-        "it comes from. Unknown keys are errors. Edits are in force at all gateways within",
-        "seconds; `lotushill status` shows where.",
+        "it comes from. Unknown keys are errors. Edits take effect at all gateways within",
+        "seconds; `lotushill status` shows which gateways have applied them.",
         "",
     ]
     for model in _TREE:
         lines += _table(model)
-    lines += ["## The programs' own settings files", ""]
-    lines += ["`lotushill-gateway` passes over keys that it does not know.", ""]
+    lines += ["## Settings files of the programs", ""]
+    lines += ["`lotushill-gateway` ignores unknown keys.", ""]
     for model in _PROGRAMS:
         lines += _table(model)
     return "\n".join(lines).rstrip() + "\n"
 
 
 def _table(model: type[Any]) -> list[str]:
-    notes = _attribute_notes(model)
+    docs = _field_docs(model)
     lines = [f"### {model.__name__}", "", (model.__doc__ or "").strip(), ""]
     lines += ["| key | type | default | meaning |", "|---|---|---|---|"]
     for item in _fields(model):
-        default = "required" if item.default is _REQUIRED else f"`{_shown(item.default)}`"
-        lines.append(f"| `{item.name}` | {item.kind} | {default} | {notes.get(item.name, '')} |")
+        default = "required" if item.default is _REQUIRED else f"`{_format_default(item.default)}`"
+        lines.append(
+            f"| `{item.name}` | {item.type_name} | {default} | {docs.get(item.name, '')} |"
+        )
     return [*lines, ""]
 
 
@@ -103,11 +105,13 @@
     if dataclasses.is_dataclass(model):
         hints = typing.get_type_hints(model)
         return [
-            _Setting(item.name, _kind(hints[item.name]), _default(item))
+            _Setting(item.name, _type_name(hints[item.name]), _default(item))
             for item in dataclasses.fields(model)
         ]
     return [
-        _Setting(name, _kind(item.annotation), _REQUIRED if item.is_required() else item.default)
+        _Setting(
+            name, _type_name(item.annotation), _REQUIRED if item.is_required() else item.default
+        )
         for name, item in model.model_fields.items()
     ]
 
@@ -116,42 +120,42 @@
     return _REQUIRED if item.default is dataclasses.MISSING else item.default
 
 
-def _shown(value: Any) -> str:
+def _format_default(value: Any) -> str:
     if isinstance(value, BaseModel) or dataclasses.is_dataclass(value):
         return "{}"
     return "none" if value is None else str(value)
 
 
-def _kind(annotation: Any) -> str:
-    """Return a type as an operator reads it."""
+def _type_name(annotation: Any) -> str:
+    """Return the name of a type as shown to operators."""
     origin = typing.get_origin(annotation)
     if origin is typing.Annotated:
-        return _kind(typing.get_args(annotation)[0])
+        return _type_name(typing.get_args(annotation)[0])
     if origin is typing.Literal:
         return ", ".join(f"`{choice}`" for choice in typing.get_args(annotation))
     if origin in (typing.Union, types.UnionType):
-        kinds = [item for item in typing.get_args(annotation) if item is not type(None)]
-        return " or ".join(_kind(item) for item in kinds)
+        members = [item for item in typing.get_args(annotation) if item is not type(None)]
+        return " or ".join(_type_name(item) for item in members)
     if origin is tuple:
-        return f"list of {_kind(typing.get_args(annotation)[0])}"
+        return f"list of {_type_name(typing.get_args(annotation)[0])}"
     if origin is dict:
         key, value = typing.get_args(annotation)
-        return f"map of {_kind(key)} to {_kind(value)}"
+        return f"map of {_type_name(key)} to {_type_name(value)}"
     names = {str: "text", int: "whole number", float: "number", bool: "true or false"}
     return names.get(annotation, getattr(annotation, "__name__", str(annotation)))
 
 
-def _attribute_notes(model: type[Any]) -> dict[str, str]:
-    """Return the texts that stand under the fields in the source."""
+def _field_docs(model: type[Any]) -> dict[str, str]:
+    """Return the docstrings placed below the fields in the source, by field name."""
     tree = ast.parse(textwrap.dedent(inspect.getsource(model))).body[0]
     assert isinstance(tree, ast.ClassDef)
-    notes: dict[str, str] = {}
+    docs: dict[str, str] = {}
     for field, note in zip(tree.body, tree.body[1:], strict=False):
         if not isinstance(field, ast.AnnAssign) or not isinstance(field.target, ast.Name):
             continue
         if isinstance(note, ast.Expr) and isinstance(note.value, ast.Constant):
-            notes[field.target.id] = " ".join(str(note.value.value).split())
-    return notes
+            docs[field.target.id] = " ".join(str(note.value.value).split())
+    return docs
 
 
 def main() -> None:
--- a/src/lotushill/availability/retry_budget.py
+++ b/src/lotushill/availability/retry_budget.py
@@ -1,60 +1,62 @@
-"""A gateway's part of the fleet's budget for sending a request once more."""
+"""A gateway's part of the fleet's retry budget."""
 
 from __future__ import annotations
 
 from collections import deque
 
-_RATIO_SHARE = 0.8
-_SLACK_SHARE = 0.8
-"""What of the budget is used: the rest is for counts that differ at the edges of a window."""
+_USED_RATIO_FRACTION = 0.8
+_USED_SLACK_FRACTION = 0.8
+"""Fractions of ratio and slack that are used; the remainder covers counts that differ between
+gateways at the edges of a window."""
 
 
 class RetryBudget:
-    """Counts requests and repeats of one service in a sliding window."""
+    """Counts requests and retries of one service in a sliding window."""
 
     def __init__(
         self, ratio: float, slack: float, window: float, started: float = float("-inf")
     ) -> None:
-        """Count from when the process `started`."""
+        """Create the budget; `started` is the time at which the process started."""
         self._started = started
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
-        self.change(ratio, slack, window)
+        self._retries: deque[float] = deque()
+        self.set_bounds(ratio, slack, window)
 
-    def change(self, ratio: float, slack: float, window: float) -> None:
-        """Use other bounds from now on; `window` is in seconds."""
-        self._ratio = ratio * _RATIO_SHARE
-        self._slack = slack * _SLACK_SHARE
+    def set_bounds(self, ratio: float, slack: float, window: float) -> None:
+        """Replace the bounds; `window` is in seconds."""
+        self._ratio = ratio * _USED_RATIO_FRACTION
+        self._slack = slack * _USED_SLACK_FRACTION
         self._window = window
 
     def note_request(self, now: float) -> None:
-        """Note a client's request."""
+        """Record a client's request."""
         self._requests.append(now)
 
-    def spend(self, gateways: int, now: float) -> bool:
-        """Take one repeat, if this gateway's part of the budget has one left.
+    def try_spend(self, gateways: int, now: float) -> bool:
+        """Take one retry and return True if this gateway's part of the budget has one left.
 
-        `gateways` is how many share the budget, 0 while that is not known.
+        `gateways` is the number of gateways that share the budget, 0 while it is unknown.
         """
-        self._forget(self._requests, now)
-        self._forget(self._repeats, now)
+        self._drop_old(self._requests, now)
+        self._drop_old(self._retries, now)
         allowed = self._ratio * len(self._requests) + self._slack_part(gateways, now)
-        if len(self._repeats) + 1 > allowed:
+        if len(self._retries) + 1 > allowed:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
     def _slack_part(self, gateways: int, now: float) -> float:
-        """Return what is allowed beyond the share of the own requests.
+        """Return the retries allowed beyond the ratio of this gateway's own requests.
 
-        Nothing while the fleet's size is not known, and nothing in the first window of a process:
-        its host may have spent its part just before it was started again, and others count a new
-        one in only after some seconds. So all parts together never exceed the budget.
+        It is 0 while the fleet's size is unknown, and in the first window of a process: the
+        previous process on its host may have spent its part just before the restart, and other
+        gateways count a new one only after some seconds. So all parts together never exceed the
+        budget.
         """
         if not gateways or now - self._started < self._window:
             return 0.0
         return self._slack / gateways
 
-    def _forget(self, times: deque[float], now: float) -> None:
+    def _drop_old(self, times: deque[float], now: float) -> None:
         while times and times[0] < now - self._window:
             times.popleft()
--- a/src/lotushill/console/gateway.py
+++ b/src/lotushill/console/gateway.py
@@ -1,4 +1,4 @@
-"""The program `lotushill-gateway`."""
+"""The program `lotushill-gateway`: runs one gateway process."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
     from lotushill.process.settings import GatewaySettings
 
 CONFIG_VARIABLE = "LOTUSHILL_NODE_FILE"
-"""Names the settings file where no `--config` is given."""
+"""Environment variable that names the settings file if `--config` is not given."""
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run one gateway."""
+    """Run one gateway process."""
     signals = ProcessSignals()
     signals.install()
-    # Loading makes many objects and no garbage: without the collector it takes a tenth less
-    # time, which counts when all hosts come back at once. What was loaded stays for good.
+    # Imports create many objects and no garbage: with garbage collection disabled they take a
+    # tenth less time, which matters when all hosts restart at once. The imported objects are never
+    # freed, so they are frozen once the gateway has been created.
     gc.disable()
+    from lotushill.console.program import configure_logging
     from lotushill.console.program import new_parser
     from lotushill.console.program import read_or_exit
     from lotushill.console.program import run
-    from lotushill.console.program import start_logs
     from lotushill.process.settings_file import read_settings
 
-    parser = new_parser("lotushill-gateway", "Route requests on one node.")
+    parser = new_parser("lotushill-gateway", "Route requests on one host.")
     parser.add_argument(
         "--config",
         type=Path,
@@ -40,8 +41,8 @@
     )
     path = parser.parse_args(arguments).config
     if path is None:
-        parser.error(f"--config or ${CONFIG_VARIABLE} is needed")
-    start_logs("INFO")
+        parser.error(f"--config or ${CONFIG_VARIABLE} is required")
+    configure_logging("INFO")
     run(_serve, read_or_exit(read_settings, Path(path)), Path(path), signals)
 
 
@@ -52,7 +53,7 @@
     gateway = Gateway(settings, lambda: read_settings(path))
     gc.freeze()
     gc.enable()
-    await gateway.run(lambda: signals.reload_asked)
+    await gateway.run(lambda: signals.is_reload_requested)
     signals.ignore()
 
 
--- a/src/lotushill/event_log.py
+++ b/src/lotushill/event_log.py
@@ -1,4 +1,4 @@
-"""Structured lines on standard output: bounded in rate, and never waited for."""
+"""Structured log lines on standard output, limited in rate and written without blocking."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
     from lotushill.journal import Journal
 
-_LINES_A_SECOND = 200
-_BURST_LINES = 400
+_MAX_LINES_PER_SECOND = 200
+_MAX_BURST_LINES = 400
 
 
 class EventLog:
-    """Writes one JSON object a line; what exceeds the rate is counted and left out."""
+    """Writes one JSON object per line; lines above the rate limit are counted and dropped."""
 
     def __init__(
         self,
@@ -27,26 +27,26 @@
         clock: Callable[[], float] = clocks.now,
         journal: Journal | None = None,
     ) -> None:
-        """Write lines of the node `name`; `journal` keeps the last ones about requests."""
+        """Create the log of the gateway `name`; `journal` keeps the last events of requests."""
         self._name = name
         self._write = write or _StandardOutput().write
         self._clock = clock
         self._journal = journal
-        self._credit = float(_BURST_LINES)
-        self._at = clock()
+        self._credit = float(_MAX_BURST_LINES)
+        self._credit_updated_at = clock()
         self.left_out = 0
-        """Lines left out since the last one written."""
-        self.left_out_in_all = 0
+        """Number of lines dropped since the last one that was written."""
+        self.total_left_out = 0
 
     def note(self, event: str, **fields: object) -> None:
-        """Write one event with its fields, if the rate allows."""
+        """Write one event with its fields unless the rate limit is exceeded."""
         now = self._clock()
         line: dict[str, object] = {"t": round(now, 3), "node": self._name, "event": event}
         if self._journal is not None and "request" in fields:
             self._journal.add(str(fields["request"]), {**line, **fields})
-        if not self._allowed(now):
+        if not self._spend_credit(now):
             self.left_out += 1
-            self.left_out_in_all += 1
+            self.total_left_out += 1
             return
         if self.left_out:
             line["left_out"] = self.left_out
@@ -54,9 +54,11 @@
         line |= fields
         self._write(json.dumps(line, separators=(",", ":"), default=str).encode() + b"\n")
 
-    def _allowed(self, now: float) -> bool:
-        self._credit = min(_BURST_LINES, self._credit + (now - self._at) * _LINES_A_SECOND)
-        self._at = now
+    def _spend_credit(self, now: float) -> bool:
+        self._credit = min(
+            _MAX_BURST_LINES, self._credit + (now - self._credit_updated_at) * _MAX_LINES_PER_SECOND
+        )
+        self._credit_updated_at = now
         if self._credit < 1.0:
             return False
         self._credit -= 1.0
@@ -64,32 +66,32 @@
 
 
 class _StandardOutput:
-    """Standard output without blocking: a full pipe loses lines, and says how many."""
+    """Non-blocking standard output; a full pipe drops lines, and the next line counts them."""
 
     def __init__(self) -> None:
-        self._lost = 0
-        self._rest = b""
+        self._dropped_lines = 0
+        self._unwritten = b""
         try:
             os.set_blocking(1, False)
         except OSError:
             pass
 
     def write(self, line: bytes) -> None:
-        if self._rest and not self._put(self._rest):
-            self._lost += 1
+        if self._unwritten and not self._write_some(self._unwritten):
+            self._dropped_lines += 1
             return
-        if self._lost:
-            line = line[:-2] + f',"lost":{self._lost}}}\n'.encode()
-        if self._put(line):
-            self._lost = 0
+        if self._dropped_lines:
+            line = line[:-2] + f',"lost":{self._dropped_lines}}}\n'.encode()
+        if self._write_some(line):
+            self._dropped_lines = 0
 
-    def _put(self, data: bytes) -> bool:
-        """Write what fits; return whether all of it did, and keep the rest for next time."""
+    def _write_some(self, data: bytes) -> bool:
+        """Write what the pipe accepts and keep the rest; return whether all data was written."""
         try:
             written = os.write(1, data)
         except (BlockingIOError, BrokenPipeError, OSError):
-            if data is not self._rest:
-                self._lost += 1
+            if data is not self._unwritten:
+                self._dropped_lines += 1
             return False
-        self._rest = data[written:]
-        return not self._rest
+        self._unwritten = data[written:]
+        return not self._unwritten
--- a/src/lotushill/following/followed_objects.py
+++ b/src/lotushill/following/followed_objects.py
@@ -1,4 +1,4 @@
-"""A kind whose objects are all held as they are, and change seldom."""
+"""A followed kind whose objects are all kept as stored, and change rarely."""
 
 from __future__ import annotations
 
@@ -10,22 +10,26 @@
 
 from lotushill.following.followed import FROM_PEER
 from lotushill.following.followed import FROM_STORE
-from lotushill.following.followed import Followed
+from lotushill.following.followed import FollowedKind
 from lotushill.following.followed import Specs
-from lotushill.following.followed import changed
-from lotushill.following.followed import specs_of
+from lotushill.following.followed import apply_changes
+from lotushill.following.followed import specs_by_name
 from lotushill.views.watcher import WatchedKind
 
 if TYPE_CHECKING:
     from lotushill.views.stored_object import Change
 
-_INTERVAL_SECONDS = 0.5
-_WATCH_SECONDS = 25.0
-"""Changes come as soon as they are made; only a silent cut is noticed later."""
+_WATCH_INTERVAL_SECONDS = 0.5
+_MAX_WATCH_SECONDS = 25.0
+"""Maximum duration of one watch.
+
+Changes arrive as soon as they are made; only a connection that was lost without notice is detected
+later than with shorter watches.
+"""
 
 
 class ObjectsView(Protocol):
-    """Holds all objects of a kind as of a revision."""
+    """View that holds all objects of a kind as of a revision."""
 
     revision: int
 
@@ -35,48 +39,48 @@
         ...
 
     def replace(self, objects: Specs, revision: int) -> bool:
-        """Take all objects of a newer revision; return whether the view is another now."""
+        """Replace all objects by those of a newer revision; return whether the view changed."""
         ...
 
 
-class FollowedObjects(Followed):
-    """Follows one kind into a view."""
+class FollowedObjects(FollowedKind):
+    """Keeps the view of one kind up to date."""
 
     def __init__(self, kind: str, view: ObjectsView) -> None:
         self._kind = kind
-        self._objects = view
+        self._objects_view = view
 
     @property
     def revision(self) -> int:
-        """Return the revision that is held."""
-        return self._objects.revision
+        """Return the revision of the view."""
+        return self._objects_view.revision
 
-    def watched(self) -> WatchedKind:
-        """Return how it is followed at the store."""
+    def watched_kind(self) -> WatchedKind:
+        """Return how the watcher follows the kind at the store."""
         return WatchedKind(
             self._kind,
-            lambda listed: self._take(specs_of(listed), listed.revision, FROM_STORE),
+            lambda listed: self._apply(specs_by_name(listed), listed.revision, FROM_STORE),
             self._on_changes,
             lambda: self.revision,
-            _INTERVAL_SECONDS,
-            _WATCH_SECONDS,
+            _WATCH_INTERVAL_SECONDS,
+            _MAX_WATCH_SECONDS,
         )
 
-    def text(self) -> str:
-        """Return all objects."""
-        return json.dumps(self._objects.objects)
+    def to_json(self) -> str:
+        """Return all objects as JSON."""
+        return json.dumps(self._objects_view.objects)
 
-    def take_from_peer(self, value: Any, revision: int) -> None:
-        """Take a peer's."""
-        self._take(dict(value), revision, FROM_PEER)
+    def receive_from_peer(self, value: Any, revision: int) -> None:
+        """Replace the view by a peer's if that is newer."""
+        self._apply(dict(value), revision, FROM_PEER)
 
     def _on_changes(self, changes: list[Change], revision: int) -> None:
-        self._take(changed(self._objects.objects, changes), revision, FROM_STORE)
+        self._apply(apply_changes(self._objects_view.objects, changes), revision, FROM_STORE)
 
-    def _take(self, specs: Specs, revision: int, source: str) -> None:
-        if self._objects.replace(specs, revision):
-            self.note_change(source)
+    def _apply(self, specs: Specs, revision: int, source: str) -> None:
+        if self._objects_view.replace(specs, revision):
+            self.report_change(source)
 
     @abstractmethod
-    def note_change(self, source: str) -> None:
-        """Tell of another view, which came from `source`."""
+    def report_change(self, source: str) -> None:
+        """Log and report a changed view, which came from `source`."""
--- a/src/lotushill/following/settings.py
+++ b/src/lotushill/following/settings.py
@@ -1,10 +1,10 @@
-"""The settings tree, followed."""
+"""Follows the settings tree."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from lotushill.contracts.names import KIND
+from lotushill.contracts.names import SETTINGS_KIND
 from lotushill.contracts.settings_view import SettingsView
 from lotushill.following.followed_objects import FollowedObjects
 
@@ -13,15 +13,15 @@
 
 
 class FollowedSettings(FollowedObjects):
-    """All objects of the tree; one that cannot be read keeps its last good state."""
+    """Keeps the view of the tree; an object that cannot be parsed keeps its last valid state."""
 
     def __init__(self, log: EventLog) -> None:
         self.view = SettingsView()
-        super().__init__(KIND, self.view)
+        super().__init__(SETTINGS_KIND, self.view)
         self._log = log
 
-    def note_change(self, source: str) -> None:
-        """Tell of another tree, and of what in it cannot be read."""
+    def report_change(self, source: str) -> None:
+        """Log the change and the objects of the tree that cannot be parsed."""
         revision, count = self.view.revision, len(self.view.objects)
         self._log.note("settings.in_force", revision=revision, objects=count, source=source)
         for name, error in self.view.faults.items():
--- a/src/lotushill/gateway/duties.py
+++ b/src/lotushill/gateway/duties.py
@@ -1,4 +1,4 @@
-"""A gateway's part in the duties of the fleet: its counts, and the keeper where there is one."""
+"""A gateway's part in the duties of the fleet: its request counts and its candidacy as holder."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import anyio
 
 from lotushill import clock as clocks
+from lotushill.duties.request_counter import RequestCounter
 from lotushill.duties.true_time import TrueTime
-from lotushill.duties.work_counts import WorkCounts
 from lotushill.links.messages import StoreContact
 from lotushill.process.settings import DutySettings
 from lotushill.rendezvous import ranked
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
     from lotushill.availability.stated_limits import StatedLimits
-    from lotushill.duties.duty_keeper import DutyKeeper
+    from lotushill.duties.duty_runner import DutyRunner
     from lotushill.event_log import EventLog
     from lotushill.gateway.store_views import StoreViews
     from lotushill.links.messages import WorkPage
@@ -32,16 +32,16 @@
     from lotushill.process.settings import GatewaySettings
     from lotushill.routing.service import Service
 
-_KEY = "duties"
-_MOST_RANKED = 10_000
-_TICK_SECONDS = 0.05
+_RANK_KEY = "duties"
+_MAX_RANKED_GATEWAYS = 10_000
+_POLL_INTERVAL_SECONDS = 0.05
 
 
 @dataclass(frozen=True)
-class DutyParts:
-    """The parts of a running gateway that its duties use."""
+class DutyDependencies:
+    """Components of a running gateway that its duties use."""
 
-    ready: Callable[[], bool]
+    is_ready: Callable[[], bool]
     views: StoreViews
     peers: Peers
     fleet: Fleet
@@ -51,85 +51,85 @@
 
 
 class FleetDuties:
-    """Counts for the holder of the duties, and may be the holder where the settings ask for it."""
+    """Counts requests for the holder of the duties, and is a candidate if the settings say so."""
 
     def __init__(self, settings: GatewaySettings) -> None:
-        """Count for the gateway of `settings`."""
+        """Create the request counter of the gateway that `settings` describe."""
         self._settings = settings
         self._time = TrueTime(time.time, clocks.now)
         window_seconds = (settings.duties or DutySettings("")).report_window_seconds
-        self.work = WorkCounts(settings.name, window_seconds, self._time, clocks.now)
-        self._keeper: DutyKeeper | None = None
-
-    async def run(self, parts: DutyParts) -> None:
-        """Do what falls to this gateway for the whole fleet, once it can serve."""
-        while not parts.ready():
-            await anyio.sleep(_TICK_SECONDS)
-        self._keeper = self._new_keeper(parts)
+        self.request_counter = RequestCounter(settings.name, window_seconds, self._time, clocks.now)
+        self._runner: DutyRunner | None = None
+
+    async def run(self, dependencies: DutyDependencies) -> None:
+        """Run as a candidate for the duties of the fleet, once this gateway is ready to serve."""
+        while not dependencies.is_ready():
+            await anyio.sleep(_POLL_INTERVAL_SECONDS)
+        self._runner = self._new_runner(dependencies)
         try:
-            await self._keeper.run()
+            await self._runner.run()
         finally:
-            self._keeper = None
+            self._runner = None
 
-    def pages(self, pull: WorkPull) -> Iterable[WorkPage]:
-        """Return what this gateway counted, and take over the time that the asker worked out."""
-        self._time.adopt(pull.now)
-        return self.work.pages(pull.since)
+    def work_pages(self, pull: WorkPull) -> Iterable[WorkPage]:
+        """Return the counts of this gateway, and adopt the time that the requester computed."""
+        self._time.set_time(pull.now)
+        return self.request_counter.pages(pull.since)
 
     def receive(self, page: WorkPage) -> None:
-        """Take in what another gateway counted."""
-        if self._keeper is not None:
-            self._keeper.receive(page)
+        """Receive the counts of another gateway."""
+        if self._runner is not None:
+            self._runner.receive(page)
 
     async def hand_over(self) -> None:
-        """Let another gateway hold the duties, since this one stops."""
-        if self._keeper is not None:
-            await self._keeper.hand_over()
+        """Hand over the duties to another gateway, because this one shuts down."""
+        if self._runner is not None:
+            await self._runner.hand_over()
 
     def status(self) -> dict[str, object] | None:
-        """Return what operators ask of the duties, None without any."""
-        return self._keeper.status() if self._keeper is not None else None
+        """Return the status of the duties for operators, None if this gateway does not run them."""
+        return self._runner.status() if self._runner is not None else None
 
-    def _new_keeper(self, parts: DutyParts) -> DutyKeeper:
-        # Loaded late: nothing of it is needed to serve.
-        from lotushill.duties.duty_keeper import DutyKeeper
-        from lotushill.duties.ports import FleetSight
+    def _new_runner(self, dependencies: DutyDependencies) -> DutyRunner:
+        # Imported late because serving does not need these modules.
+        from lotushill.duties.duty_runner import DutyRunner
+        from lotushill.duties.ports import FleetAccess
         from lotushill.platform.duty_api import DutyApi
 
         settings = self._settings.duties
         assert settings is not None
-        membership = parts.peers.membership
-        sight = FleetSight(
+        membership = dependencies.peers.membership
+        fleet_access = FleetAccess(
             members=membership.live,
-            reads_store=lambda: parts.views.contact() is StoreContact.READING,
+            reads_store=lambda: dependencies.views.contact() is StoreContact.READING,
             rank=lambda: _rank(membership),
-            services=lambda: _services(parts.views),
-            upstreams=parts.views.upstreams,
-            pull=parts.peers.send_message,
-            limit=parts.limits.rate,
-            stream_seconds=lambda service: parts.fleet.pace(service).stream_seconds,
-            own_pages=self.work.pages,
+            services=lambda: _services(dependencies.views),
+            upstreams=dependencies.views.upstreams,
+            send_pull=dependencies.peers.send_message,
+            request_rate_limit=dependencies.limits.rate,
+            stream_seconds=lambda service: dependencies.fleet.pace(service).stream_seconds,
+            own_pages=self.request_counter.pages,
         )
-        return DutyKeeper(
+        return DutyRunner(
             self._settings.name,
             membership.own.incarnation,
             settings,
-            parts.store,
+            dependencies.store,
             DutyApi(settings.address),
-            sight,
+            fleet_access,
             self._time,
-            parts.log,
+            dependencies.log,
             clocks.now,
         )
 
 
 def _rank(membership: Membership) -> int:
-    """Return the place of this gateway among those that the store serves now."""
+    """Return the rank of this gateway among those that currently read the store."""
     own = membership.own.name
-    reading = {
+    reader_names = {
         member.name for member in membership.live() if member.contact is StoreContact.READING
     }
-    return ranked(_KEY, {*reading, own}, _MOST_RANKED).index(own)
+    return ranked(_RANK_KEY, {*reader_names, own}, _MAX_RANKED_GATEWAYS).index(own)
 
 
 def _services(views: StoreViews) -> list[Service]:
--- a/src/lotushill/gateway/fleet_quarantine.py
+++ b/src/lotushill/gateway/fleet_quarantine.py
@@ -1,4 +1,4 @@
-"""A gateway's part in keeping requests from upstreams that they would end."""
+"""A gateway's part in holding requests during which upstreams would fail."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 import anyio
 
 from lotushill import clock as clocks
-from lotushill.peering.group_keeper import GroupKeeper
-from lotushill.peering.quarantine_keeper import QuarantineKeeper
+from lotushill.peering.group_gossip import GroupGossip
+from lotushill.peering.quarantine_gossip import QuarantineGossip
 from lotushill.quarantine.hold_store import HoldStore
 from lotushill.quarantine.isolation import Isolation
 from lotushill.quarantine.quarantine import Quarantine
@@ -23,11 +23,11 @@
     from lotushill.quarantine.group import Group
     from lotushill.requests.upstream_pool import UpstreamPool
 
-_LOOK_SECONDS = 0.5
+_RECONCILE_INTERVAL_SECONDS = 0.5
 
 
 class FleetQuarantine:
-    """The suspects of one gateway, what it tells of them, and what of them is stored."""
+    """The suspects of one gateway, the updates it sends about them, and the holds it stores."""
 
     def __init__(
         self,
@@ -42,33 +42,33 @@
         self._views = views
         self.suspects = Quarantine()
         self.isolation = Isolation()
-        self.keeper = QuarantineKeeper(
+        self.gossip = QuarantineGossip(
             name,
             self.suspects,
-            GroupKeeper(name, self.isolation, peers.tell_all, log, rng, clocks.now),
+            GroupGossip(name, self.isolation, peers.broadcast, log, rng, clocks.now),
             views.upstreams,
             pool.has_ended,
-            peers.tell_all,
+            peers.broadcast,
             log,
             rng,
             clocks.now,
         )
         self._hold_store = HoldStore(store, self.suspects, views.holds, log, rng)
 
-    def held(self) -> list[bytes]:
-        """Return the identities of all requests that are held now."""
-        return self.suspects.held(clocks.now())
+    def held_identities(self) -> list[bytes]:
+        """Return the identities of all requests that are currently held."""
+        return self.suspects.held_identities(clocks.now())
 
-    def isolated(self) -> list[Group]:
-        """Return the groups of requests that run apart now."""
-        return self.isolation.groups(clocks.now())
+    def isolated_groups(self) -> list[Group]:
+        """Return the groups of requests that are currently isolated."""
+        return self.isolation.isolated_groups(clocks.now())
 
-    def take_stored(self) -> None:
-        """Take what the store has, since it has changed."""
-        self.keeper.take_stored(self._views.holds.holds)
+    def replace_stored(self) -> None:
+        """Replace the local copy of the stored holds after the store has changed."""
+        self.gossip.replace_stored(self._views.holds.holds)
 
-    async def store_for_ever(self) -> None:
-        """Bring the store in line with what is held."""
+    async def run_hold_store(self) -> None:
+        """Reconcile the holds in the store with the requests held locally, periodically."""
         while True:
-            await anyio.sleep(_LOOK_SECONDS)
-            await self._hold_store.look()
+            await anyio.sleep(_RECONCILE_INTERVAL_SECONDS)
+            await self._hold_store.reconcile()
--- a/src/lotushill/gateway/gateway.py
+++ b/src/lotushill/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: the parts of `lotushill-gateway` put together."""
+"""Assembles the components of one `lotushill-gateway` process, and starts and stops them."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 import anyio
 
 from lotushill import clock as clocks
-from lotushill.availability.rests import Rests
+from lotushill.availability.cooldowns import Cooldowns
 from lotushill.availability.stated_limits import StatedLimits
 from lotushill.contracts.exceptions import SettingsError
 from lotushill.event_log import EventLog
-from lotushill.gateway.duties import DutyParts
+from lotushill.gateway.duties import DutyDependencies
 from lotushill.gateway.duties import FleetDuties
 from lotushill.gateway.fleet_quarantine import FleetQuarantine
 from lotushill.gateway.status_app import StatusApp
@@ -26,42 +26,42 @@
 from lotushill.gateway.store_views import StoreViews
 from lotushill.journal import Journal
 from lotushill.limits.barred_upstreams import BarredUpstreams
-from lotushill.limits.counting import CountingGateways
 from lotushill.limits.fleet_limits import FleetLimits
+from lotushill.limits.limit_owners import LimitOwners
 from lotushill.limits.permit_rank import PermitRanks
 from lotushill.limits.team_limits import TeamLimits
 from lotushill.links.http_server import HttpServer
-from lotushill.membership.schedulers import SMALL_FLEET
-from lotushill.peering.leaving_keeper import LeavingKeeper
+from lotushill.membership.schedulers import MAX_SMALL_FLEET_GATEWAYS
+from lotushill.peering.leaving_gossip import LeavingGossip
 from lotushill.peering.peers import PeerHooks
 from lotushill.peering.peers import Peers
 from lotushill.peering.reader_role import ReaderRole
 from lotushill.peering.registration import Registration
-from lotushill.peering.return_keeper import ReturnKeeper
+from lotushill.peering.return_gossip import ReturnGossip
 from lotushill.placement.fleet import Fleet
 from lotushill.platform import request_head
 from lotushill.platform.object_store import ObjectStore
 from lotushill.process.metrics import Metrics
 from lotushill.process.side_tasks import SideTasks
 from lotushill.process.suspension import SuspensionWatch
+from lotushill.requests.client_application import ClientApplication
 from lotushill.requests.client_protocol import ClientProtocol
-from lotushill.requests.engine_memory import EngineMemory
-from lotushill.requests.front import Front
-from lotushill.requests.idle_connections import idle_connections
+from lotushill.requests.engine_memory_client import EngineMemoryClient
+from lotushill.requests.gateway_components import GatewayComponents
+from lotushill.requests.idle_connections import idle_connection_limit
+from lotushill.requests.isolation_policy import IsolationPolicy
 from lotushill.requests.mover import Mover
-from lotushill.requests.parts import GatewayParts
 from lotushill.requests.retry_budgets import RetryBudgets
 from lotushill.requests.upstream_gate import UpstreamGate
 from lotushill.requests.upstream_pool import UpstreamPool
-from lotushill.requests.ward import Ward
 from lotushill.routing.limits import ClientLimits
-from lotushill.scheduling.desk import PlacementDesk
-from lotushill.scheduling.line_keeper import LineKeeper
+from lotushill.scheduling.placement_responder import PlacementResponder
 from lotushill.scheduling.placer import Placer
+from lotushill.scheduling.queue_runner import QueueRunner
 from lotushill.scheduling.shared_load import SharedLoad
-from lotushill.starting.knowledge import Start
-from lotushill.waiting.line import WaitingLine
-from lotushill.waiting.turns import Rivals
+from lotushill.starting.startup_phase import StartupPhase
+from lotushill.waiting.admission_queue import AdmissionQueue
+from lotushill.waiting.slot_turns import RemoteQueues
 
 if TYPE_CHECKING:
     import asyncio
@@ -76,24 +76,24 @@
     from lotushill.routing.service import Service
     from lotushill.routing.upstream import Upstream
 
-_SWEEP_SECONDS = 0.5
-_LAST_SECONDS = 1.0
-"""Kept of the time to stop, so that the process ends by itself."""
-_TICK_SECONDS = 0.05
+_SWEEP_INTERVAL_SECONDS = 0.5
+_EXIT_RESERVE_SECONDS = 1.0
+"""Part of the grace time reserved at its end, so that the process exits before it is killed."""
+_DRAIN_POLL_INTERVAL_SECONDS = 0.05
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 _FIXED_SETTINGS = ("name", "hall", "region", "clients", "readiness", "peers", "store", "duties")
-"""Settings that take a restart."""
+"""Settings whose change requires a restart of the process."""
 
 
 class Gateway:
-    """Everything that runs in one gateway process."""
+    """All components of one gateway process."""
 
     def __init__(
-        self, settings: GatewaySettings, read_again: Callable[[], GatewaySettings]
+        self, settings: GatewaySettings, read_settings: Callable[[], GatewaySettings]
     ) -> None:
-        """Put the parts together; `read_again` reads the settings file once more."""
+        """Create and connect the components; `read_settings` is called for a reload."""
         self.settings = settings
-        self._read_again = read_again
+        self._read_settings = read_settings
         self.journal = Journal()
         self.metrics = Metrics()
         self.log = EventLog(settings.name, journal=self.journal)
@@ -108,10 +108,12 @@
             self.log,
             self._on_configuration,
             role,
-            on_holds=lambda: self.quarantine.take_stored(),
+            on_holds=lambda: self.quarantine.replace_stored(),
         )
         self.fleet = Fleet(
-            settings.hall, settings.recent_seconds, lambda hall: self.peers.is_cut_off(hall)
+            settings.hall,
+            settings.recent_seconds,
+            lambda hall: self.peers.is_hall_unreachable(hall),
         )
         self.peers = Peers(settings, self.log, rng, self._hooks())
         self.shared_load = SharedLoad(
@@ -119,57 +121,57 @@
             self.fleet,
             clocks.now,
             self._service_of,
-            self.peers.tell_load,
-            self.peers.is_near,
+            self.peers.publish_load,
+            self.peers.is_same_hall,
         )
-        self.returns = ReturnKeeper(
+        self.return_gossip = ReturnGossip(
             settings.name,
             self.fleet.shedding.returns,
             self.peers.schedulers,
             self.peers.send_message,
             clocks.now,
         )
-        self._start_of_life = Start(SMALL_FLEET, clocks.now())
-        self.rests = Rests()
-        stated = StatedLimits()
-        counting = CountingGateways(
-            self.peers.membership, self.peers.schedulers, lambda: self.registration.listed
+        self._startup_phase = StartupPhase(MAX_SMALL_FLEET_GATEWAYS, clocks.now())
+        self.cooldowns = Cooldowns()
+        stated_limits = StatedLimits()
+        limit_owners = LimitOwners(
+            self.peers.membership, self.peers.schedulers, lambda: self.registration.registered_count
         )
         self.limits = FleetLimits(
             self.views.upstreams,
-            counting,
-            stated,
-            PermitRanks(self.fleet, stated, self.views.upstreams.of),
+            limit_owners,
+            stated_limits,
+            PermitRanks(self.fleet, stated_limits, self.views.upstreams.of),
             self.peers.send_message,
-            self.peers.tell_all,
+            self.peers.broadcast,
             self.log,
             rng,
             clocks.now,
         )
-        self.team_limits = TeamLimits(counting, self.limits.client, rng, clocks.now)
-        self.waiting = LineKeeper(
+        self.team_limits = TeamLimits(limit_owners, self.limits.client, rng, clocks.now)
+        self.queue_runner = QueueRunner(
             settings.name,
-            WaitingLine(
+            AdmissionQueue(
                 self.fleet,
-                Rivals(settings.name),
+                RemoteQueues(settings.name),
                 self.fleet.shares,
                 self.fleet.shedding.returns,
             ),
             self._service_named,
             self.views.upstreams.of,
-            self.peers.tell_schedulers,
+            self.peers.send_to_schedulers,
             clocks.now,
             self.log,
         )
-        self.desk = PlacementDesk(
+        self.placement_responder = PlacementResponder(
             settings.name,
             self.fleet,
             self.shared_load,
             self._service_named,
             self.views.upstreams.of,
-            self.peers.model_sync.ready,
-            stated,
-            self.waiting,
+            self.peers.model_sync.is_ready,
+            stated_limits,
+            self.queue_runner,
             self.peers.send_to,
         )
         placer = Placer(
@@ -179,49 +181,53 @@
             self.views.upstreams,
             rng,
             clocks.now,
-            BarredUpstreams(self.rests, self.limits.denials),
-            stated,
+            BarredUpstreams(self.cooldowns, self.limits.denials),
+            stated_limits,
             self.peers.schedulers,
             self.peers.client,
-            self._knows_fleet,
-            self.waiting,
+            self._has_full_model,
+            self.queue_runner,
         )
-        self.pool = UpstreamPool(request_head.answered_id, self._most_idle)
+        self.pool = UpstreamPool(request_head.answer_request_id, self._max_idle_connections)
         self.quarantine = FleetQuarantine(
             settings.name, self.views, self.pool, self.peers, self.store, self.log, rng
         )
         self.registration = Registration(settings, self.store, self.peers, self.log, rng)
         self.suspension = SuspensionWatch(
-            clocks.now, time.monotonic, self._on_woke, self.views.confirmed
+            clocks.now, time.monotonic, self._on_suspension, self.views.is_confirmed_since
         )
-        self.leaving = LeavingKeeper(
-            settings.name, self.views.upstreams, self.peers.tell_all, self.log, rng, clocks.now
+        self.leaving_gossip = LeavingGossip(
+            settings.name, self.views.upstreams, self.peers.broadcast, self.log, rng, clocks.now
         )
-        self.gate = UpstreamGate(
+        self.upstream_gate = UpstreamGate(
             self.views.upstreams,
-            self.rests,
+            self.cooldowns,
             self.limits,
-            self.leaving.note,
+            self.leaving_gossip.note_answer,
             self.log,
             clocks.now,
         )
-        self.budgets = RetryBudgets(settings.retry, self._sharing, clocks.now())
-        ward = Ward(self.quarantine.isolation, self.views.upstreams, clocks.now)
+        self.retry_budgets = RetryBudgets(
+            settings.retry, self._possible_gateway_count, clocks.now()
+        )
+        isolation_policy = IsolationPolicy(
+            self.quarantine.isolation, self.views.upstreams, clocks.now
+        )
         self.mover = Mover(
-            EngineMemory(),
+            EngineMemoryClient(),
             placer,
             self.shared_load,
             self.views.upstreams,
-            ward,
-            self.quarantine.keeper,
-            self.budgets,
-            stated.rate,
+            isolation_policy,
+            self.quarantine.gossip,
+            self.retry_budgets,
+            stated_limits.rate,
             self.metrics,
             self.log,
             clocks.now,
         )
-        self.front = Front(
-            GatewayParts(
+        self.client_application = ClientApplication(
+            GatewayComponents(
                 name=settings.name,
                 configuration=self.views.configuration,
                 upstreams=self.views.upstreams,
@@ -230,72 +236,77 @@
                 shared_load=self.shared_load,
                 placer=placer,
                 pool=self.pool,
-                gate=self.gate,
+                gate=self.upstream_gate,
                 limits=self.limits,
                 team_limits=self.team_limits,
-                ward=ward,
+                isolation_policy=isolation_policy,
                 mover=self.mover,
-                budgets=self.budgets,
-                quarantine=self.quarantine.keeper,
-                work=self.duties.work,
+                budgets=self.retry_budgets,
+                quarantine=self.quarantine.gossip,
+                work=self.duties.request_counter,
                 log=self.log,
                 metrics=self.metrics,
                 rng=rng,
                 clock=clocks.now,
                 suspension=self.suspension,
-                view_is_fresh=self.views.fresh,
-                knows_holds=self.views.knows_holds,
+                view_is_fresh=self.views.is_fresh,
+                holds_are_known=self.views.holds_are_known,
             )
         )
         protocol = functools.partial(ClientProtocol, limits=self._client_limits)
-        self.clients = HttpServer(self.front, settings.clients, protocol=protocol)
-        self.status = HttpServer(
-            StatusApp(self.ready, functools.partial(status, self), self.metrics.text, self.journal),
+        self.client_listener = HttpServer(
+            self.client_application, settings.clients, protocol=protocol
+        )
+        self.status_listener = HttpServer(
+            StatusApp(
+                self.is_ready, functools.partial(status, self), self.metrics.text, self.journal
+            ),
             settings.readiness,
         )
         add_gauges(self)
         self._stopping = False
-        self._following: list[asyncio.Task[None]] = []
+        self._view_tasks: list[asyncio.Task[None]] = []
 
-    def ready(self) -> bool:
-        """Return whether clients may be sent here."""
-        known = self.views.configuration.table is not None and self.views.upstreams.known
-        return known and self.views.knows_holds() and not self._stopping
+    def is_ready(self) -> bool:
+        """Return whether the load balancer may send clients to this gateway."""
+        known = self.views.configuration.table is not None and self.views.upstreams.is_loaded
+        return known and self.views.holds_are_known() and not self._stopping
 
-    async def run(self, reload_asked: Callable[[], bool] = lambda: False) -> None:
-        """Serve until a signal says to stop, and then finish what is in progress.
+    async def run(self, is_reload_requested: Callable[[], bool] = lambda: False) -> None:
+        """Serve until a stop signal arrives, then finish the requests in progress.
 
-        `reload_asked` tells whether the settings were to be read again while the program started.
+        `is_reload_requested` returns whether a reload was requested during the start.
         """
-        # Open until the end: a signal that comes during the stop, to read settings or to stop once
-        # more, would otherwise end the process with all that is in progress.
+        # The receiver stays open until the end: a signal that arrives during the shutdown (a reload
+        # or a second stop) would otherwise kill the process with all requests in progress.
         with anyio.open_signal_receiver(*_SIGNALS) as signals:
             async with anyio.create_task_group() as group:
                 self._start(group)
                 self.log.note("process.started", pid=os.getpid(), hall=self.settings.hall)
-                await self._wait_for_stop(signals, reload_asked)
-                # Beside the stop: a silent store must not take the time of requests in progress.
+                await self._wait_for_stop(signals, is_reload_requested)
+                # Runs concurrently with the drain: a store that does not answer must not use up the
+                # time that requests in progress have to finish.
                 group.start_soon(self.side_tasks.run, "hand over", self.duties.hand_over)
                 await self._drain()
                 group.cancel_scope.cancel()
-                for task in self._following:
+                for task in self._view_tasks:
                     task.cancel()
                 self.mover.close()
         self.log.note("process.stopped")
 
     def _start(self, group: TaskGroup) -> None:
-        group.start_soon(self.status.serve)
-        group.start_soon(self.clients.serve)
+        group.start_soon(self.status_listener.serve)
+        group.start_soon(self.client_listener.serve)
         group.start_soon(self.peers.run, group)
-        self._following = self.views.tasks()
+        self._view_tasks = self.views.start_tasks()
         group.start_soon(self.side_tasks.run, "registration", self.registration.run)
-        group.start_soon(self.side_tasks.run, "waiting line", self.waiting.run)
+        group.start_soon(self.side_tasks.run, "waiting line", self.queue_runner.run)
         group.start_soon(self.side_tasks.run, "sweep", self._sweep)
-        group.start_soon(self.side_tasks.run, "quarantine", self.quarantine.keeper.run)
-        group.start_soon(self.side_tasks.run, "holds", self.quarantine.store_for_ever)
+        group.start_soon(self.side_tasks.run, "quarantine", self.quarantine.gossip.run)
+        group.start_soon(self.side_tasks.run, "holds", self.quarantine.run_hold_store)
         if self.settings.duties is not None:
-            parts = DutyParts(
-                self.ready,
+            dependencies = DutyDependencies(
+                self.is_ready,
                 self.views,
                 self.peers,
                 self.fleet,
@@ -303,135 +314,134 @@
                 self.store,
                 self.log,
             )
-            run = functools.partial(self.duties.run, parts)
+            run = functools.partial(self.duties.run, dependencies)
             group.start_soon(self.side_tasks.run, "duties", run)
 
     async def _sweep(self) -> None:
         while True:
-            await anyio.sleep(_SWEEP_SECONDS)
+            await anyio.sleep(_SWEEP_INTERVAL_SECONDS)
             known = {upstream.id for upstream in self.views.upstreams.all()}
-            self.pool.sweep(known)
-            self.fleet.forget(known, clocks.now())
-            self._tell_paces()
-            self.rests.forget(known, clocks.now())
-            self.limits.forget(known)
-            self.team_limits.forget()
-            self.mover.forget(known)
-            self.waiting.line.engines.forget(known)
+            self.pool.close_expired(known)
+            self.fleet.evict_unused(known, clocks.now())
+            self._log_pace_changes()
+            self.cooldowns.retain_only(known, clocks.now())
+            self.limits.retain_only(known)
+            self.team_limits.drop_idle()
+            self.mover.retain_only(known)
+            self.queue_runner.queue.engines.retain_only(known)
             self.shared_load.expire()
             self.views.expire()
-            self.quarantine.keeper.look()
-            for load in self.shared_load.due_lists(self.peers.count()):
-                self.peers.tell_load(load)
-
-    # Settings
+            self.quarantine.gossip.process_pending()
+            for load in self.shared_load.due_snapshots(self.peers.count()):
+                self.peers.publish_load(load)
 
     def _reload(self) -> None:
-        """Read the settings file again; what cannot change in a running process stays."""
+        """Read the settings file again; keep the values that cannot change in a running process."""
         try:
-            settings = self._read_again()
+            settings = self._read_settings()
         except SettingsError as error:
             self.log.note("process.reload", outcome="rejected", error=str(error))
             return
-        fixed = {name: getattr(self.settings, name) for name in _FIXED_SETTINGS}
-        needs_restart = [name for name, value in fixed.items() if getattr(settings, name) != value]
-        self.settings = replace(settings, **fixed)
-        self.budgets.change(self.settings.retry)
+        fixed_values = {name: getattr(self.settings, name) for name in _FIXED_SETTINGS}
+        needs_restart = [
+            name for name, value in fixed_values.items() if getattr(settings, name) != value
+        ]
+        self.settings = replace(settings, **fixed_values)
+        self.retry_budgets.change(self.settings.retry)
         self.fleet.recent.seconds = self.settings.recent_seconds
         self.log.note("process.reload", outcome="in force", needs_restart=needs_restart)
 
-    # Stopping
-
     async def _wait_for_stop(
-        self, signals: AsyncIterator[signal.Signals], reload_asked: Callable[[], bool]
+        self, signals: AsyncIterator[signal.Signals], is_reload_requested: Callable[[], bool]
     ) -> None:
-        if reload_asked():
+        if is_reload_requested():
             self._reload()
-        async for number in signals:
-            if number != signal.SIGHUP:
+        async for received in signals:
+            if received != signal.SIGHUP:
                 return
             self._reload()
 
     async def _drain(self) -> None:
-        """Be taken out by the balancer first, then finish every request in progress."""
-        ends = clocks.now() + self.settings.grace_seconds - _LAST_SECONDS
+        """Wait until the load balancer sends no new clients, then finish requests in progress."""
+        deadline = clocks.now() + self.settings.grace_seconds - _EXIT_RESERVE_SECONDS
         self._stopping = True
-        self.front.closing = True
-        self.log.note("process.stopping", in_progress=self.front.in_progress)
+        self.client_application.closes_connections = True
+        self.log.note("process.stopping", in_progress=self.client_application.in_progress)
         await anyio.sleep(self.settings.leave_seconds)
-        self.front.open = False
-        self.clients.stop()
-        while self.front.in_progress and clocks.now() < ends:
-            await anyio.sleep(_TICK_SECONDS)
+        self.client_application.accepts_requests = False
+        self.client_listener.stop()
+        while self.client_application.in_progress and clocks.now() < deadline:
+            await anyio.sleep(_DRAIN_POLL_INTERVAL_SECONDS)
         self.peers.leave()
-        if self.front.in_progress:
-            self.log.note("process.cut", in_progress=self.front.in_progress)
-
-    # Wiring
+        if self.client_application.in_progress:
+            self.log.note("process.cut", in_progress=self.client_application.in_progress)
 
     def _hooks(self) -> PeerHooks:
-        """Return what peers need of parts that are made after them."""
+        """Return the callbacks from peering into components that are created after it."""
         return PeerHooks(
             view_revision=self.views.revision,
             view_text=self.views.text,
-            on_view=self.views.take_from_peer,
-            contact=self.views.contact,
-            upstream_id=self.views.upstreams.id_of,
+            on_view=self.views.receive_from_peer,
+            store_contact=self.views.contact,
+            upstream_id=self.views.upstreams.id_by_number,
             on_load=lambda load: self.shared_load.receive(load),
-            everything=lambda: self.shared_load.everything(),
-            on_gone=self._on_gone,
+            all_running=lambda: self.shared_load.all_running(),
+            on_gateway_gone=self._on_gateway_gone,
             paces=lambda: self.shared_load.paces(),
-            on_paces=lambda paces: self.shared_load.take_paces(paces),
-            answer=lambda ask, now: self.desk.answer(ask, now),
-            on_late=lambda request: self.shared_load.give_up(request),
-            on_work_pull=self.duties.pages,
+            on_paces=lambda paces: self.shared_load.merge_paces(paces),
+            answer_placement=lambda ask, now: self.placement_responder.answer(ask, now),
+            on_late_placement=lambda request: self.shared_load.give_up(request),
+            on_work_pull=self.duties.work_pages,
             on_work_page=self.duties.receive,
-            on_suspects=lambda news: self.quarantine.keeper.receive(news),
-            on_leaving=lambda news: self.leaving.receive(news),
-            on_limits=lambda news: self.limits.keeper.receive(news),
+            on_suspects=lambda update: self.quarantine.gossip.receive(update),
+            on_leaving=lambda update: self.leaving_gossip.receive(update),
+            on_limits=lambda update: self.limits.gossip.receive(update),
             on_permit_ask=self._on_permit_ask,
             on_permit_answer=lambda answer: self.limits.client.receive(answer),
-            on_returns=lambda news: self.returns.receive(news),
+            on_returns=lambda update: self.return_gossip.receive(update),
             on_tick=self._on_tick,
-            on_waiting=lambda news: self.waiting.receive(news),
+            on_queue_counts=lambda update: self.queue_runner.receive(update),
         )
 
     def _on_permit_ask(self, ask: PermitAsk) -> PermitAnswer:
-        limits = self.team_limits if self.team_limits.counts(ask) else self.limits
+        limits = self.team_limits if self.team_limits.is_team_limit(ask) else self.limits
         return limits.answer(ask)
 
-    def _on_gone(self, name: str) -> None:
+    def _on_gateway_gone(self, name: str) -> None:
         self.shared_load.drop_sender(name)
-        self.waiting.drop_asker(name)
+        self.queue_runner.drop_gateway(name)
 
-    def _tell_paces(self) -> None:
+    def _log_pace_changes(self) -> None:
         for item in self.fleet.engine_paces.take_changes():
-            steps, reading = round(item.steps, 2), round(item.reading, 2)
+            steps, reading = round(item.step_slowness, 2), round(item.prefill_slowness, 2)
             self.log.note("upstream.pace", upstream=item.upstream, steps=steps, reading=reading)
 
     def _on_tick(self) -> None:
-        self.suspension.look()
-        self.leaving.tell_due()
-        self.limits.keeper.tell_due()
-        self.returns.tell_due()
-        self.mover.look()
-
-    def _knows_fleet(self) -> bool:
-        """Return whether the own model tells what the whole fleet runs."""
+        self.suspension.check()
+        self.leaving_gossip.send_due()
+        self.limits.gossip.send_due()
+        self.return_gossip.send_due()
+        self.mover.start_due_handovers()
+
+    def _has_full_model(self) -> bool:
+        """Return whether the own model covers the requests that the whole fleet runs."""
         now = clocks.now()
-        if not self._start_of_life.is_new(now):
+        if not self._startup_phase.is_new(now):
             return True
-        heard = len(self.peers.membership.live())
-        has_model = self.peers.model_sync.ready()
-        return self._start_of_life.knows_fleet(heard, self.registration.listed, has_model, now)
+        live_count = len(self.peers.membership.live())
+        has_model = self.peers.model_sync.is_ready()
+        return self._startup_phase.has_usable_model(
+            live_count, self.registration.registered_count, has_model, now
+        )
 
-    def _sharing(self) -> int:
-        """Return how many gateways there may be, 0 while the store has not told.
+    def _possible_gateway_count(self) -> int:
+        """Return the possible number of gateways, 0 until it has been read from the store.
 
-        Members that are heard alone may be one hall of many, which is cut off.
+        The live members alone are not enough: they may be a single hall that is partitioned from
+        the others.
         """
-        listed = self.registration.listed
-        return max(listed, self.peers.count()) if listed else 0
+        registered_count = self.registration.registered_count
+        return max(registered_count, self.peers.count()) if registered_count else 0
 
     def _service_named(self, name: str) -> Service | None:
         table = self.views.configuration.table
@@ -441,12 +451,12 @@
         upstream = self.views.upstreams.find(upstream_id)
         return self._service_named(upstream.service) if upstream is not None else None
 
-    def _most_idle(self, upstream: Upstream) -> int:
-        """Return this gateway's part of the connections that an upstream accepts."""
+    def _max_idle_connections(self, upstream: Upstream) -> int:
+        """Return this gateway's part, kept idle at most, of the connections an upstream accepts."""
         service = self._service_of(upstream.id)
         if service is None:
             return 0
-        return idle_connections(
+        return idle_connection_limit(
             service.max_connections, self.peers.count(), upstream.id, self.settings.name
         )
 
@@ -454,14 +464,14 @@
         table = self.views.configuration.table
         return table.limits if table is not None else ClientLimits()
 
-    def _on_woke(self, seconds: float) -> None:
-        """Take what was believed before a suspension for old."""
+    def _on_suspension(self, seconds: float) -> None:
+        """Treat connections and views from before a suspension as stale."""
         self.log.note("process.woke", suspended=round(seconds, 2))
-        self.front.note_suspension(seconds)
-        self.pool.drop_idle()
-        self.views.doubt()
+        self.client_application.note_suspension(seconds)
+        self.pool.close_idle()
+        self.views.relist()
 
     def _on_configuration(self) -> None:
         table = self.views.configuration.table
         if table is not None:
-            self.clients.set_idle_seconds(table.limits.idle_seconds)
+            self.client_listener.set_idle_seconds(table.limits.idle_seconds)
--- a/src/lotushill/gateway/status_app.py
+++ b/src/lotushill/gateway/status_app.py
@@ -1,11 +1,11 @@
-"""The ASGI application behind the readiness address: readiness, status, metrics, requests."""
+"""ASGI application on the readiness address: readiness, status, metrics and request events."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from lotushill.links.asgi import send_json
-from lotushill.links.asgi import send_whole
+from lotushill.links.asgi import send_response
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -30,27 +30,27 @@
 
     def __init__(
         self,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         status: Callable[[], dict[str, object]],
         metrics: Callable[[], bytes],
         journal: Journal,
     ) -> None:
-        self._ready = ready
+        self._is_ready = is_ready
         self._status = status
         self._metrics = metrics
         self._journal = journal
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one call."""
+        """Serve one HTTP request."""
         path = str(scope["path"])
         if path == _READY_PATH:
-            await send_whole(send, _OK if self._ready() else _NOT_READY, (), b"")
+            await send_response(send, _OK if self._is_ready() else _NOT_READY, (), b"")
         elif path == STATUS_PATH:
             await send_json(send, _OK, self._status())
         elif path == _METRICS_PATH:
-            await send_whole(send, _OK, (_METRICS_TYPE,), self._metrics())
+            await send_response(send, _OK, (_METRICS_TYPE,), self._metrics())
         elif path.startswith(EXPLAIN_PATH):
-            events = self._journal.of(path.removeprefix(EXPLAIN_PATH))
+            events = self._journal.events_of(path.removeprefix(EXPLAIN_PATH))
             await send_json(send, _OK if events else _NOT_FOUND, events)
         else:
             await send_json(send, _NOT_FOUND, {})
--- a/src/lotushill/gateway/status_report.py
+++ b/src/lotushill/gateway/status_report.py
@@ -1,4 +1,4 @@
-"""What a gateway tells operators of itself: its status, and figures read when asked for."""
+"""Status report of a gateway for operators, and its gauges."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lotushill.routing.team import team_number
 
 if TYPE_CHECKING:
-    from lotushill.availability.rests import Rests
+    from lotushill.availability.cooldowns import Cooldowns
     from lotushill.event_log import EventLog
     from lotushill.gateway.duties import FleetDuties
     from lotushill.gateway.fleet_quarantine import FleetQuarantine
@@ -24,15 +24,15 @@
     from lotushill.process.metrics import Metrics
     from lotushill.process.settings import GatewaySettings
     from lotushill.process.side_tasks import SideTasks
-    from lotushill.requests.front import Front
+    from lotushill.requests.client_application import ClientApplication
     from lotushill.requests.mover import Mover
     from lotushill.requests.upstream_gate import UpstreamGate
     from lotushill.requests.upstream_pool import UpstreamPool
-    from lotushill.scheduling.line_keeper import LineKeeper
+    from lotushill.scheduling.queue_runner import QueueRunner
 
 
-class Reported(Protocol):
-    """The parts of a gateway of which it tells."""
+class ReportedGateway(Protocol):
+    """The components of a gateway that its status and gauges are read from."""
 
     settings: GatewaySettings
     metrics: Metrics
@@ -41,164 +41,224 @@
     store: ObjectStore
     views: StoreViews
     peers: Peers
-    rests: Rests
+    cooldowns: Cooldowns
     limits: FleetLimits
     team_limits: TeamLimits
     fleet: Fleet
-    gate: UpstreamGate
+    upstream_gate: UpstreamGate
     pool: UpstreamPool
     mover: Mover
     quarantine: FleetQuarantine
     side_tasks: SideTasks
-    front: Front
-    waiting: LineKeeper
+    client_application: ClientApplication
+    queue_runner: QueueRunner
 
-    def ready(self) -> bool:
-        """Return whether clients may be sent here."""
+    def is_ready(self) -> bool:
+        """Return whether the load balancer may send clients to this gateway."""
 
 
-def add_gauges(gateway: Reported) -> None:
-    """Serve the figures that are read when asked for."""
-    gauge = gateway.metrics.gauge
-    gauge("in_progress", "Requests in progress", lambda: gateway.front.in_progress)
-    gauge("store_calls", "Calls to the store so far", lambda: gateway.store.calls)
-    gauge("peer_bytes", "Bytes of datagrams sent so far", lambda: gateway.peers.bytes_sent)
-    gauge("members", "Gateways that are heard", lambda: len(gateway.peers.membership.live()))
-    gauge(
+def add_gauges(gateway: ReportedGateway) -> None:
+    """Add the gauges, which are read at each scrape."""
+    add_gauge = gateway.metrics.add_gauge
+    add_gauge("in_progress", "Requests in progress", lambda: gateway.client_application.in_progress)
+    add_gauge("store_calls", "Calls to the store since the start", lambda: gateway.store.calls)
+    add_gauge(
+        "peer_bytes",
+        "Bytes of datagrams sent to peers since the start",
+        lambda: gateway.peers.bytes_sent,
+    )
+    add_gauge("members", "Gateways that are alive", lambda: len(gateway.peers.membership.live()))
+    add_gauge(
         "schedules",
-        "1 on one that places by its own model",
-        lambda: float(gateway.peers.schedulers.schedules()),
-    )
-    gauge("unanswered_asks", "Asks without an answer", lambda: gateway.peers.client.unanswered)
-    line = gateway.waiting.line
-    gauge("waiting", "Requests that wait here for room", lambda: len(line.room))
-    gauge("waiting_bytes", "Bytes of these, as reckoned", lambda: line.room.bytes)
-    gauge("waiting_held", "Requests that had to wait here so far", lambda: line.held)
-    gauge("waiting_placed", "Of these, placed so far", lambda: line.placed)
-    gauge("waiting_given_up", "Of these, refused so far", lambda: line.given_up)
-    gauge("waiting_full", "Requests that found the waiting room full", lambda: line.room.overflows)
-    gauge(
+        "1 if this gateway is a scheduler, which places by its own model",
+        lambda: float(gateway.peers.schedulers.is_scheduler()),
+    )
+    add_gauge(
+        "unanswered_asks",
+        "Placement queries that were not answered",
+        lambda: gateway.peers.client.unanswered,
+    )
+    admission_queue = gateway.queue_runner.queue
+    add_gauge(
+        "waiting",
+        "Entries in the admission queue of this gateway",
+        lambda: len(admission_queue.requests),
+    )
+    add_gauge(
+        "waiting_bytes", "Estimated bytes of these entries", lambda: admission_queue.requests.bytes
+    )
+    add_gauge("waiting_held", "Requests queued here since the start", lambda: admission_queue.held)
+    add_gauge(
+        "waiting_placed",
+        "Queued requests that were placed, since the start",
+        lambda: admission_queue.placed,
+    )
+    add_gauge(
+        "waiting_given_up",
+        "Queued requests that were refused, since the start",
+        lambda: admission_queue.given_up,
+    )
+    add_gauge(
+        "waiting_full",
+        "Requests that arrived while the admission queue was full",
+        lambda: admission_queue.requests.overflows,
+    )
+    add_gauge(
         "waiting_elsewhere",
-        "Requests of this gateway that wait at schedulers",
+        "Requests of this gateway that are queued at schedulers",
         lambda: gateway.peers.client.waiting,
     )
-    gauge("upstreams", "Upstreams that are known", lambda: len(gateway.views.upstreams.all()))
-    gauge(
+    add_gauge("upstreams", "Known upstreams", lambda: len(gateway.views.upstreams.all()))
+    add_gauge(
         "entries_ignored",
-        "Entries of upstreams that cannot be read",
-        lambda: len(gateway.views.upstream_faults.held),
+        "Entries of upstreams that are ignored because they cannot be parsed",
+        lambda: len(gateway.views.upstream_faults.current),
     )
-    gauge(
+    add_gauge(
         "entry_faults",
-        "Entries of upstreams that could not be read, so far",
-        lambda: gateway.views.upstream_faults.counted,
+        "Entries of upstreams that could not be parsed, since the start",
+        lambda: gateway.views.upstream_faults.total_count,
     )
-    gauge(
+    add_gauge(
         "requests_held",
-        "Requests that are kept from upstreams, by caller, path and body",
-        lambda: len(gateway.quarantine.held()),
+        "Requests that are held, counted by caller, path and body",
+        lambda: len(gateway.quarantine.held_identities()),
     )
-    gauge(
+    add_gauge(
         "requests_suspected",
-        "Requests under which upstreams ended",
+        "Requests during which upstreams failed",
         lambda: len(gateway.quarantine.suspects),
     )
-    gauge(
+    add_gauge(
         "groups_isolated",
-        "Groups of requests that run apart, since upstreams end under them",
-        lambda: len(gateway.quarantine.isolated()),
+        "Groups of requests that are isolated because upstreams failed during them",
+        lambda: len(gateway.quarantine.isolated_groups()),
     )
-    gauge(
-        "kept_back", "Arrivals kept from upstreams so far", lambda: gateway.quarantine.keeper.held
+    add_gauge(
+        "kept_back",
+        "Arrivals of held requests that were sent to no upstream, since the start",
+        lambda: gateway.quarantine.gossip.held_count,
     )
-    gauge(
+    add_gauge(
         "upstream_ends",
-        "Ends of upstreams under requests of this gateway so far, once for each request",
-        lambda: gateway.quarantine.keeper.upstream_ends,
+        "Upstream failures during requests of this gateway since the start, one for each request",
+        lambda: gateway.quarantine.gossip.upstream_failures,
+    )
+    add_gauge(
+        "rests_asked",
+        "Cooldowns that upstreams requested, since the start",
+        lambda: gateway.cooldowns.requested_count,
     )
-    gauge("rests_asked", "Rests that upstreams asked for so far", lambda: gateway.rests.asked)
-    gauge(
+    add_gauge(
         "upstreams_resting",
-        "Upstreams that want nothing from this gateway now",
-        lambda: len(gateway.rests.barred(clocks.now())),
+        "Upstreams that currently accept no requests from this gateway",
+        lambda: len(gateway.cooldowns.barred(clocks.now())),
     )
-    gauge(
+    add_gauge(
         "sends_barred",
-        "Requests kept from upstreams that were chosen and want none, so far",
-        lambda: gateway.gate.barred,
+        "Requests not sent because the chosen upstream accepts none, since the start",
+        lambda: gateway.upstream_gate.blocked_sends,
     )
-    gauge(
+    add_gauge(
         "rests_unreadable",
-        "Wishes for rest that could not be read so far",
-        lambda: gateway.gate.unreadable,
+        "Cooldown requests that could not be parsed, since the start",
+        lambda: gateway.upstream_gate.unreadable_cooldowns,
     )
-    gauge(
+    add_gauge(
         "upstreams_limited",
-        "Upstreams that name a limit for all gateways together",
-        lambda: len(gateway.limits.stated.limited()),
+        "Upstreams that state a limit for all gateways together",
+        lambda: len(gateway.limits.stated.limited_rates()),
     )
-    gauge(
+    add_gauge(
         "sends_unpermitted",
-        "Requests for which there was no permit at the upstream that was chosen, so far",
-        lambda: gateway.gate.unpermitted,
+        "Requests that got no permit for the chosen upstream, since the start",
+        lambda: gateway.upstream_gate.requests_without_permit,
     )
-    gauge(
+    add_gauge(
         "permits_denied",
-        "Permits that this gateway denied for upstreams that it counts for, so far",
+        "Permits that this gateway denied as the limit owner of an upstream, since the start",
         lambda: gateway.limits.denied,
     )
-    gauge(
+    add_gauge(
         "permits_unanswered",
-        "Permits that were asked for and not answered, so far",
+        "Permit requests that were not answered, since the start",
         lambda: gateway.limits.client.unanswered,
     )
-    gauge(
+    add_gauge(
         "limits_unreadable",
-        "Limits that could not be read so far",
-        lambda: gateway.gate.unreadable_limits,
+        "Limits that could not be parsed, since the start",
+        lambda: gateway.upstream_gate.unreadable_limits,
     )
     returns = gateway.fleet.shedding.returns
-    gauge("places_kept", "Callers that were promised a place and are awaited", lambda: len(returns))
-    gauge("places_promised", "Places promised here so far", lambda: returns.made)
-    gauge("returns_placed", "Returns placed here as promised so far", lambda: returns.kept)
-    gauge("returns_early", "Asks of returns before their time so far", lambda: returns.early)
-    gauge("moves_under_way", "Handovers of runs now", lambda: gateway.mover.under_way)
-    gauge(
+    add_gauge(
+        "places_kept", "Callers that hold a promise and have not returned yet", lambda: len(returns)
+    )
+    add_gauge(
+        "places_promised", "Promises made here since the start", lambda: returns.promised_count
+    )
+    add_gauge(
+        "returns_placed",
+        "Returned requests placed here as promised, since the start",
+        lambda: returns.placed_count,
+    )
+    add_gauge(
+        "returns_early",
+        "Requests of returning callers before their retry time, since the start",
+        lambda: returns.early_count,
+    )
+    add_gauge(
+        "moves_under_way",
+        "Handovers of runs in progress",
+        lambda: gateway.mover.handovers_in_progress,
+    )
+    add_gauge(
         "teams_over_share",
-        "Services and tiers with a team that others go before where there is too little room",
-        lambda: len(gateway.fleet.shares.ahead(clocks.now())),
+        "Services and tiers with a team over its share, which yields to others under overload",
+        lambda: len(gateway.fleet.shares.teams_over_share(clocks.now())),
     )
-    gauge(
+    add_gauge(
         "team_limit_held_back",
-        "Times that a request was kept back by the limit of its team, so far",
-        lambda: gateway.team_limits.held_back,
+        "Times that a request was delayed by the limit of its team, since the start",
+        lambda: gateway.team_limits.delayed_count,
     )
-    gauge(
+    add_gauge(
         "waiting_for_start",
-        "Requests that wait until this gateway is ready",
-        lambda: gateway.front.waiting,
+        "Requests that wait until this gateway is ready to serve",
+        lambda: gateway.client_application.waiting_until_ready,
     )
-    gauge(
+    add_gauge(
         "upstreams_uneven",
-        "Upstreams that are slower or faster than their like for good, as far as is known here",
-        lambda: len(gateway.fleet.engine_paces.lasting()),
+        "Upstreams whose long-term pace, as known here, differs from the median of their service",
+        lambda: len(gateway.fleet.engine_paces.deviating_paces()),
+    )
+    add_gauge(
+        "connections_opened",
+        "Connections to upstreams opened since the start",
+        lambda: gateway.pool.opened,
+    )
+    add_gauge(
+        "task_faults",
+        "Exceptions in background tasks since the start",
+        lambda: gateway.side_tasks.failure_count,
+    )
+    add_gauge(
+        "log_lines_left_out",
+        "Log lines dropped by the rate limit",
+        lambda: gateway.log.total_left_out,
     )
-    gauge("connections_opened", "Connections to upstreams", lambda: gateway.pool.opened)
-    gauge("task_faults", "Faults beside the request path", lambda: gateway.side_tasks.faults)
-    gauge("log_lines_left_out", "Lines over the rate", lambda: gateway.log.left_out_in_all)
-    gauge(
+    add_gauge(
         "configuration_revision",
         "Revision of the configuration in force",
         lambda: gateway.views.configuration.revision,
     )
 
 
-def status(gateway: Reported) -> dict[str, object]:
-    """Return what one gateway knows and does, as plain data."""
+def status(gateway: ReportedGateway) -> dict[str, object]:
+    """Return the status of one gateway as plain data."""
     table = gateway.views.configuration.table
     return {
         "name": gateway.settings.name,
-        "ready": gateway.ready(),
+        "ready": gateway.is_ready(),
         "configuration": {
             "revision": gateway.views.configuration.revision,
             "version": table.version if table else None,
@@ -206,12 +266,12 @@
         "upstreams": {
             "revision": gateway.views.upstreams.revision,
             "known": [asdict(item) for item in gateway.views.upstreams.all()],
-            "ignored": dict(gateway.views.upstream_faults.held),
-            "resting": sorted(gateway.rests.barred(clocks.now())),
-            "limited": gateway.limits.stated.limited(),
+            "ignored": dict(gateway.views.upstream_faults.current),
+            "resting": sorted(gateway.cooldowns.barred(clocks.now())),
+            "limited": gateway.limits.stated.limited_rates(),
             "paces": {
-                item.upstream: [round(item.steps, 2), round(item.reading, 2)]
-                for item in gateway.fleet.engine_paces.lasting()
+                item.upstream: [round(item.step_slowness, 2), round(item.prefill_slowness, 2)]
+                for item in gateway.fleet.engine_paces.deviating_paces()
             },
         },
         "over_share": _over_share(gateway),
@@ -222,41 +282,41 @@
         },
         "members": [_member(item) for item in gateway.peers.membership.all()],
         "held_requests": {
-            item.hex(): gateway.quarantine.suspects.ends_under(item)
-            for item in gateway.quarantine.held()
+            item.hex(): gateway.quarantine.suspects.failure_count(item)
+            for item in gateway.quarantine.held_identities()
         },
         "isolated_groups": [
-            f"{group.label} ({group.service})" for group in gateway.quarantine.isolated()
+            f"{group.label} ({group.service})" for group in gateway.quarantine.isolated_groups()
         ],
         "places_kept": len(gateway.fleet.shedding.returns),
         "moves": gateway.mover.status(),
-        "in_progress": gateway.front.in_progress,
+        "in_progress": gateway.client_application.in_progress,
         "store_calls": gateway.store.calls,
         "connections_opened": gateway.pool.opened,
         "peer_bytes": gateway.peers.bytes_sent,
-        "waiting": _waiting(gateway.waiting),
+        "waiting": _waiting(gateway.queue_runner),
         "duties": gateway.duties.status(),
     }
 
 
-def _over_share(gateway: Reported) -> list[dict[str, object]]:
-    """Return the teams that others go before while a service has too little room."""
+def _over_share(gateway: ReportedGateway) -> list[dict[str, object]]:
+    """Return the teams over their share, which yield to others while a service is overloaded."""
     table = gateway.views.configuration.table
     names = {team_number(item.name): item.name for item in table.teams} if table else {}
     return [
         {**asdict(item), "team": names.get(item.team, str(item.team))}
-        for item in gateway.fleet.shares.ahead(clocks.now())
+        for item in gateway.fleet.shares.teams_over_share(clocks.now())
     ]
 
 
-def _waiting(keeper: LineKeeper) -> dict[str, object]:
-    room = keeper.line.room
+def _waiting(runner: QueueRunner) -> dict[str, object]:
+    entries = runner.queue.requests
     return {
-        "tiers": {name: room.tiers(name) for name in room.services()},
-        "held": keeper.line.held,
-        "placed": keeper.line.placed,
-        "given_up": keeper.line.given_up,
-        "found_full": room.overflows,
+        "tiers": {name: entries.tiers(name) for name in entries.services()},
+        "held": runner.queue.held,
+        "placed": runner.queue.placed,
+        "given_up": runner.queue.given_up,
+        "found_full": entries.overflows,
     }
 
 
--- a/src/lotushill/limits/fleet_limits.py
+++ b/src/lotushill/limits/fleet_limits.py
@@ -1,4 +1,4 @@
-"""One gateway's part in keeping to the limits that upstreams name for all gateways together."""
+"""A gateway's compliance with the limits that upstreams state for all gateways together."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from lotushill.availability.stated_limits import NO_LIMIT
 from lotushill.limits.denials import Denials
-from lotushill.limits.limit_keeper import LimitKeeper
-from lotushill.limits.permit_client import ANSWER_SECONDS
+from lotushill.limits.limit_gossip import LimitGossip
+from lotushill.limits.permit_buckets import PermitBuckets
+from lotushill.limits.permit_client import ANSWER_TIMEOUT_SECONDS
 from lotushill.limits.permit_client import PermitClient
-from lotushill.limits.permit_desk import PermitDesk
 from lotushill.limits.permit_request import PermitRequest
 from lotushill.links.limit_messages import PermitAnswer
 
@@ -19,123 +19,128 @@
 
     from lotushill.availability.stated_limits import StatedLimits
     from lotushill.event_log import EventLog
-    from lotushill.limits.counting import CountingGateways
+    from lotushill.limits.limit_owners import LimitOwners
     from lotushill.limits.permit_rank import PermitRanks
     from lotushill.links.limit_messages import LimitNews
     from lotushill.links.limit_messages import LimitState
     from lotushill.links.limit_messages import PermitAsk
     from lotushill.views.upstream_view import UpstreamView
 
-_OTHERS_PAUSE = 0.3
-"""Until one that takes another gateway for the counting one asks again: by then they agree."""
-_NEW_SECONDS = 1.0
-"""A limit that was named so lately was heard by all at about the same time."""
-_SPREAD = (0.8, 1.25)
+_WRONG_OWNER_PAUSE_SECONDS = 0.3
+"""Seconds until a gateway that takes the wrong one for the limit owner asks again; their views
+agree by then."""
+_NEW_LIMIT_SECONDS = 1.0
+"""Age below which a limit counts as new: all gateways learned of it at about the same time."""
+_PAUSE_JITTER = (0.8, 1.25)
 
 
 class FleetLimits:
-    """What upstreams named, who counts for them, and for which there is no permit now."""
+    """Limits that upstreams stated, the permits under them, and the current denials."""
 
     def __init__(
         self,
         upstreams: UpstreamView,
-        counting: CountingGateways,
+        owners: LimitOwners,
         stated: StatedLimits,
         ranks: PermitRanks,
         send: Callable[[PermitAsk, str], None],
-        tell: Callable[[LimitNews], None],
+        broadcast: Callable[[LimitNews], None],
         log: EventLog,
         rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
-        """Send asks to an address with `send`, and news to all other gateways with `tell`."""
+        """Create it; `send` sends a permit request to an address, `broadcast` gossip to all."""
         self._upstreams = upstreams
-        self._counting = counting
+        self._owners = owners
         self._ranks = ranks
         self._rng = rng
         self._clock = clock
         self.stated = stated
         self.denials = Denials()
-        self.client = PermitClient(counting.own_name, send)
-        self.keeper = LimitKeeper(
-            counting.own_name, self.stated, tell, self._note_changed, log, rng, clock
+        self.client = PermitClient(owners.own_name, send)
+        self.gossip = LimitGossip(
+            owners.own_name, self.stated, broadcast, self._handle_change, log, rng, clock
         )
-        self._desk = PermitDesk()
+        self._buckets = PermitBuckets()
         self.denied = 0
-        """Requests that were denied a permit so far, the ones of other gateways included."""
+        """Number of permits denied so far, including those for other gateways."""
 
     def is_limited(self, upstream_id: str) -> bool:
-        """Return whether an upstream names a limit."""
+        """Return whether an upstream states a limit."""
         return self.stated.rate(upstream_id) < NO_LIMIT
 
     async def admit(self, request: PermitRequest) -> bool:
         """Return whether a request may be sent to its upstream now.
 
-        What may be is counted as sent, whether it is or not.
+        A granted request counts as sent, whether it is or not.
         """
         upstream_id = request.upstream.id
         if not self.is_limited(upstream_id):
             return True
-        if self.denials.bars(upstream_id, request.route, self._clock()):
+        if self.denials.is_barred(upstream_id, request.route, self._clock()):
             return False
-        answer = await self._ask(request)
+        answer = await self._request_permit(request)
         if not answer.granted:
-            until = self._clock() + answer.again_in * self._rng.uniform(*_SPREAD)
+            until = self._clock() + answer.again_in * self._rng.uniform(*_PAUSE_JITTER)
             self.denials.note_denied(upstream_id, request.route, answer.rank, until)
         return answer.granted
 
     def answer(self, ask: PermitAsk) -> PermitAnswer:
-        """Answer another gateway that takes this one for the counting one."""
-        self.keeper.take(ask.limit, ask.sender)
+        """Answer a permit request of a gateway that takes this one for the limit owner."""
+        self.gossip.merge(ask.limit, ask.sender)
         upstream = self._upstreams.find(ask.limit.upstream)
-        if upstream is None or not self._counting.is_own(upstream):
-            return PermitAnswer(ask.number, False, _OTHERS_PAUSE, 0)
+        if upstream is None or not self._owners.is_own(upstream):
+            return PermitAnswer(ask.number, False, _WRONG_OWNER_PAUSE_SECONDS, 0)
         request = PermitRequest(upstream, ask.route, ask.tier, ask.prompt_tokens)
         return self._decide(request, ask.sender, ask.number)
 
-    def forget(self, known: set[str]) -> None:
-        """Drop what is of no more use, with the ids of all upstreams that are known."""
+    def retain_only(self, known: set[str]) -> None:
+        """Drop obsolete state; `known` holds the ids of all known upstreams."""
         now = self._clock()
-        self.stated.forget(known, now)
-        limited = set(self.stated.limited())
-        self.denials.forget(limited, now)
-        self._desk.forget(limited)
+        self.stated.retain_only(known, now)
+        limited = set(self.stated.limited_rates())
+        self.denials.retain_only(limited, now)
+        self._buckets.retain_only(limited)
 
-    def _note_changed(self, upstream_id: str) -> None:
-        """Begin anew with an upstream that has named another limit, its first one or its end."""
+    def _handle_change(self, upstream_id: str) -> None:
+        """Reset the state of an upstream that stated a first or different limit, or its end."""
         self.denials.clear(upstream_id)
         upstream = self._upstreams.find(upstream_id)
-        word, now = self.stated.word(upstream_id), self._clock()
-        if word is None or word.rate == NO_LIMIT or now - word.heard >= _NEW_SECONDS:
+        report, now = self.stated.report(upstream_id), self._clock()
+        if (
+            report is None
+            or report.rate == NO_LIMIT
+            or now - report.received_at >= _NEW_LIMIT_SECONDS
+        ):
             return
-        if upstream is not None and self._counting.is_own(upstream):
-            self._desk.begin(upstream_id, word.rate, now)
+        if upstream is not None and self._owners.is_own(upstream):
+            self._buckets.add_bucket(upstream_id, report.rate, now)
 
-    async def _ask(self, request: PermitRequest) -> PermitAnswer:
+    async def _request_permit(self, request: PermitRequest) -> PermitAnswer:
         upstream_id = request.upstream.id
-        counting = self._counting.of(request.upstream)
-        if counting.name == self._counting.own_name:
-            return self._decide(request, counting.name)
-        self.denials.note_asked(upstream_id, self._clock() + ANSWER_SECONDS)
+        owner = self._owners.owner_of(request.upstream)
+        if owner.name == self._owners.own_name:
+            return self._decide(request, owner.name)
+        self.denials.note_pending(upstream_id, self._clock() + ANSWER_TIMEOUT_SECONDS)
         try:
-            return await self.client.ask(self._state(upstream_id), request, counting.address)
+            return await self.client.ask(self._limit_state(upstream_id), request, owner.address)
         finally:
             self.denials.note_answered(upstream_id)
 
-    def _state(self, upstream_id: str) -> LimitState:
-        word = self.stated.word(upstream_id)
-        assert word is not None, "only for an upstream with a limit is a permit asked for"
-        return self.keeper.state(upstream_id, word)
+    def _limit_state(self, upstream_id: str) -> LimitState:
+        report = self.stated.report(upstream_id)
+        assert report is not None, "a permit is requested only for an upstream with a limit"
+        return self.gossip.state(upstream_id, report)
 
     def _decide(self, request: PermitRequest, asker: str, number: int = 0) -> PermitAnswer:
         upstream = request.upstream
         if not self.is_limited(upstream.id):
             return PermitAnswer(number, True, 0.0, 0)
         now = self._clock()
-        rate = self.stated.rate(upstream.id) * self._counting.part()
+        rate = self.stated.rate(upstream.id) * self._owners.usable_fraction()
         rank = self._ranks.rank(
             upstream.service, request.route, request.tier, request.prompt_tokens, now
         )
-        verdict = self._desk.ask(upstream.id, rate, rank, asker, now)
+        verdict = self._buckets.request_permit(upstream.id, rate, rank, asker, now)
         self.denied += not verdict.granted
         return PermitAnswer(number, verdict.granted, verdict.again_in, rank)
--- a/src/lotushill/links/json_client.py
+++ b/src/lotushill/links/json_client.py
@@ -1,4 +1,4 @@
-"""Calls over HTTP/1.1 with JSON in both directions."""
+"""Client for HTTP/1.1 calls with JSON requests and answers."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
     Header = tuple[str, str]
 
-_WRITE_SECONDS = 1.0
+_WRITE_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True)
 class JsonAnswer:
-    """Status and content of an answer."""
+    """Status and body of an answer."""
 
     status: int
     content: bytes
 
     def read(self) -> Any:
-        """Return what the answer says, nothing for an empty one; raise NoAnswerError for no JSON.
+        """Return the parsed JSON body, {} if it is empty; raise NoAnswerError if it is not JSON.
 
-        Bytes that are no text cost the value that they stand in, and no other.
+        Bytes that are not valid UTF-8 corrupt only the value that contains them.
         """
         if not self.content:
             return {}
@@ -40,45 +40,48 @@
 
 
 class JsonClient:
-    """Client of the server at `address` (IP:PORT), over a few connections that are kept."""
+    """Client of the server at `address` (IP:PORT) that keeps a small pool of connections open."""
 
     def __init__(
-        self, address: str, most_connections: int, kept_seconds: float, connect_seconds: float
+        self, address: str, max_connections: int, keepalive_seconds: float, connect_seconds: float
     ) -> None:
         self._host = address
         self._connect_seconds = connect_seconds
         self._pool = httpcore.AsyncConnectionPool(
-            max_connections=most_connections, keepalive_expiry=kept_seconds
+            max_connections=max_connections, keepalive_expiry=keepalive_seconds
         )
         self.calls = 0
-        """Calls made so far."""
+        """Number of calls made so far."""
 
     async def call(
         self,
         method: str,
         path: str,
         content: Any = None,
-        patience: float = 2.0,
+        timeout_seconds: float = 2.0,
         headers: Iterable[Header] = (),
     ) -> JsonAnswer:
-        """Make one call and return its answer; raise NoAnswerError if none comes in `patience`."""
+        """Make one call and return its answer; raise NoAnswerError if none arrives in time."""
         self.calls += 1
-        sent = [("host", self._host), *headers]
+        sent_headers = [("host", self._host), *headers]
         body = b""
         if content is not None:
             body = json.dumps(content).encode()
-            sent += [("content-type", "application/json"), ("content-length", str(len(body)))]
+            sent_headers += [
+                ("content-type", "application/json"),
+                ("content-length", str(len(body))),
+            ]
         timeout = {
             "connect": self._connect_seconds,
-            "read": patience,
-            "write": _WRITE_SECONDS,
-            "pool": _WRITE_SECONDS,
+            "read": timeout_seconds,
+            "write": _WRITE_TIMEOUT_SECONDS,
+            "pool": _WRITE_TIMEOUT_SECONDS,
         }
         try:
             response = await self._pool.request(
                 method,
                 f"http://{self._host}{path}",
-                headers=[(name.encode(), value.encode()) for name, value in sent],
+                headers=[(name.encode(), value.encode()) for name, value in sent_headers],
                 content=body,
                 extensions={"timeout": timeout},
             )
--- a/src/lotushill/links/load_records.py
+++ b/src/lotushill/links/load_records.py
@@ -1,8 +1,9 @@
-"""News of load as fixed records: what is told hundreds of times a second has to be cheap.
+"""Encodes load updates as fixed-size records: they are frequent and must be cheap.
 
-The news of one gateway is a head with its name and counts, then a record for each request that was
-placed, began, was paced or ended, and the bare numbers of those that run. Several can stand one
-after another. Upstreams are named by a hash of their id.
+Updates are sent hundreds of times a second. The update of one gateway is a header with its name and
+counts, then a record for each request that was placed, began, was paced or ended, and the bare
+numbers of the running requests. Several updates can follow one another. Upstreams are identified by
+a hash of their id.
 """
 
 from __future__ import annotations
@@ -26,32 +27,32 @@
 
     UpstreamId = Callable[[int], str | None]
 
-_HEAD = struct.Struct("<BBHHHHH")
-"""Length of the sender's name, whole; counts of placed, began, paced, ended, running."""
+_HEADER = struct.Struct("<BBHHHHH")
+"""Length of the sender's name, whole, and the counts of placed, began, paced, ended, running."""
 _PLACED = struct.Struct("<QQIIIIIIffffBBB")
-"""Request, upstream, route, team, prompt, reading, ahead, memory, gap, seconds, age, first, tier,
-began, parts."""
+"""Fields of a placed request: request, upstream, route, team, prompt, prefill tokens, total prefill
+tokens, memory, target gap, seconds, age, first event seconds, tier, began, parts."""
 _TIMED = struct.Struct("<Qf")
-"""Request, seconds: of one that began or was paced."""
+"""Fields of a request that began or was paced: request, seconds."""
 _ENDED = struct.Struct("<QBf")
-"""Request, outcome, seconds."""
+"""Fields of a request that ended: request, outcome, seconds."""
 _PART = struct.Struct("<QI")
 _NUMBER_BYTES = 8
-_MOST_PARTS = 255
-_LAST_TIER = 255
-"""What is less urgent is told as this tier."""
-_MOST_TOKENS = 2**32 - 1
+_MAX_PARTS = 255
+_MAX_TIER = 255
+"""Highest tier in a record; less urgent requests are sent as this tier."""
+_MAX_TOKENS = 2**32 - 1
 
 
 def upstream_number(upstream_id: str) -> int:
-    """Return the number that stands for an upstream in records."""
+    """Return the number that identifies an upstream in records."""
     return xxhash.xxh64_intdigest(upstream_id)
 
 
-def pack(load: Load) -> bytes:
-    """Return a load as records."""
+def pack_load(load: Load) -> bytes:
+    """Return the records of a load."""
     sender = load.sender.encode()
-    head = _HEAD.pack(
+    head = _HEADER.pack(
         len(sender),
         load.whole,
         len(load.placed),
@@ -69,114 +70,116 @@
     return b"".join(records)
 
 
-def unpack(data: bytes, upstream_id: UpstreamId) -> list[Load]:
-    """Return the loads of records; raise MalformedFrameError for anything else.
+def unpack_loads(data: bytes, upstream_id: UpstreamId) -> list[Load]:
+    """Return the loads that records contain; raise MalformedFrameError for anything else.
 
-    `upstream_id` finds the id of an upstream by its number; requests on unknown ones are left out.
+    `upstream_id` returns the id of an upstream by its number; requests at unknown ones are omitted.
     """
-    found = []
+    loads = []
     position = 0
     try:
         while position < len(data):
             load, position = _unpack_load(data, position, upstream_id)
-            found.append(load)
+            loads.append(load)
     except (struct.error, ValueError) as error:
         raise MalformedFrameError(str(error)) from error
-    return found
+    return loads
 
 
 def _pack_placed(placed: Placed) -> bytes:
-    parts = list(zip(placed.part_ids, placed.part_tokens))[:_MOST_PARTS]
+    parts = list(zip(placed.part_ids, placed.part_tokens))[:_MAX_PARTS]
     record = _PLACED.pack(
         placed.request,
         upstream_number(placed.upstream),
         placed.route,
         placed.team,
-        min(_MOST_TOKENS, placed.prompt),
-        min(_MOST_TOKENS, placed.reading),
-        min(_MOST_TOKENS, placed.ahead),
-        min(_MOST_TOKENS, placed.memory),
-        placed.gap,
+        min(_MAX_TOKENS, placed.prompt),
+        min(_MAX_TOKENS, placed.prefill_tokens),
+        min(_MAX_TOKENS, placed.total_prefill_tokens),
+        min(_MAX_TOKENS, placed.memory),
+        placed.target_gap,
         placed.seconds,
         placed.age,
-        placed.first,
-        min(_LAST_TIER, placed.tier),
+        placed.first_event_seconds,
+        min(_MAX_TIER, placed.tier),
         placed.began,
         len(parts),
     )
-    return record + b"".join(_PART.pack(part, min(_MOST_TOKENS, size)) for part, size in parts)
+    return record + b"".join(_PART.pack(part, min(_MAX_TOKENS, size)) for part, size in parts)
 
 
 def _unpack_load(data: bytes, position: int, upstream_id: UpstreamId) -> tuple[Load, int]:
-    """Return one load and where the next one begins."""
-    name, whole, placed, began, paced, ended, running = _HEAD.unpack_from(data, position)
-    position += _HEAD.size
+    """Return one load and the position of the next one."""
+    name, whole, placed, began, paced, ended, running = _HEADER.unpack_from(data, position)
+    position += _HEADER.size
     sender = data[position : position + name].decode()
     position += name
-    found: list[Placed] = []
+    placed_requests: list[Placed] = []
     for _ in range(placed):
         item, position = _unpack_placed(data, position, upstream_id)
         if item is not None:
-            found.append(item)
-    begun, position = _unpack_all(_TIMED, began, data, position)
-    pauses, position = _unpack_all(_TIMED, paced, data, position)
-    ends, position = _unpack_all(_ENDED, ended, data, position)
-    numbers = struct.unpack_from(f"<{running}Q", data, position)
+            placed_requests.append(item)
+    began_records, position = _unpack_records(_TIMED, began, data, position)
+    paced_records, position = _unpack_records(_TIMED, paced, data, position)
+    ended_records, position = _unpack_records(_ENDED, ended, data, position)
+    running_numbers = struct.unpack_from(f"<{running}Q", data, position)
     load = Load(
         sender,
         bool(whole),
-        tuple(found),
-        tuple(Began(*item) for item in begun),
-        tuple(Paced(*item) for item in pauses),
-        tuple(Ended(number, Outcome(outcome), seconds) for number, outcome, seconds in ends),
-        numbers,
+        tuple(placed_requests),
+        tuple(Began(*item) for item in began_records),
+        tuple(Paced(*item) for item in paced_records),
+        tuple(
+            Ended(number, Outcome(outcome), seconds) for number, outcome, seconds in ended_records
+        ),
+        running_numbers,
     )
     return load, position + _NUMBER_BYTES * running
 
 
-def _unpack_all(
+def _unpack_records(
     record: struct.Struct, count: int, data: bytes, position: int
 ) -> tuple[list[tuple[Any, ...]], int]:
-    """Return so many records and where the next ones begin."""
+    """Return `count` records and the position after them."""
     end = position + record.size * count
     if end > len(data):
-        raise struct.error("records are cut off")
+        raise struct.error("load records are truncated")
     return list(record.iter_unpack(data[position:end])), end
 
 
 def _unpack_placed(
     data: bytes, position: int, upstream_id: UpstreamId
 ) -> tuple[Placed | None, int]:
-    """Return one placed request, None on an unknown upstream, and where the next one begins."""
+    """Return one placed request, None if its upstream is unknown, and the position after it."""
     (
         request,
         upstream,
         route,
         team,
         prompt,
-        reading,
-        ahead,
+        prefill_tokens,
+        total_prefill_tokens,
         memory,
-        gap,
+        target_gap,
         seconds,
         age,
-        first,
+        first_event_seconds,
         tier,
         began,
-        count,
+        part_count,
     ) = _PLACED.unpack_from(data, position)
     position += _PLACED.size
-    parts = struct.unpack_from("<" + "QI" * count, data, position)
-    position += _PART.size * count
+    parts = struct.unpack_from("<" + "QI" * part_count, data, position)
+    position += _PART.size * part_count
     name = upstream_id(upstream)
     if name is None:
         return None, position
     placed = Placed(
         request,
         name,
-        reading,
+        prefill_tokens,
         memory,
-        gap,
+        target_gap,
         seconds,
         age,
         parts[::2],
@@ -185,8 +188,8 @@
         route,
         tier,
         prompt,
-        first,
-        ahead,
+        first_event_seconds,
+        total_prefill_tokens,
         team,
     )
     return placed, position
--- a/src/lotushill/links/peer_links.py
+++ b/src/lotushill/links/peer_links.py
@@ -1,4 +1,4 @@
-"""One connection to each peer that this process talks to, opened when first needed."""
+"""Keeps one connection to each peer that this process sends to, opened on first use."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 log = logging.getLogger("links")
 
-_QUEUE = 50_000
-_BATCH = 64
-_CONNECT_SECONDS = 0.5
-_HELLO_SECONDS = 2.0
+_MAX_QUEUED_MESSAGES = 50_000
+_MAX_MESSAGES_PER_WRITE = 64
+_CONNECT_TIMEOUT_SECONDS = 0.5
+_HELLO_TIMEOUT_SECONDS = 2.0
 
 
 @dataclass
@@ -41,7 +41,7 @@
 
 
 class PeerLinks:
-    """Posts messages to peers and hands over what they send."""
+    """Sends messages to peers and delivers those that are received."""
 
     def __init__(
         self,
@@ -59,14 +59,14 @@
         self._links: dict[str, _Link] = {}
         self._group: TaskGroup | None = None
         self.dropped = 0
-        """Connections dropped for frames that were malformed or forged."""
+        """Connections dropped for malformed or forged frames, or without a valid first message."""
 
     def start(self, group: TaskGroup) -> None:
-        """Use a task group for the connections."""
+        """Set the task group in which connections run."""
         self._group = group
 
     def post(self, peer: str, *messages: Message) -> None:
-        """Send messages to a peer in order; a peer that cannot be reached is reported down."""
+        """Send messages to a peer in order; an unreachable peer is reported as down."""
         link = self._links.get(peer) or self._dial_soon(peer)
         try:
             for message in messages:
@@ -75,11 +75,11 @@
             self._drop(peer, link)
 
     async def accept(self, stream: ByteStream) -> None:
-        """Serve a connection that a peer opened."""
+        """Serve a connection that a peer has opened."""
         channel: Channel | None = None
         async with stream:
             try:
-                with anyio.fail_after(_HELLO_SECONDS):
+                with anyio.fail_after(_HELLO_TIMEOUT_SECONDS):
                     channel = await self._open(stream)
                     hello = await channel.receive()
                 if not isinstance(hello, Ping):
@@ -92,14 +92,14 @@
                 pass
             except LinkError as error:
                 self.dropped += 1
-                log.warning("Dropped a connection. error=%r", error)
+                log.warning("Dropped a connection after an invalid frame. error=%r", error)
 
     async def _open(self, stream: ByteStream) -> Channel:
         return await Channel.open(stream, self._seal, secrets.token_bytes(CHALLENGE_BYTES))
 
     def _dial_soon(self, peer: str) -> _Link:
-        assert self._group is not None, "start() comes first"
-        outbox, inbox = anyio.create_memory_object_stream["Message"](_QUEUE)
+        assert self._group is not None, "start() must be called before messages are posted"
+        outbox, inbox = anyio.create_memory_object_stream["Message"](_MAX_QUEUED_MESSAGES)
         link = _Link(outbox)
         self._links[peer] = link
         self._group.start_soon(self._dial, peer, link, inbox)
@@ -113,22 +113,22 @@
             if address is None:
                 return
             host, port = split_address(address)
-            with anyio.fail_after(_CONNECT_SECONDS):
+            with anyio.fail_after(_CONNECT_TIMEOUT_SECONDS):
                 stream = await anyio.connect_tcp(host, port)
             async with stream:
-                with anyio.fail_after(_HELLO_SECONDS):
+                with anyio.fail_after(_HELLO_TIMEOUT_SECONDS):
                     channel = await self._open(stream)
                     await channel.send(Ping(self._own_name, 0, "", ()))
                 await self._pump(peer, channel, inbox)
         except (OSError, ValueError, LinkError):
-            log.info("Lost a link. peer=%s", peer)
+            log.info("Connection to a peer failed or was lost. peer=%s", peer)
         finally:
             inbox.close()
             self._drop(peer, link)
 
     async def _run(self, peer: str, channel: Channel) -> None:
-        """Serve an accepted channel, and use it for what is posted to that peer."""
-        outbox, inbox = anyio.create_memory_object_stream["Message"](_QUEUE)
+        """Serve an accepted channel, and use it for messages that are posted to that peer."""
+        outbox, inbox = anyio.create_memory_object_stream["Message"](_MAX_QUEUED_MESSAGES)
         link = _Link(outbox)
         self._links.setdefault(peer, link)
         try:
@@ -156,7 +156,7 @@
     ) -> None:
         try:
             async for message in inbox:
-                await channel.send(message, *_waiting(inbox))
+                await channel.send(message, *_queued_messages(inbox))
         except LinkClosedError:
             scope.cancel()
 
@@ -167,12 +167,12 @@
             self._on_down(peer)
 
 
-def _waiting(inbox: MemoryObjectReceiveStream[Message]) -> list[Message]:
-    """Return messages that are already there, so that one write carries them all."""
-    found: list[Message] = []
+def _queued_messages(inbox: MemoryObjectReceiveStream[Message]) -> list[Message]:
+    """Return messages that are queued already, so that one write sends all of them."""
+    messages: list[Message] = []
     try:
-        while len(found) < _BATCH:
-            found.append(inbox.receive_nowait())
+        while len(messages) < _MAX_MESSAGES_PER_WRITE:
+            messages.append(inbox.receive_nowait())
     except (anyio.WouldBlock, anyio.EndOfStream):
         pass
-    return found
+    return messages
--- a/src/lotushill/load/policy/engine.py
+++ b/src/lotushill/load/policy/engine.py
@@ -1,4 +1,4 @@
-"""A model engine in virtual time: it steps a batch, and reads prompts in pieces beside it."""
+"""Emulates a model engine in virtual time: it decodes a batch and prefills prompts in chunks."""
 
 from __future__ import annotations
 
@@ -10,64 +10,67 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lotushill.placement.kept_parts import Chain
+    from lotushill.placement.prefix_cache_model import Chain
 
-_MOST_STEPS = 10
-"""Steps taken as one where nothing is read: the events of a stream lie about so far apart."""
+_MAX_MERGED_STEPS = 10
+"""Maximum number of decoding steps simulated as one while there is no prefill.
+
+The events of a stream are about that many steps apart.
+"""
 
 
 @dataclass(frozen=True)
 class EngineFigures:
-    """How one kind of engine works."""
+    """Capacity and speed of one kind of engine."""
 
     slots: int = 12
     memory_tokens: int = 396_000
     tokens_per_event: int = 10
     step_seconds: float = 0.0031
     step_seconds_each: float = 0.0000165
-    """Added by each request that runs."""
+    """Time added to a step by each running request."""
     context_seconds: float = 6.8e-9
-    """Added by each token held by those that run."""
+    """Time added to a step by each token in memory of the running requests."""
     read_rate: float = 61_800.0
-    """Prompt tokens a second."""
+    """Prefill speed in prompt tokens per second."""
     piece: int = 1024
-    """Prompt tokens that are read in one step, at most."""
+    """Maximum number of prompt tokens processed in one step."""
     queue: int = 25
-    """Requests that may wait for a slot."""
+    """Maximum number of requests that may wait for a slot."""
 
 
 @dataclass(frozen=True)
 class Disturbance:
-    """An engine works some times slower than it usually does, for a while."""
+    """A period in which an engine is slower than usual by the factor `times`."""
 
     begins: float
     ends: float
-    times: float
+    slowdown_factor: float
 
 
 @dataclass
 class Run:
-    """One request at one engine."""
+    """One execution of a request at one engine."""
 
     number: int
     tier: int
-    unread: int
+    remaining_prompt_tokens: int
     output: int
     context: int
     chain: Chain = ()
-    written: int = 0
+    generated_tokens: int = 0
     arrived: float = 0.0
     events: list[float] = field(default_factory=list)
-    """When its events came."""
+    """Times of the events sent so far."""
 
     @property
-    def done(self) -> bool:
-        """Return whether its answer is whole."""
-        return self.written >= self.output
+    def is_complete(self) -> bool:
+        """Return whether the answer is complete."""
+        return self.generated_tokens >= self.output
 
 
 class Engine:
-    """One engine; `on_event` and `on_end` hear of its runs."""
+    """One engine, which reports its runs through the callbacks `on_event` and `on_end`."""
 
     def __init__(
         self,
@@ -82,18 +85,20 @@
         self._on_end = on_end
         self.running: list[Run] = []
         self.waiting: list[Run] = []
-        self._kept: OrderedDict[int, int] = OrderedDict()
-        self._kept_tokens = 0
-        self.read_tokens = 0
-        """Prompt tokens read so far."""
+        self._prefix_cache: OrderedDict[int, int] = OrderedDict()
+        self._cached_tokens = 0
+        self.prefilled_tokens = 0
+        """Number of prompt tokens processed so far."""
         self.work_seconds = 0.0
-        """What it has done so far, as part of what it can do: reading takes it all, and a request
-        that is answered takes a slot's part."""
+        """Work done so far, in seconds of the engine's full capacity.
+
+        Prefill takes the full capacity, a decoding request the fraction of one slot.
+        """
         self.disturbance: Disturbance | None = None
-        """The latest, which may be over."""
+        """The latest disturbance, which may be over, None if there was none."""
 
     def accept(self, run: Run, now: float) -> bool:
-        """Take a request, or refuse it since too many wait."""
+        """Queue a request and return True, or return False if the queue is full."""
         if len(self.waiting) >= self.figures.queue:
             return False
         run.arrived = now
@@ -102,91 +107,98 @@
         return True
 
     def drop(self, run: Run) -> None:
-        """End a request whose client has left."""
-        for held in (self.running, self.waiting):
-            if run in held:
-                held.remove(run)
+        """Remove a request whose client has disconnected."""
+        for runs in (self.running, self.waiting):
+            if run in runs:
+                runs.remove(run)
 
     def step(self, now: float) -> float | None:
-        """Do one step and return when it is over, None while there is nothing to do."""
+        """Run one step and return the time at which it ends, None if no request runs."""
         self._admit()
         if not self.running:
             return None
-        reading = min(
-            (run for run in self.running if run.unread > 0),
+        prefilling = min(
+            (run for run in self.running if run.remaining_prompt_tokens > 0),
             key=lambda run: (run.tier, run.arrived),
             default=None,
         )
         slowness = self.slowness_at(now)
-        steps = 1 if reading or self.waiting else self._quiet_steps()
+        steps = 1 if prefilling or self.waiting else self._steps_without_prefill()
         seconds = steps * self._step_seconds()
-        writing = sum(run.unread <= 0 for run in self.running)
-        self.work_seconds += seconds * slowness * writing / self.figures.slots
-        if reading is not None:
-            piece = min(self.figures.piece, reading.unread)
-            reading.unread -= piece
-            self.read_tokens += piece
-            seconds += piece / self.figures.read_rate
-            self.work_seconds += slowness * piece / self.figures.read_rate
+        decoding = sum(run.remaining_prompt_tokens <= 0 for run in self.running)
+        self.work_seconds += seconds * slowness * decoding / self.figures.slots
+        if prefilling is not None:
+            chunk_tokens = min(self.figures.piece, prefilling.remaining_prompt_tokens)
+            prefilling.remaining_prompt_tokens -= chunk_tokens
+            self.prefilled_tokens += chunk_tokens
+            seconds += chunk_tokens / self.figures.read_rate
+            self.work_seconds += slowness * chunk_tokens / self.figures.read_rate
         ends = now + seconds * slowness
         for run in list(self.running):
-            if run.unread <= 0:
-                self._write(run, steps, ends)
+            if run.remaining_prompt_tokens <= 0:
+                self._generate(run, steps, ends)
         return ends
 
     def slowness_at(self, now: float) -> float:
-        """Return how many times slower than usual it works at some moment."""
-        seen = self.disturbance
-        if seen is None or not seen.begins <= now < seen.ends:
+        """Return the factor by which the engine is slower than usual at a given time."""
+        latest = self.disturbance
+        if latest is None or not latest.begins <= now < latest.ends:
             return self.slowness
-        return self.slowness * seen.times
+        return self.slowness * latest.slowdown_factor
 
-    def _quiet_steps(self) -> int:
+    def _steps_without_prefill(self) -> int:
         stride = self.figures.tokens_per_event
-        due = min(
-            min(run.output - run.written, stride - run.written % stride) for run in self.running
+        steps_to_event = min(
+            min(run.output - run.generated_tokens, stride - run.generated_tokens % stride)
+            for run in self.running
         )
-        return max(1, min(_MOST_STEPS, due))
+        return max(1, min(_MAX_MERGED_STEPS, steps_to_event))
 
     def _step_seconds(self) -> float:
         figures = self.figures
-        context = sum(run.context + run.written for run in self.running)
+        context = sum(run.context + run.generated_tokens for run in self.running)
         each = figures.step_seconds_each * len(self.running)
         return figures.step_seconds + each + figures.context_seconds * context
 
-    def _write(self, run: Run, tokens: int, now: float) -> None:
-        first = run.written == 0
-        before = run.written // self.figures.tokens_per_event
-        run.written += tokens
-        if first or run.done or run.written // self.figures.tokens_per_event > before:
+    def _generate(self, run: Run, tokens: int, now: float) -> None:
+        first = run.generated_tokens == 0
+        events_before = run.generated_tokens // self.figures.tokens_per_event
+        run.generated_tokens += tokens
+        if (
+            first
+            or run.is_complete
+            or run.generated_tokens // self.figures.tokens_per_event > events_before
+        ):
             run.events.append(now)
             self._on_event(run, now)
-        if run.done:
+        if run.is_complete:
             self.running.remove(run)
             self._on_end(run, now)
 
     def _admit(self) -> None:
         while self.waiting and len(self.running) < self.figures.slots:
             run = self.waiting.pop(0)
-            run.unread = max(1, run.unread - self._find(run.chain))
-            self._keep(run.chain)
+            run.remaining_prompt_tokens = max(
+                1, run.remaining_prompt_tokens - self._count_cached(run.chain)
+            )
+            self._add_to_cache(run.chain)
             self.running.append(run)
 
-    def _find(self, chain: Chain) -> int:
-        found = 0
+    def _count_cached(self, chain: Chain) -> int:
+        cached = 0
         for key, part in chain:
-            if key not in self._kept:
-                return found
-            found += part.tokens
-        return found
+            if key not in self._prefix_cache:
+                return cached
+            cached += part.tokens
+        return cached
 
-    def _keep(self, chain: Chain) -> None:
-        held = sum(run.context + run.output for run in self.running)
+    def _add_to_cache(self, chain: Chain) -> None:
+        run_tokens = sum(run.context + run.output for run in self.running)
         for key, part in chain:
-            if key not in self._kept:
-                self._kept[key] = part.tokens
-                self._kept_tokens += part.tokens
-            self._kept.move_to_end(key)
-        while self._kept and self._kept_tokens > self.figures.memory_tokens - held:
-            _, tokens = self._kept.popitem(last=False)
-            self._kept_tokens -= tokens
+            if key not in self._prefix_cache:
+                self._prefix_cache[key] = part.tokens
+                self._cached_tokens += part.tokens
+            self._prefix_cache.move_to_end(key)
+        while self._prefix_cache and self._cached_tokens > self.figures.memory_tokens - run_tokens:
+            _, tokens = self._prefix_cache.popitem(last=False)
+            self._cached_tokens -= tokens
--- a/src/lotushill/peering/peers.py
+++ b/src/lotushill/peering/peers.py
@@ -1,4 +1,4 @@
-"""The other gateways: heartbeats, load and placement by datagrams, views by connections."""
+"""Communication with other gateways: views by connections, all other messages by datagrams."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from lotushill.links.limit_messages import LimitNews
 from lotushill.links.limit_messages import PermitAnswer
 from lotushill.links.limit_messages import PermitAsk
-from lotushill.links.load_records import pack
-from lotushill.links.load_records import unpack
+from lotushill.links.load_records import pack_load
+from lotushill.links.load_records import unpack_loads
 from lotushill.links.messages import LeavingNews
 from lotushill.links.messages import LoadBatch
 from lotushill.links.messages import LoadNews
@@ -56,7 +56,7 @@
 from lotushill.peering.member_log import MemberLog
 from lotushill.peering.view_exchange import ViewExchange
 from lotushill.scheduling.hall_contact import HallContact
-from lotushill.scheduling.load_relay import BATCH_SECONDS
+from lotushill.scheduling.load_relay import BATCH_INTERVAL_SECONDS
 from lotushill.scheduling.load_relay import LoadRelay
 from lotushill.scheduling.model_sync import ModelSync
 from lotushill.scheduling.placement_client import PlacementClient
@@ -71,64 +71,64 @@
     from lotushill.event_log import EventLog
     from lotushill.links.codec import Message
     from lotushill.links.datagram import Datagram
-    from lotushill.membership.membership import Outgoing
-    from lotushill.placement.engine_pace import LastingPace
+    from lotushill.membership.membership import OutgoingPacket
+    from lotushill.placement.engine_pace import LongTermPace
     from lotushill.placement.messages import Load
     from lotushill.process.settings import GatewaySettings
 
-_TICK_SECONDS = 0.05
-_CONTEXT = b"gateway"
-_HEARD_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
+_TICK_INTERVAL_SECONDS = 0.05
+_SEAL_CONTEXT = b"gateway"
+_REACHABLE_PHASES = (MemberPhase.ALIVE, MemberPhase.LEAVING)
 
 
 @dataclass(frozen=True)
 class PeerHooks:
-    """What the parts of a gateway give to its peers, and take from them."""
+    """Callbacks that connect the components of a gateway with its peers."""
 
     view_revision: Callable[[ViewKind], int]
     view_text: Callable[[ViewKind], tuple[int, str]]
-    """Revision and JSON text of a view."""
+    """Returns the revision and JSON text of a view."""
     on_view: Callable[[ViewKind, int, str], None]
-    """Takes a peer's view; raises MalformedViewError."""
-    contact: Callable[[], StoreContact]
+    """Receives a peer's view; raises MalformedViewError."""
+    store_contact: Callable[[], StoreContact]
     upstream_id: Callable[[int], str | None]
-    """Finds an upstream by the number that stands for it between gateways."""
+    """Returns an upstream's id by the number that represents it between gateways."""
     on_load: Callable[[Load], None]
-    everything: Callable[[], list[Load]]
-    """All that is held to run."""
-    paces: Callable[[], list[LastingPace]]
-    """What is known of the pace of upstreams."""
-    on_paces: Callable[[list[LastingPace]], None]
-    """Hears what another scheduler knows of it."""
-    on_gone: Callable[[str], None]
-    """Hears of a gateway that left or was lost."""
-    answer: Callable[[PlacementAsk, float], PlacementAnswer]
+    all_running: Callable[[], list[Load]]
+    """Returns all requests that are known to be running."""
+    paces: Callable[[], list[LongTermPace]]
+    """Returns the known long-term paces of upstreams."""
+    on_paces: Callable[[list[LongTermPace]], None]
+    """Receives the paces that another scheduler has measured or received."""
+    on_gateway_gone: Callable[[str], None]
+    """Receives the name of a gateway that left or was lost."""
+    answer_placement: Callable[[PlacementAsk, float], PlacementAnswer]
     """Places a request for another gateway."""
-    on_late: Callable[[int], None]
-    """Hears of a request that was placed too late to be sent."""
+    on_late_placement: Callable[[int], None]
+    """Receives the number of a request that was placed too late to be sent."""
     on_work_pull: Callable[[WorkPull], Iterable[WorkPage]]
-    """Tells what this gateway counted."""
+    """Returns the usage counts of this gateway."""
     on_work_page: Callable[[WorkPage], None]
-    """Hears what another gateway counted."""
+    """Receives the usage counts of another gateway."""
     on_suspects: Callable[[SuspectNews | ClearedNews | GroupNews], None]
-    """Hears of requests under which upstreams ended, or did not."""
+    """Receives updates on requests during which upstreams failed or did not fail."""
     on_leaving: Callable[[LeavingNews], None]
-    """Hears of upstreams that said that they leave."""
+    """Receives updates on upstreams that announced that they leave."""
     on_limits: Callable[[LimitNews], None]
-    """Hears of limits that upstreams named."""
+    """Receives updates on limits that upstreams stated."""
     on_permit_ask: Callable[[PermitAsk], PermitAnswer]
-    """Counts for an upstream with a limit."""
+    """Answers a permit request for an upstream with a limit."""
     on_permit_answer: Callable[[PermitAnswer], None]
     on_returns: Callable[[ReturnNews], None]
-    """Hears of callers that were told when to come back."""
+    """Receives updates on refused callers with a promised retry time."""
     on_tick: Callable[[], None]
-    """Called some twenty times a second."""
-    on_waiting: Callable[[WaitingNews], None] = lambda _: None
-    """Hears how many requests wait at another scheduler."""
+    """Runs about twenty times a second."""
+    on_queue_counts: Callable[[WaitingNews], None] = lambda _: None
+    """Receives the number of requests in the queue of another scheduler."""
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Knows which gateways are there and passes messages between them."""
+    """Tracks the other gateways and exchanges messages with them."""
 
     def __init__(
         self,
@@ -138,12 +138,11 @@
         hooks: PeerHooks,
         clock: Callable[[], float] = clocks.now,
     ) -> None:
-        """Make the parts."""
         self._member_log = MemberLog(log)
         self._clock = clock
         self._hooks = hooks
         self._address = settings.peers
-        # The platform hands out no secret: this key only keeps frames of other fleets out.
+        # The platform provides no secret: this key only rejects frames of other fleets.
         digest = hashlib.blake2b(settings.store.encode(), digest_size=16).digest()
         self._seal = Seal((digest,))
         own = MemberState(
@@ -159,21 +158,23 @@
             settings.name, self._seal, self._address_of, self._on_message, lambda _: None
         )
         self.schedulers = Schedulers(self.membership)
-        self.client = PlacementClient(self.schedulers, self.send_message, hooks.on_late, clock)
+        self.client = PlacementClient(
+            self.schedulers, self.send_message, hooks.on_late_placement, clock
+        )
         self.model_sync = ModelSync(self.schedulers)
         self._hall_contact = HallContact(self.schedulers)
         self._views = ViewExchange(self.membership, self.links, rng, hooks.view_text, hooks.on_view)
         self._relay = LoadRelay(settings.name, self.schedulers, self.send_message)
         self._transport: asyncio.DatagramTransport | None = None
-        self._cut_off: set[str] = set()
-        self._cut_off_at = -1
-        """Version of the membership when the halls that are cut off were worked out."""
+        self._unreachable_halls: set[str] = set()
+        self._unreachable_version = -1
+        """Version of the membership for which the unreachable halls were computed."""
         self.malformed = 0
-        """Packets dropped because they could not be read."""
+        """Number of packets that were dropped because they could not be decoded."""
         self.bytes_sent = 0
 
     async def run(self, group: TaskGroup) -> None:
-        """Bind, and keep the membership going for ever."""
+        """Bind the address and run the membership protocol forever."""
         host, port = split_address(self._address)
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
@@ -181,65 +182,65 @@
         self.links.start(group)
         listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
         group.start_soon(listener.serve, self.links.accept)
-        group.start_soon(self._flush_for_ever)
+        group.start_soon(self._flush_forever)
         while True:
             self._tick(self._clock())
-            await anyio.sleep(_TICK_SECONDS)
+            await anyio.sleep(_TICK_INTERVAL_SECONDS)
 
-    async def _flush_for_ever(self) -> None:
-        """Pass on load that waits; nothing is woken up for while none does."""
+    async def _flush_forever(self) -> None:
+        """Pass on pending load updates; without any, the task sleeps."""
         while True:
-            await self._relay.waits()
-            await anyio.sleep(BATCH_SECONDS)
+            await self._relay.wait_for_pending()
+            await anyio.sleep(BATCH_INTERVAL_SECONDS)
             self._relay.flush_due(self._clock())
 
     def count(self) -> int:
-        """Return how many gateways have been seen, those that are lost included."""
+        """Return the number of known gateways, including lost ones."""
         return self.membership.count
 
-    def is_cut_off(self, hall: str) -> bool:
-        """Return whether gateways of a hall are known, and none of them is heard."""
-        if self.membership.version != self._cut_off_at:
-            self._cut_off_at = self.membership.version
-            known = self.membership.all()
-            heard = {item.hall for item in known if item.phase in _HEARD_PHASES}
-            self._cut_off = {item.hall for item in known} - heard
-        return hall in self._cut_off or self._hall_contact.is_silent(hall, self._clock())
-
-    def is_near(self, name: str) -> bool:
-        """Return whether a gateway stands in the own hall."""
+    def is_hall_unreachable(self, hall: str) -> bool:
+        """Return whether gateways of a hall are known but none of them is reachable."""
+        if self.membership.version != self._unreachable_version:
+            self._unreachable_version = self.membership.version
+            members = self.membership.all()
+            reachable = {item.hall for item in members if item.phase in _REACHABLE_PHASES}
+            self._unreachable_halls = {item.hall for item in members} - reachable
+        return hall in self._unreachable_halls or self._hall_contact.is_silent(hall, self._clock())
+
+    def is_same_hall(self, name: str) -> bool:
+        """Return whether a gateway is in the same hall as this one."""
         member = self.membership.find(name)
         return member is not None and member.hall == self.membership.own.hall
 
     def leave(self) -> None:
-        """Tell the others that this gateway stops."""
+        """Notify the other gateways that this one stops."""
         self._send_all(self.membership.leave())
 
-    def tell_load(self, load: Load) -> None:
-        """Tell the schedulers of requests placed and ended."""
-        self._relay.tell(pack(load), load.number, self._clock())
+    def publish_load(self, load: Load) -> None:
+        """Send requests that were placed or ended to the schedulers."""
+        self._relay.publish(pack_load(load), load.number, self._clock())
 
-    def tell_all(self, message: Message) -> None:
-        """Send a message to every other gateway that is heard."""
-        data = self._seal.sign(to_datagram(message), _CONTEXT)
+    def broadcast(self, message: Message) -> None:
+        """Send a message to every other live gateway."""
+        data = self._seal.sign(to_datagram(message), _SEAL_CONTEXT)
         for member in self.membership.live():
             if member.name != self.membership.own.name:
                 self._send(data, member.address)
 
-    def tell_schedulers(self, message: Message) -> None:
-        """Send a message to every scheduler but this gateway."""
+    def send_to_schedulers(self, message: Message) -> None:
+        """Send a message to every scheduler except this gateway."""
         for scheduler in self.schedulers.others():
             self.send_message(message, scheduler.address)
 
     def send_to(self, message: Message, name: str) -> None:
-        """Send a message to one gateway, if it is known."""
+        """Send a message to one gateway if it is known."""
         member = self.membership.find(name)
         if member is not None:
             self.send_message(message, member.address)
 
-    def _take_records(self, records: bytes) -> None:
+    def _receive_records(self, records: bytes) -> None:
         try:
-            loads = unpack(records, self._hooks.upstream_id)
+            loads = unpack_loads(records, self._hooks.upstream_id)
         except MalformedFrameError:
             self.malformed += 1
             return
@@ -247,35 +248,33 @@
             if load.sender != self.membership.own.name:
                 self._hooks.on_load(load)
 
-    def _take_paces(self, records: bytes) -> None:
+    def _receive_paces(self, records: bytes) -> None:
         try:
             self._hooks.on_paces(unpack_paces(records, self._hooks.upstream_id))
         except MalformedFrameError:
             self.malformed += 1
 
-    # The edge
-
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Take in a datagram."""
+        """Decode a datagram and pass its message to the part that handles it."""
         try:
-            message = from_datagram(self._seal.open(data, _CONTEXT))
+            message = from_datagram(self._seal.open(data, _SEAL_CONTEXT))
         except (ForgedFrameError, MalformedFrameError):
             self.malformed += 1
             return
         now = self._clock()
         if isinstance(message, LoadBatch):
-            self._hall_contact.hear(message.sender, now)
-            self._take_records(message.records)
+            self._hall_contact.note_batch(message.sender, now)
+            self._receive_records(message.records)
         elif isinstance(message, LoadNews):
-            self._take_records(message.records)
+            self._receive_records(message.records)
             self._relay.collect(message.records, now)
         elif isinstance(message, PlacementAsk):
-            answer = self._hooks.answer(message, now)
+            answer = self._hooks.answer_placement(message, now)
             self.send_message(answer, f"{addr[0]}:{addr[1]}")
         elif isinstance(message, PlacementAnswer):
             self.client.receive(message)
         elif isinstance(message, WaitingNews):
-            self._hooks.on_waiting(message)
+            self._hooks.on_queue_counts(message)
         elif isinstance(message, WorkPull):
             for page in self._hooks.on_work_pull(message):
                 self.send_message(page, f"{addr[0]}:{addr[1]}")
@@ -296,18 +295,18 @@
         elif isinstance(message, Ping | Pong | RosterPull | RosterPage):
             source = f"{addr[0]}:{addr[1]}"
             self._send_all(self.membership.receive(message, source, now))
-            self._follow_changes(now)
+            self._process_changes(now)
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over the news that an earlier datagram did not arrive."""
+        """Ignore the notice that an earlier datagram was not delivered."""
 
-    def _send_all(self, packets: Iterable[Outgoing]) -> None:
+    def _send_all(self, packets: Iterable[OutgoingPacket]) -> None:
         for packet in packets:
             self.send_message(packet.message, packet.address)
 
     def send_message(self, message: Datagram, address: str) -> None:
         """Send one datagram to an address."""
-        self._send(self._seal.sign(to_datagram(message), _CONTEXT), address)
+        self._send(self._seal.sign(to_datagram(message), _SEAL_CONTEXT), address)
 
     def _send(self, data: bytes, address: str) -> None:
         if self._transport is None or self._transport.is_closing():
@@ -322,21 +321,19 @@
         if isinstance(message, ViewPull):
             self._views.answer(peer, message)
         elif isinstance(message, ViewPage):
-            self.malformed += not self._views.take(message)
+            self.malformed += not self._views.receive(message)
         elif isinstance(message, ModelPull):
-            records = b"".join(pack(load) for load in self._hooks.everything())
+            records = b"".join(pack_load(load) for load in self._hooks.all_running())
             self.links.post(peer, ModelPage(records, pack_paces(self._hooks.paces())))
         elif isinstance(message, ModelPage):
-            self._take_paces(message.paces)
-            self._take_records(message.records)
+            self._receive_paces(message.paces)
+            self._receive_records(message.records)
             self.model_sync.note_page()
 
-    # What is due
-
     def _tick(self, now: float) -> None:
         self._hooks.on_tick()
         revisions = {kind: self._hooks.view_revision(kind) for kind in ViewKind}
-        contact = self._hooks.contact()
+        contact = self._hooks.store_contact()
         changed = self.membership.set_views(
             revisions[ViewKind.CONFIGURATION],
             revisions[ViewKind.UPSTREAMS],
@@ -347,19 +344,19 @@
         if changed and contact is not StoreContact.PASSIVE:
             self._send_all(self.membership.announce())
         self._send_all(self.membership.tick(now))
-        self._follow_changes(now)
-        self._views.look(revisions, now)
-        self._hall_contact.look(now)
-        self._relay.tell_of_life(now)
+        self._process_changes(now)
+        self._views.pull_newer(revisions, now)
+        self._hall_contact.update_listening(now)
+        self._relay.send_keepalive(now)
         if min(revisions[ViewKind.CONFIGURATION], revisions[ViewKind.UPSTREAMS]) >= 0:
-            self._fill_model(now)
+            self._pull_model(now)
 
-    def _fill_model(self, now: float) -> None:
-        source = self.model_sync.pull_from(now)
+    def _pull_model(self, now: float) -> None:
+        source = self.model_sync.next_source(now)
         if source is not None:
             self.links.post(source, ModelPull(self.membership.own.name))
 
-    def _follow_changes(self, now: float) -> None:
+    def _process_changes(self, now: float) -> None:
         self._member_log.flush(now)
         for change in self.membership.take_changes():
             member = change.member
@@ -367,7 +364,7 @@
                 continue
             self._member_log.note(change, now)
             if member.phase in (MemberPhase.LOST, MemberPhase.LEAVING):
-                self._hooks.on_gone(member.name)
+                self._hooks.on_gateway_gone(member.name)
 
     def _address_of(self, name: str) -> str | None:
         member = self.membership.find(name)
--- a/src/lotushill/peering/reader_role.py
+++ b/src/lotushill/peering/reader_role.py
@@ -1,55 +1,55 @@
-"""Whether this gateway reads the platform's store, or leaves that to others of its hall."""
+"""Decides whether this gateway reads the platform's store or leaves it to others of its hall."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from lotushill.links.messages import StoreContact
-from lotushill.membership.readers import reads
-from lotushill.membership.readers import stands_in
+from lotushill.membership.readers import is_reader
+from lotushill.membership.readers import is_substitute_reader
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from lotushill.membership.membership import Membership
 
-_DECIDED_SECONDS = 0.1
-"""A decision holds so long, for all kinds that are followed."""
-_FIND_SECONDS = 0.6
-"""After its start, a gateway waits so long for others that could tell it everything."""
+_DECISION_SECONDS = 0.1
+"""Time for which a decision is valid, for all kinds of objects that are watched."""
+_DISCOVERY_SECONDS = 0.6
+"""Time after its start for which a gateway waits for others that could send it all views."""
 
 
 class ReaderRole:
-    """Decides from the members that are heard; pure, with the clock passed in."""
+    """Decides from the live members; pure, with the clock passed in."""
 
     def __init__(self, membership: Callable[[], Membership], clock: Callable[[], float]) -> None:
-        """Follow a membership from now on."""
+        """Decide by the members of a membership; the start of the gateway is now."""
         self._membership = membership
         self._clock = clock
         self._started = clock()
-        self._due = float("-inf")
-        self._reads = False
+        self._next_decision = float("-inf")
+        self._is_reader = False
 
-    def reads(self) -> bool:
+    def is_reader(self) -> bool:
         """Return whether this gateway reads the store now."""
         now = self._clock()
-        if now >= self._due:
-            self._due = now + _DECIDED_SECONDS
-            self._reads = self._decide(now)
-        return self._reads
+        if now >= self._next_decision:
+            self._next_decision = now + _DECISION_SECONDS
+            self._is_reader = self._decide(now)
+        return self._is_reader
 
     def _decide(self, now: float) -> bool:
         members = self._membership().live()
-        if len(members) < 2 and now - self._started < _FIND_SECONDS:
+        if len(members) < 2 and now - self._started < _DISCOVERY_SECONDS:
             return False
-        return reads(self._membership().own, members)
+        return is_reader(self._membership().own, members)
 
-    def stands_in(self) -> bool:
-        """Return whether it reads only since others are turned away by the store."""
-        return stands_in(self._membership().own, self._membership().live())
+    def is_substitute_reader(self) -> bool:
+        """Return whether it reads only because the store turns others away."""
+        return is_substitute_reader(self._membership().own, self._membership().live())
 
-    def told_by_others(self, configuration: int) -> bool:
-        """Return whether another one reads the store and has no newer configuration."""
+    def has_current_reader(self, configuration: int) -> bool:
+        """Return whether another gateway reads the store and has no newer configuration."""
         membership = self._membership()
         return any(
             member.contact is StoreContact.READING and member.configuration <= configuration
--- a/src/lotushill/peering/registration.py
+++ b/src/lotushill/peering/registration.py
@@ -1,4 +1,4 @@
-"""How gateways find each other: an object of each in the platform's store."""
+"""Discovery of the other gateways by an object of each in the platform's store."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
     from lotushill.process.settings import GatewaySettings
 
 KIND = "lotushill-gateways"
-"""The kind of the platform's store that holds an object of each gateway."""
-_ALONE_SECONDS = (0.15, 0.6)
-"""Some moment in which one that has found nobody, as when all start at once, asks for what is true
-now. The first ones to do so find many others, who then need not ask."""
-_LOOK_SECONDS = (1.5, 5.0)
-"""Pauses before the looks that follow the first ones: for those that registered a little later."""
-_LATER_SECONDS = 20.0
-_ALONE_AGAIN_SECONDS = 3.0
-"""One that still knows nobody looks more often: the store may have been away."""
-_RETRY_SECONDS = 0.5
+"""Kind of objects in the platform's store that contains one object per gateway."""
+_FRESH_READ_DELAY_SECONDS = (0.15, 0.6)
+"""Range of delays after which a gateway that has found no other, as when all start at once, reads
+the current list. The first gateways to do so find many others, which then need not read it."""
+_EARLY_READ_INTERVALS_SECONDS = (1.5, 5.0)
+"""Intervals before the next reads, which find gateways that registered a little later."""
+_READ_INTERVAL_SECONDS = 20.0
+_READ_INTERVAL_ALONE_SECONDS = 3.0
+"""Shorter read interval while no other gateway is known: the store may have been unreachable."""
+_RETRY_INTERVAL_SECONDS = 0.5
 
 
 class Registration:
-    """Writes the own address once and reads those of the others now and then.
+    """Writes this gateway's address once and reads those of the other gateways periodically.
 
-    Nothing of it is needed for a request: it only seeds the membership.
+    No request depends on it: it only seeds the membership.
     """
 
     def __init__(
@@ -49,23 +49,23 @@
         self._peers = peers
         self._log = log
         self._rng = rng
-        self.listed = 0
-        """How many gateways were registered at the last look, 0 before the first."""
+        self.registered_count = 0
+        """Number of gateways that were registered at the last read, 0 before the first."""
 
     async def run(self) -> None:
-        """Look for others, register, and look again now and then, for ever."""
-        if not await self._look():
+        """Read the registered gateways, register, and read them again periodically, forever."""
+        if not await self._read_registered():
             await self._register()
-        await anyio.sleep(self._rng.uniform(*_ALONE_SECONDS))
+        await anyio.sleep(self._rng.uniform(*_FRESH_READ_DELAY_SECONDS))
         if self._is_alone():
-            await self._look(stale=False)
-        for pause in _LOOK_SECONDS:
+            await self._read_registered(stale=False)
+        for pause in _EARLY_READ_INTERVALS_SECONDS:
             await anyio.sleep(pause * self._rng.uniform(0.7, 1.3))
-            await self._look()
+            await self._read_registered()
         while True:
-            later = _ALONE_AGAIN_SECONDS if self._is_alone() else _LATER_SECONDS
-            await anyio.sleep(later * self._rng.uniform(0.7, 1.3))
-            await self._look()
+            interval = _READ_INTERVAL_ALONE_SECONDS if self._is_alone() else _READ_INTERVAL_SECONDS
+            await anyio.sleep(interval * self._rng.uniform(0.7, 1.3))
+            await self._read_registered()
 
     def _is_alone(self) -> bool:
         return len(self._peers.membership.live()) < 2
@@ -77,7 +77,7 @@
                 await self._store.create(KIND, name, spec)
                 return
             except RevisionConflictError:
-                # It is there from an earlier life, at another address.
+                # The object exists from an earlier incarnation, at another address.
                 try:
                     await self._store.replace(KIND, name, spec)
                     return
@@ -85,19 +85,19 @@
                     self._log.note("registration.failed", error=repr(error))
             except StoreError as error:
                 self._log.note("registration.failed", error=repr(error))
-            await anyio.sleep(_RETRY_SECONDS * self._rng.uniform(0.7, 1.3))
+            await anyio.sleep(_RETRY_INTERVAL_SECONDS * self._rng.uniform(0.7, 1.3))
 
-    async def _look(self, stale: bool = True) -> bool:
-        """Read who is there; return whether the own object is as it should be.
+    async def _read_registered(self, stale: bool = True) -> bool:
+        """Read the registered gateways; return whether its own object is up to date.
 
-        A stale answer may be seconds old, and costs the store and us far less.
+        A stale answer may be seconds old, but costs the store and this gateway far less.
         """
         try:
             listed = await self._store.list_kind(KIND, stale)
         except StoreError:
             return False
         specs = {item.name: item.spec for item in listed.objects if isinstance(item.spec, dict)}
-        self.listed = len(specs)
+        self.registered_count = len(specs)
         addresses = [spec.get("peers") for spec in specs.values()]
         self._peers.membership.add_seeds(item for item in addresses if isinstance(item, str))
         return specs.get(self._settings.name) == self._spec()
--- /dev/null
+++ b/src/lotushill/peering/return_gossip.py
@@ -0,0 +1,51 @@
+"""Updates on refused callers with a promised retry time, so that they may return to any gateway."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from lotushill.links.return_messages import MAX_PROMISES_PER_DATAGRAM
+from lotushill.links.return_messages import ReturnNews
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from lotushill.membership.schedulers import Schedulers
+    from lotushill.returns.promises import ReturnPromises
+
+
+class ReturnGossip:
+    """Sends promises made here to the other schedulers, and merges theirs.
+
+    A lost update costs a caller its place and nothing else: its request then counts as new.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        returns: ReturnPromises,
+        schedulers: Schedulers,
+        send: Callable[[ReturnNews, str], None],
+        clock: Callable[[], float],
+    ) -> None:
+        """Send as the gateway `name`; `send` sends a message to an address."""
+        self._name = name
+        self._returns = returns
+        self._schedulers = schedulers
+        self._send = send
+        self._clock = clock
+
+    def receive(self, update: ReturnNews) -> None:
+        """Merge an update from another gateway."""
+        if update.sender != self._name:
+            self._returns.merge(update.promises, self._clock())
+
+    def send_due(self) -> None:
+        """Send the promises that are due to the other schedulers."""
+        states = self._returns.due_states(self._clock())
+        for start in range(0, len(states), MAX_PROMISES_PER_DATAGRAM):
+            update = ReturnNews(
+                self._name, tuple(states[start : start + MAX_PROMISES_PER_DATAGRAM])
+            )
+            for scheduler in self._schedulers.others():
+                self._send(update, scheduler.address)
--- a/src/lotushill/peering/view_exchange.py
+++ b/src/lotushill/peering/view_exchange.py
@@ -1,4 +1,4 @@
-"""Views that gateways pull from one another, so that few have to read the store."""
+"""Exchange of views between gateways, so that few have to read the store."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from lotushill.links.messages import ViewKind
 from lotushill.links.messages import ViewPage
 from lotushill.links.messages import ViewPull
-from lotushill.links.packed_text import pack
-from lotushill.links.packed_text import unpack
+from lotushill.links.packed_text import compress_text
+from lotushill.links.packed_text import decompress_text
 from lotushill.views.exceptions import MalformedViewError
 
 if TYPE_CHECKING:
@@ -22,13 +22,14 @@
     from lotushill.links.peer_links import PeerLinks
     from lotushill.membership.membership import Membership
 
-_PULL_AFTER_SECONDS = 0.3
-"""A view is pulled that is behind for so long: the own watch, or the hall, had its chance."""
-_PULL_AGAIN_SECONDS = 0.5
+_PULL_DELAY_SECONDS = 0.3
+"""Time for which a view has to be behind before it is pulled. Within it, this gateway's watch of
+the store or another gateway of the hall normally delivers the newer view."""
+_PULL_INTERVAL_SECONDS = 0.5
 
 
 class ViewExchange:
-    """Pulls what is newer elsewhere, and answers pulls; the clock is passed in."""
+    """Pulls views that are newer at other gateways, and answers pulls; the time is passed in."""
 
     def __init__(
         self,
@@ -38,73 +39,76 @@
         view_text: Callable[[ViewKind], tuple[int, str]],
         on_view: Callable[[ViewKind, int, str], None],
     ) -> None:
-        """Hand views over as JSON text: `view_text` gives the own, `on_view` takes a peer's."""
+        """Exchange views as JSON text.
+
+        `view_text` returns the local view; `on_view` receives a peer's.
+        """
         self._membership = membership
         self._links = links
         self._rng = rng
         self._view_text = view_text
         self._on_view = on_view
-        self._behind: dict[ViewKind, float] = {}
+        self._behind_since: dict[ViewKind, float] = {}
         self._packed: dict[ViewKind, tuple[str, bytes]] = {}
-        """The latest text of each view that was sent, and what was sent."""
-        self._looked_at = -1
-        """Version of the membership when the views of others were last held against the own."""
+        """Latest text of each view that was sent, with its packed form."""
+        self._compared_version = -1
+        """Version of the membership at the last comparison with the revisions of other gateways."""
 
-    def look(self, revisions: dict[ViewKind, int], now: float) -> None:
-        """Pull the views that others hold at a higher revision than the own ones."""
-        if self._membership.version == self._looked_at and not self._behind:
+    def pull_newer(self, revisions: dict[ViewKind, int], now: float) -> None:
+        """Pull the views that other gateways have at a higher revision."""
+        if self._membership.version == self._compared_version and not self._behind_since:
             return
-        self._looked_at = self._membership.version
+        self._compared_version = self._membership.version
         members = self._membership.live()
         for kind in ViewKind:
-            self.catch_up(kind, revisions[kind], members, now)
+            self.pull_if_behind(kind, revisions[kind], members, now)
 
-    def catch_up(
+    def pull_if_behind(
         self, kind: ViewKind, revision: int, members: Sequence[MemberState], now: float
     ) -> None:
-        """Pull one view from a member that is ahead, one of the own hall first."""
-        ahead = [item for item in members if _revision(item, kind) > revision]
-        if not ahead:
-            self._behind.pop(kind, None)
+        """Pull one view from a member with a higher revision, preferably one of the same hall."""
+        newer = [item for item in members if _revision(item, kind) > revision]
+        if not newer:
+            self._behind_since.pop(kind, None)
             return
-        near = [item for item in ahead if item.hall == self._membership.own.hall]
-        waits = self._pull_after(revision, bool(near))
-        since = self._behind.setdefault(kind, now)
-        if now - since < waits:
+        same_hall = [item for item in newer if item.hall == self._membership.own.hall]
+        delay = self._pull_delay(revision, bool(same_hall))
+        since = self._behind_since.setdefault(kind, now)
+        if now - since < delay:
             return
-        self._behind[kind] = now + _PULL_AGAIN_SECONDS - waits
-        self._links.post(self._rng.choice(near or ahead).name, ViewPull(kind, revision))
+        self._behind_since[kind] = now + _PULL_INTERVAL_SECONDS - delay
+        self._links.post(self._rng.choice(same_hall or newer).name, ViewPull(kind, revision))
 
-    def _pull_after(self, revision: int, near: bool) -> float:
-        """Return how long others may be ahead before their view is pulled."""
+    def _pull_delay(self, revision: int, in_own_hall: bool) -> float:
+        """Return how long others may have a higher revision before their view is pulled."""
         if revision < 0:
-            # Without any view there is nothing to wait for.
+            # A gateway without any view has nothing to wait for.
             return 0.0
-        if near and self._membership.own.contact is not StoreContact.READING:
+        if in_own_hall and self._membership.own.contact is not StoreContact.READING:
             return 0.0
-        return _PULL_AFTER_SECONDS
+        return _PULL_DELAY_SECONDS
 
     def answer(self, peer: str, pull: ViewPull) -> None:
-        """Send the own view to a peer, if it is newer than the peer's."""
+        """Send the local view to a peer if it is newer than the peer's."""
         revision, text = self._view_text(pull.kind)
         if revision > pull.revision:
             packed = self._pack(pull.kind, text)
             self._links.post(peer, ViewPage(pull.kind, revision, packed=packed))
 
-    def take(self, page: ViewPage) -> bool:
-        """Take a peer's view; return whether it could be read."""
+    def receive(self, page: ViewPage) -> bool:
+        """Receive a peer's view; return whether it could be decoded."""
         try:
-            text = unpack(page.packed) if page.packed else page.text
+            text = decompress_text(page.packed) if page.packed else page.text
             self._on_view(page.kind, page.revision, text)
         except (MalformedFrameError, MalformedViewError):
             return False
         return True
 
     def _pack(self, kind: ViewKind, text: str) -> bytes:
-        """Return a view packed, once for all peers that pull it."""
+        """Return a view in packed form, which is computed once for all peers that pull it."""
         former, packed = self._packed.get(kind, ("", b""))
         if text != former:
-            packed = pack(text)
+            packed = compress_text(text)
             self._packed[kind] = (text, packed)
         return packed
 
--- a/src/lotushill/placement/recent_parts.py
+++ b/src/lotushill/placement/recent_parts.py
@@ -1,45 +1,53 @@
-"""Which shared prompt parts any upstream has used of late."""
+"""Tracks which shared prompt parts any upstream has used recently."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from lotushill.placement.kept_parts import chained
+from lotushill.placement.prefix_cache_model import chain_parts
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from lotushill.placement.kept_parts import Chain
+    from lotushill.placement.prefix_cache_model import Chain
     from lotushill.routing.demand import PromptPart
 
 
 class RecentParts:
-    """When each part was last used anywhere; reading such a part again is wasted work."""
+    """Times of the last use of each part on any upstream.
+
+    Processing a recently used part again is wasted work.
+    """
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        """How long a part counts as used of late."""
-        self._used: dict[int, float] = {}
+        """Seconds for which a part counts as recently used."""
+        self._used_at: dict[int, float] = {}
 
     def note(self, parts: Sequence[PromptPart], now: float) -> None:
-        """Note that a prompt is being read; its last part is nobody else's."""
-        for key, _ in chained(parts[:-1]):
-            self._used[key] = now
+        """Record that a prompt is being processed; its last part is not shared."""
+        for key, _ in chain_parts(parts[:-1]):
+            self._used_at[key] = now
 
-    def again(self, parts: Sequence[PromptPart], matched: int, now: float) -> int:
-        """Return the shared tokens behind the first `matched` that were read of late."""
-        return self.again_chain(tuple(chained(parts[:-1])), matched, now)
+    def reread_tokens(self, parts: Sequence[PromptPart], matched_tokens: int, now: float) -> int:
+        """Return the recently used shared tokens after the first `matched_tokens`."""
+        return self.reread_chain_tokens(tuple(chain_parts(parts[:-1])), matched_tokens, now)
 
-    def again_chain(self, shared: Chain, matched: int, now: float) -> int:
-        """Return the same for the shared parts of a prompt, chained before."""
+    def reread_chain_tokens(self, shared: Chain, matched_tokens: int, now: float) -> int:
+        """Return the same for the shared parts of a prompt that are already chained."""
         position = 0
         total = 0
         for key, part in shared:
             position += part.tokens
-            if position > matched and now - self._used.get(key, float("-inf")) < self.seconds:
+            if (
+                position > matched_tokens
+                and now - self._used_at.get(key, float("-inf")) < self.seconds
+            ):
                 total += part.tokens
         return total
 
-    def forget(self, now: float) -> None:
-        """Drop parts that were not used of late."""
-        self._used = {key: used for key, used in self._used.items() if now - used < self.seconds}
+    def evict_old(self, now: float) -> None:
+        """Remove parts that were not used recently."""
+        self._used_at = {
+            key: used for key, used in self._used_at.items() if now - used < self.seconds
+        }
--- a/src/lotushill/placement/shedding.py
+++ b/src/lotushill/placement/shedding.py
@@ -1,7 +1,7 @@
-"""Who may be refused while upstreams have more to do than is in time. Pure.
+"""Decides which requests are refused while upstreams are overloaded.
 
-Every gateway decides alone, but by what all gateways tell of the requests that they send: what one
-gateway sends itself is too little to tell the routes of a service apart.
+Every gateway decides alone, but from the reports of all gateways about the requests that they send:
+the requests of one gateway are too few to compare the routes of a service. Performs no I/O.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 from lotushill.placement.choice import NoChoice
 from lotushill.placement.choice import Refusal
 from lotushill.placement.recent_starts import RecentStarts
-from lotushill.placement.usual_request import UsualRequests
-from lotushill.returns.promise import Asker
-from lotushill.returns.promises import Returns
+from lotushill.placement.typical_requests import TypicalRequests
+from lotushill.returns.promise import Requester
+from lotushill.returns.promises import ReturnPromises
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -23,136 +23,174 @@
     from lotushill.placement.messages import Placed
     from lotushill.placement.need import Need
 
-_LONG_SHARE = 0.5
-"""Of the usual prompt of the longest route, from which another route counts as long too."""
-_TIMES_LARGER = 2.0
-"""Users hold a refusal against less urgent requests of over twice its size."""
-_LONG_WAIT = 0.5
-"""Of its target, how long a long request may wait until its prompt is read.
+_LONG_ROUTE_FRACTION = 0.5
+"""Fraction of the typical prompt of the longest route from which another route also counts as long.
+"""
+_LARGER_FACTOR = 2.0
+"""Users compare a refused request with less urgent requests of more than twice its size."""
+_MAX_LONG_WAIT_FRACTION = 0.5
+"""Fraction of its target that a long request may wait until its prompt is processed.
 
-Held against the upstream that is best for a usual request of the route, so that large and small
-ones are refused alike.
+Evaluated on the upstream that is best for a typical request of the route, so that large and small
+requests are refused alike.
 """
 _SPREAD_STEPS = 1024
-"""Into so many parts returns are spread by the number of their caller."""
+"""Number of steps over which returns are spread by the number of the caller."""
 
 
 class Shedding:
-    """Refuses the least urgent and longest first."""
+    """Refuses the least urgent and longest requests first."""
 
     def __init__(self) -> None:
-        self.usual = UsualRequests()
+        self.typical_requests = TypicalRequests()
         self.starts = RecentStarts()
-        self.returns = Returns()
+        self.returns = ReturnPromises()
 
     def note(self, placed: Placed, service: str, now: float) -> None:
-        """Learn from a request that any gateway has sent to an upstream."""
-        self.usual.note_prompt(service, placed.route, placed.prompt, placed.reading)
+        """Record a request that any gateway has sent to an upstream."""
+        self.typical_requests.note_prompt(
+            service, placed.route, placed.prompt, placed.prefill_tokens
+        )
         self.starts.note(service, placed.tier, placed.prompt, now - placed.age)
-        self.returns.room.note(service, placed.tier, now - placed.age)
+        self.returns.start_rate.note(service, placed.tier, now - placed.age)
 
     def is_long(self, need: Need) -> bool:
         """Return whether a request's route has the longest prompts of its service.
 
-        Under overload these are refused first: each leaves room for many short ones. The route
-        decides and not the request, so that the large ones of a route are served as often as the
-        small ones. Before any gateway has sent one of the route, the request stands for it.
+        Under overload these are refused first: each refusal leaves room for many short ones. The
+        route decides and not the request, so that the large requests of a route are served as often
+        as the small ones. Until any gateway has sent a request of the route, the size of this
+        request is used.
         """
         return self.is_long_route(need.service, need.route, need.prompt_tokens)
 
     def is_long_route(self, service: str, route: str, prompt_tokens: int) -> bool:
-        """Return the same of a request with so long a prompt."""
-        usual = self.usual.prompt(service, route) or prompt_tokens
-        return 0.0 < _LONG_SHARE * self.usual.longest_prompt(service) < usual
+        """Return whether a route has the longest prompts of its service.
+
+        `prompt_tokens` stands for its typical prompt until any gateway has sent a request of the
+        route.
+        """
+        typical = self.typical_requests.prompt_tokens(service, route) or prompt_tokens
+        return (
+            0.0
+            < _LONG_ROUTE_FRACTION * self.typical_requests.longest_prompt_tokens(service)
+            < typical
+        )
 
     def must_serve(self, need: Need, now: float) -> bool:
-        """Return whether a refusal would put a request behind less urgent, larger ones.
+        """Return whether a refusal would disadvantage a request against less urgent, larger ones.
 
-        While such ones begin anywhere in the fleet they have to be refused before it.
+        While such requests start anywhere in the fleet, they have to be refused before it.
         """
-        usual = self.usual.prompt(need.service, need.route) or need.prompt_tokens
-        size = min(float(need.prompt_tokens), usual)
-        return self.starts.largest_after(need.service, need.tier, now) > _TIMES_LARGER * size
+        typical = (
+            self.typical_requests.prompt_tokens(need.service, need.route) or need.prompt_tokens
+        )
+        size = min(float(need.prompt_tokens), typical)
+        return self.starts.largest_less_urgent(need.service, need.tier, now) > _LARGER_FACTOR * size
 
     def refuse(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice | None:
-        """Return why a request is refused that could go to one of `choices`, None if it is not."""
-        open_ones = [choice for choice in choices if not choice.full]
-        wait = min(open_ones or choices, key=lambda choice: choice.usual_loss).wait
-        first = min(choice.first for choice in choices)
-        late = not open_ones or wait > _LONG_WAIT * need.target
-        overload = self.is_long(need) and late
-        no_room = first > need.patience
+        """Return the refusal of a request, None if it may go to one of `choices`."""
+        with_free_slot = [choice for choice in choices if not choice.is_full]
+        wait_seconds = min(
+            with_free_slot or choices, key=lambda choice: choice.typical_request_cost
+        ).wait_seconds
+        first_event_seconds = min(choice.first_event_seconds for choice in choices)
+        is_late = not with_free_slot or wait_seconds > _MAX_LONG_WAIT_FRACTION * need.target
+        overload = self.is_long(need) and is_late
+        no_room = first_event_seconds > need.first_event_timeout
         if self.must_serve(need, now):
             return None
-        early = self.returns.until_due(_asker(need, now), now)
-        if early:
-            return self._refused(need, Refusal.EARLY, early, wait, first)
+        early_seconds = self.returns.seconds_early(_requester(need, now), now)
+        if early_seconds:
+            return self._refusal(
+                need, Refusal.EARLY, early_seconds, wait_seconds, first_event_seconds
+            )
         if not (overload or no_room):
             return None
         if not no_room and self.returns.is_due(need.caller, now):
             return None
-        return self._told(need, Refusal.OVERLOAD if overload else Refusal.NO_ROOM, wait, first, now)
+        return self._refusal_or_early(
+            need,
+            Refusal.OVERLOAD if overload else Refusal.NO_ROOM,
+            wait_seconds,
+            first_event_seconds,
+            now,
+        )
 
     def refuse_for_others(self, need: Need, refusal: Refusal, now: float) -> NoChoice:
-        """Return the refusal of a long request for which no slot is left beside others."""
-        return self._told(need, refusal, 0.0, 0.0, now)
+        """Return the refusal of a long request if the remaining slots are reserved for others."""
+        return self._refusal_or_early(need, refusal, 0.0, 0.0, now)
 
     def refuse_for_teams(self, need: Need, choices: Sequence[Choice], now: float) -> NoChoice:
-        """Return the refusal of a request whose team has had its share while others want room."""
-        wait = min(choice.wait for choice in choices)
-        first = min(choice.first for choice in choices)
-        return self._told(need, Refusal.SHARE, wait, first, now)
+        """Return the refusal of a request whose team has used its share while others wait.
 
-    def _told(
+        `choices` are the upstreams that were weighed for it.
+        """
+        wait_seconds = min(choice.wait_seconds for choice in choices)
+        first_event_seconds = min(choice.first_event_seconds for choice in choices)
+        return self._refusal_or_early(need, Refusal.SHARE, wait_seconds, first_event_seconds, now)
+
+    def _refusal_or_early(
         self,
         need: Need,
         refusal: Refusal,
-        wait: float,
-        first: float,
+        wait_seconds: float,
+        first_event_seconds: float,
         now: float,
         final: bool = False,
     ) -> NoChoice:
-        """Return the refusal of a request, with when it is to come back."""
-        early = self.returns.until_due(_asker(need, now), now)
-        if early:
-            return self._refused(need, Refusal.EARLY, early, wait, first)
-        if self.returns.has_place(need.caller, now):
+        """Return the refusal of a request, with its Retry-After time."""
+        early_seconds = self.returns.seconds_early(_requester(need, now), now)
+        if early_seconds:
+            return self._refusal(
+                need, Refusal.EARLY, early_seconds, wait_seconds, first_event_seconds
+            )
+        if self.returns.has_due_promise(need.caller, now):
             refusal = Refusal.RETURNED
-        return self._refused(need, refusal, self._retry_after(need, now, final), wait, first)
+        return self._refusal(
+            need, refusal, self._retry_after(need, now, final), wait_seconds, first_event_seconds
+        )
 
     def _retry_after(self, need: Need, now: float, final: bool) -> float:
         spread = need.caller % _SPREAD_STEPS / _SPREAD_STEPS
-        return self.returns.retry_after(_asker(need, now), spread, now, final)
+        return self.returns.retry_after(_requester(need, now), spread, now, final)
 
-    def early(self, need: Need, now: float) -> NoChoice | None:
-        """Return the refusal of one that comes sooner than it was told, None for all others."""
-        seconds = self.returns.until_due(_asker(need, now), now)
+    def refuse_early(self, need: Need, now: float) -> NoChoice | None:
+        """Return the refusal of a caller that returned before its Retry-After time, else None."""
+        seconds = self.returns.seconds_early(_requester(need, now), now)
         if not seconds or self.must_serve(need, now):
             return None
-        return replace(self._refused(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
+        return replace(self._refusal(need, Refusal.EARLY, seconds, 0.0, 0.0), final=True)
 
-    def give_up(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
-        """Return the final refusal of a request that waits no longer, or would in vain."""
-        return replace(self._told(need, refusal, wait, wait, now, final=True), final=True)
+    def refuse_finally(self, need: Need, refusal: Refusal, wait: float, now: float) -> NoChoice:
+        """Return the final refusal of a request that is not queued, or no longer."""
+        return replace(
+            self._refusal_or_early(need, refusal, wait, wait, now, final=True), final=True
+        )
 
     def refuse_without_room(self, need: Need) -> NoChoice:
-        """Return the refusal of a request for which no upstream has a slot now."""
-        return self._refused(need, Refusal.NO_ROOM, 0.0, 0.0, 0.0)
+        """Return the refusal of a request for which no upstream has a free slot now."""
+        return self._refusal(need, Refusal.NO_ROOM, 0.0, 0.0, 0.0)
 
-    def _refused(
-        self, need: Need, refusal: Refusal, retry_after: float, wait: float, first: float
+    def _refusal(
+        self,
+        need: Need,
+        refusal: Refusal,
+        retry_after: float,
+        wait_seconds: float,
+        first_event_seconds: float,
     ) -> NoChoice:
         return NoChoice(
             refusal,
             retry_after,
-            wait,
-            first,
-            self.usual.prompt(need.service, need.route),
-            self.usual.longest_prompt(need.service),
+            wait_seconds,
+            first_event_seconds,
+            self.typical_requests.prompt_tokens(need.service, need.route),
+            self.typical_requests.longest_prompt_tokens(need.service),
         )
 
 
-def _asker(need: Need, now: float) -> Asker:
-    # Plain requests of many callers are the same to the byte.
+def _requester(need: Need, now: float) -> Requester:
+    # Plain requests of many callers are byte-identical.
     caller = need.caller if need.stream else 0
-    return Asker(caller, need.service, need.tier, now - need.waited, need.time_left)
+    return Requester(caller, need.service, need.tier, now - need.waited, need.time_left)
--- a/src/lotushill/placement/shortlist.py
+++ b/src/lotushill/placement/shortlist.py
@@ -1,4 +1,4 @@
-"""Which upstreams are weighed at all where there are many, so that a choice costs the same."""
+"""Limits how many upstreams are weighed for a request, which bounds the time of a decision."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
     from lotushill.placement.need import Need
     from lotushill.routing.upstream import Upstream
 
-MOST_WEIGHED = 64
+MAX_WEIGHED_UPSTREAMS = 64
 
 
 def shortlist(need: Need, upstreams: Sequence[Upstream]) -> Sequence[Upstream]:
-    """Return the upstreams to weigh for a request: all of a few, or some of many.
+    """Return the upstreams to weigh for a request: all if there are few, else a subset.
 
-    Which of many is told by a hash of the prompt's first parts and of the upstream: requests that
-    share a prompt meet the same upstreams, and those of other prompts are spread over all.
+    The subset depends on a hash of the prompt's first parts and of the upstream: requests that
+    share a prompt get the same upstreams, and different prompts are spread over all upstreams.
     """
-    if len(upstreams) <= MOST_WEIGHED:
+    if len(upstreams) <= MAX_WEIGHED_UPSTREAMS:
         return upstreams
     shared = need.parts[0].id if need.parts else 0
     prompt = need.parts[-2].id if len(need.parts) > 1 else shared
     order = sorted(
         upstreams, key=lambda item: xxhash.xxh32_intdigest(item.id, seed=prompt & 0xFFFFFFFF)
     )
-    return order[:MOST_WEIGHED]
+    return order[:MAX_WEIGHED_UPSTREAMS]
--- a/src/lotushill/platform/configuration.py
+++ b/src/lotushill/platform/configuration.py
@@ -1,4 +1,4 @@
-"""From the platform's configuration object to a routing table."""
+"""Parses the platform's configuration object into a routing table."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from lotushill.routing.urgency import Urgency
 
 _MS = 1000.0
-_BYTES_A_MEGABIT = 125_000.0
+_BYTES_PER_MEGABIT = 125_000.0
 
 
 def parse_table(spec: Any) -> RoutingTable:
-    """Return the table of a configuration's `spec`; raise InvalidTableError for a bad one."""
+    """Parse the `spec` of a configuration; raise InvalidTableError if it is invalid."""
     try:
         return RoutingTable(
             int(spec["version"]),
@@ -74,8 +74,8 @@
 def _scaling(item: dict[str, Any]) -> ScalingProfile:
     price = item.get("spotPrice")
     return ScalingProfile(
-        least=max(0, int(item.get("min") or 0)),
-        most=int(item["max"]),
+        min_engines=max(0, int(item.get("min") or 0)),
+        max_engines=int(item["max"]),
         reclaimable_price=None if price is None else float(price),
         boot_seconds=float(item.get("bootS", ScalingProfile.boot_seconds)),
         hall_prices=tuple((str(hall), float(v)) for hall, v in item.get("zonePrices", {}).items()),
@@ -89,15 +89,15 @@
         tokens_per_event=int(item.get("stride") or 1),
         token_bytes=int(item.get("kvTokenBytes") or 0),
         link_rate=_link_rate(item),
-        backups=bool(item.get("backups")),
+        can_back_up_memory=bool(item.get("backups")),
     )
 
 
 def _link_rate(item: dict[str, Any]) -> float:
-    """Return bytes a second between engines, 0 where they move no memory."""
+    """Return the bytes per second between engines, 0 if they do not transfer KV memory."""
     if not item.get("moves") or not item.get("kvTokenBytes"):
         return 0.0
-    return float(item.get("linkMbps") or 0.0) * _BYTES_A_MEGABIT
+    return float(item.get("linkMbps") or 0.0) * _BYTES_PER_MEGABIT
 
 
 def _team(item: dict[str, Any]) -> Team:
@@ -110,10 +110,10 @@
 
 
 def _limits(item: dict[str, Any]) -> ClientLimits:
-    usual = ClientLimits()
+    default = ClientLimits()
     return ClientLimits(
-        header_bytes=int(item.get("maxHeaderBytes", usual.header_bytes)),
-        body_bytes=int(item.get("maxBodyBytes", usual.body_bytes)),
-        header_seconds=float(item.get("headerTimeoutMs", usual.header_seconds * _MS)) / _MS,
-        idle_seconds=float(item.get("idleTimeoutMs", usual.idle_seconds * _MS)) / _MS,
+        header_bytes=int(item.get("maxHeaderBytes", default.header_bytes)),
+        body_bytes=int(item.get("maxBodyBytes", default.body_bytes)),
+        header_seconds=float(item.get("headerTimeoutMs", default.header_seconds * _MS)) / _MS,
+        idle_seconds=float(item.get("idleTimeoutMs", default.idle_seconds * _MS)) / _MS,
     )
--- a/src/lotushill/process/side_tasks.py
+++ b/src/lotushill/process/side_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks beside the request path: a fault in one of them must not end the serving of requests."""
+"""Background tasks: an exception in one of them must not stop the gateway from serving requests."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
     from lotushill.event_log import EventLog
 
-_FIRST_PAUSE_SECONDS = 0.2
-_LONGEST_PAUSE_SECONDS = 10.0
-_MOST_TRACE = 2000
-"""Characters of a trace that are logged, the last ones."""
+_INITIAL_BACKOFF_SECONDS = 0.2
+_MAX_BACKOFF_SECONDS = 10.0
+_MAX_TRACE_CHARACTERS = 2000
+"""Number of characters logged from the end of a stack trace."""
 
 
 class SideTasks:
-    """Runs tasks that start again after a fault, with a pause that grows."""
+    """Runs background tasks and restarts them after an exception, with exponential back-off."""
 
     def __init__(self, log: EventLog, rng: random.Random) -> None:
         self._log = log
         self._rng = rng
-        self.faults = 0
-        """Faults of all tasks so far."""
+        self.failure_count = 0
+        """Number of exceptions raised by all tasks so far."""
 
     async def run(self, name: str, task: Callable[[], Awaitable[None]]) -> None:
-        """Run a task until it returns, again after each fault."""
-        pause = _FIRST_PAUSE_SECONDS
+        """Run a task until it returns; restart it after each exception."""
+        backoff = _INITIAL_BACKOFF_SECONDS
         while True:
             try:
                 await task()
                 return
             except Exception as error:
-                self.faults += 1
-                trace = "".join(traceback.format_exception(error))[-_MOST_TRACE:]
-                self._log.note("task.failed", task=name, again_in=round(pause, 2), trace=trace)
-            await anyio.sleep(pause * self._rng.uniform(0.7, 1.3))
-            pause = min(_LONGEST_PAUSE_SECONDS, 2 * pause)
+                self.failure_count += 1
+                trace = "".join(traceback.format_exception(error))[-_MAX_TRACE_CHARACTERS:]
+                self._log.note("task.failed", task=name, again_in=round(backoff, 2), trace=trace)
+            await anyio.sleep(backoff * self._rng.uniform(0.7, 1.3))
+            backoff = min(_MAX_BACKOFF_SECONDS, 2 * backoff)
--- a/src/lotushill/requests/caller_number.py
+++ b/src/lotushill/requests/caller_hash.py
@@ -1,12 +1,12 @@
-"""Tells a request that comes again from a new one, at any gateway."""
+"""Hash by which every gateway recognizes a request that a client sends again."""
 
 from __future__ import annotations
 
 import xxhash
 
 
-def caller_number(team: str, target: bytes, body: bytes) -> int:
-    """Return a number that stays the same when a caller sends its request again; never 0."""
+def caller_hash(team: str, target: bytes, body: bytes) -> int:
+    """Return a number that is the same each time a client sends the same request; never 0."""
     digest = xxhash.xxh64()
     for part in (team.encode(), target, body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/src/lotushill/requests/parts.py
+++ b/src/lotushill/requests/gateway_components.py
@@ -1,4 +1,4 @@
-"""What the request path works with."""
+"""Components of a gateway that the request path uses."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
     from collections.abc import Callable
 
     from lotushill.contracts.settings_view import SettingsView
-    from lotushill.duties.work_counts import WorkCounts
+    from lotushill.duties.request_counter import RequestCounter
     from lotushill.event_log import EventLog
     from lotushill.limits.fleet_limits import FleetLimits
     from lotushill.limits.team_limits import TeamLimits
-    from lotushill.peering.quarantine_keeper import QuarantineKeeper
+    from lotushill.peering.quarantine_gossip import QuarantineGossip
     from lotushill.placement.fleet import Fleet
     from lotushill.process.metrics import Metrics
     from lotushill.process.suspension import SuspensionWatch
+    from lotushill.requests.isolation_policy import IsolationPolicy
     from lotushill.requests.mover import Mover
     from lotushill.requests.retry_budgets import RetryBudgets
     from lotushill.requests.upstream_gate import UpstreamGate
     from lotushill.requests.upstream_pool import UpstreamPool
-    from lotushill.requests.ward import Ward
     from lotushill.scheduling.placer import Placer
     from lotushill.scheduling.shared_load import SharedLoad
     from lotushill.views.configuration_view import ConfigurationView
@@ -30,8 +30,8 @@
 
 
 @dataclass
-class GatewayParts:
-    """Shared by all requests of one gateway."""
+class GatewayComponents:
+    """Components that all requests of one gateway share."""
 
     name: str
     configuration: ConfigurationView
@@ -44,18 +44,18 @@
     gate: UpstreamGate
     limits: FleetLimits
     team_limits: TeamLimits
-    ward: Ward
+    isolation_policy: IsolationPolicy
     mover: Mover
     budgets: RetryBudgets
-    quarantine: QuarantineKeeper
-    work: WorkCounts
+    quarantine: QuarantineGossip
+    work: RequestCounter
     log: EventLog
     metrics: Metrics
     rng: random.Random
     clock: Callable[[], float]
-    """Goes on while the host is suspended."""
+    """Returns seconds; continues while the host is suspended."""
     suspension: SuspensionWatch
     view_is_fresh: Callable[[], bool]
-    """Whether the store or a peer has lately confirmed what is known."""
-    knows_holds: Callable[[], bool]
-    """Whether it is known which requests are to reach no upstream."""
+    """Returns whether the store or a peer has recently confirmed the views."""
+    holds_are_known: Callable[[], bool]
+    """Returns whether the list of held requests, which reach no upstream, is known."""
--- a/src/lotushill/requests/upstream_gate.py
+++ b/src/lotushill/requests/upstream_gate.py
@@ -1,17 +1,17 @@
-"""The last checks before a request is written to an upstream: whether that wants any now."""
+"""Last checks before a request is written: whether its upstream accepts requests now."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from lotushill.availability.stated_limits import Word
+from lotushill.availability.stated_limits import LimitReport
 from lotushill.limits.permit_request import permit_request
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from lotushill.availability.rests import Rests
+    from lotushill.availability.cooldowns import Cooldowns
     from lotushill.availability.statement import Statement
     from lotushill.event_log import EventLog
     from lotushill.limits.fleet_limits import FleetLimits
@@ -22,90 +22,91 @@
 
 @dataclass(frozen=True)
 class Permit:
-    """Lets one request be written to one upstream: without it none is."""
+    """Permission to write one request to one upstream; none is written without it."""
 
     upstream_id: str
-    returns: bool = False
-    """Whether a run goes back to the upstream that stopped it, which may be leaving."""
+    returns_to_source: bool = False
+    """Whether a run returns to the upstream that stopped it, which may be leaving."""
 
 
 class UpstreamGate:
-    """Hears what upstreams say of themselves and keeps requests from those that want none.
+    """Records what upstreams state about themselves and blocks requests to those that accept none.
 
-    Requests come to an upstream on several ways: chosen here, by a scheduler, among a few when no
-    scheduler answers, as a run that goes on from its copy, or after waiting for a connection or
-    through a suspension. Those who choose look at the same facts; this holds for all of them.
+    A request reaches an upstream in several ways: chosen by this gateway, by a scheduler, or among
+    a few upstreams when no scheduler answers; as a run that continues from its copy; or after a
+    wait for a connection or a suspension. Each placement considers the same facts, but this check
+    applies to all of these ways.
     """
 
     def __init__(
         self,
         upstreams: UpstreamView,
-        rests: Rests,
+        cooldowns: Cooldowns,
         limits: FleetLimits,
         on_leaving: Callable[[str], None],
         log: EventLog,
         clock: Callable[[], float],
     ) -> None:
-        """Tell `on_leaving` of each upstream that says that it leaves."""
+        """Create the gate; `on_leaving` is called for each upstream that states that it leaves."""
         self._upstreams = upstreams
-        self._rests = rests
+        self._cooldowns = cooldowns
         self._limits = limits
         self._on_leaving = on_leaving
         self._log = log
         self._clock = clock
-        self.barred = 0
-        """Sends that were kept back so far, after the upstream had been chosen."""
-        self.unreadable = 0
-        """Wishes for rest that could not be read so far."""
-        self.unpermitted = 0
-        """Requests for which there was no permit at the upstream that was chosen, so far."""
+        self.blocked_sends = 0
+        """Number of sends blocked so far after the upstream had been chosen."""
+        self.unreadable_cooldowns = 0
+        """Number of cooldowns stated by upstreams that could not be parsed so far."""
+        self.requests_without_permit = 0
+        """Number of requests so far without a permit for the chosen upstream."""
         self.unreadable_limits = 0
-        """Limits that could not be read so far."""
+        """Number of limits that could not be parsed so far."""
 
-    def hear(self, upstream_id: str, said: Statement, asked: float) -> None:
-        """Take in what the answer to a request that was sent at `asked` says of its upstream."""
+    def record_statement(self, upstream_id: str, statement: Statement, sent_at: float) -> None:
+        """Record what the answer to a request sent at `sent_at` states about its upstream."""
         now = self._clock()
-        if said.unreadable:
-            self.unreadable += 1
-        if said.rest:
-            self._rests.note_asked(upstream_id, said.rest, now)
-            self._log.note("upstream.rests", upstream=upstream_id, seconds=said.rest)
+        if statement.unreadable_cooldown:
+            self.unreadable_cooldowns += 1
+        if statement.cooldown:
+            self._cooldowns.note_requested(upstream_id, statement.cooldown, now)
+            self._log.note("upstream.rests", upstream=upstream_id, seconds=statement.cooldown)
         else:
-            self._rests.note_taken(upstream_id, now)
-        if said.leaving:
+            self._cooldowns.note_accepted(upstream_id, now)
+        if statement.leaving:
             self._on_leaving(upstream_id)
-        if said.unreadable_limit:
+        if statement.unreadable_limit:
             self.unreadable_limits += 1
             self._log.note(
-                "upstream.limit_unreadable", upstream=upstream_id, value=said.unreadable_limit
+                "upstream.limit_unreadable", upstream=upstream_id, value=statement.unreadable_limit
             )
-        if said.limit is not None:
-            self._limits.keeper.hear(upstream_id, Word(said.limit, asked, now))
+        if statement.limit is not None:
+            self._limits.gossip.note_answer(upstream_id, LimitReport(statement.limit, sent_at, now))
 
-    def wants(self, upstream_id: str) -> bool:
-        """Return whether an upstream takes new requests of this gateway now, as far as is known."""
+    def accepts_requests(self, upstream_id: str) -> bool:
+        """Return whether an upstream accepts new requests of this gateway, as far as known."""
         known = self._upstreams.find(upstream_id)
         if known is None or known.draining:
             return False
-        return not self._rests.bars(upstream_id, self._clock())
+        return not self._cooldowns.is_barred(upstream_id, self._clock())
 
     async def admit(self, upstream: Upstream, need: Need) -> Permit | None:
-        """Return the permit for one request, None if it has to go elsewhere.
+        """Return the permit for one request, None if it has to be sent elsewhere.
 
-        Asked before a connection is opened, a run counted or a repeat spent: what is not admitted
-        has cost nothing.
+        Call this before a connection is opened, a run counted or a retry spent, so that a request
+        that is not admitted costs nothing.
         """
         if not self._limits.is_limited(upstream.id):
             return Permit(upstream.id)
         if await self._limits.admit(permit_request(upstream, need)):
             return Permit(upstream.id)
-        self.unpermitted += 1
+        self.requests_without_permit += 1
         return None
 
-    def pass_on(self, permit: Permit) -> bool:
-        """Return whether a request may be written now, and count it if so."""
-        if not permit.returns and not self.wants(permit.upstream_id):
-            self.barred += 1
+    def authorize_send(self, permit: Permit) -> bool:
+        """Return whether a request may be written now, and record it as sent if so."""
+        if not permit.returns_to_source and not self.accepts_requests(permit.upstream_id):
+            self.blocked_sends += 1
             return False
-        self._rests.note_sent(permit.upstream_id, self._clock())
+        self._cooldowns.note_sent(permit.upstream_id, self._clock())
         return True
--- a/src/lotushill/requests/wire.py
+++ b/src/lotushill/requests/wire.py
@@ -1,4 +1,4 @@
-"""A request as it is written to an upstream."""
+"""Encoding of a request as HTTP bytes for an upstream."""
 
 from __future__ import annotations
 
@@ -12,32 +12,35 @@
     from lotushill.scheduling.request import Request
 
 
-def on_the_wire(request: Request, choice: Choice, last_event_id: str, now: float) -> bytes:
-    """Return head and body of one attempt; the stream goes on after `last_event_id`, if any."""
+def encode_request(request: Request, choice: Choice, last_event_id: str, now: float) -> bytes:
+    """Return head and body of one attempt.
+
+    The upstream continues the stream after `last_event_id`, if that is not empty.
+    """
     headers = request.headers
     if last_event_id:
         headers = request_head.without_last_event_id(headers)
-    own = request_head.attempt_headers(
+    own_headers = request_head.attempt_headers(
         choice.upstream.name,
         request.ends - now,
         request.route.urgency,
         request.team,
         last_event_id,
-        _copies(request, choice),
+        _memory_copies(request, choice),
     )
     lines = [request.method, b" ", request.target, b" HTTP/1.1\r\n"]
-    for name, value in [*headers, *own]:
+    for name, value in [*headers, *own_headers]:
         lines += (name, b": ", value, b"\r\n")
     lines += (b"\r\n", request.body)
     return b"".join(lines)
 
 
-def _copies(request: Request, choice: Choice) -> MemoryCopies:
+def _memory_copies(request: Request, choice: Choice) -> MemoryCopies:
     if choice.moved is not None:
-        return MemoryCopies(continues_at=choice.moved.source, run=choice.moved.handle)
+        return MemoryCopies(resume_from=choice.moved.source, run=choice.moved.handle)
     return MemoryCopies(
         fetch_from=choice.fetch.source.address if choice.fetch else "",
         backup_to=choice.backup.address if choice.backup else "",
-        continues_at=choice.upstream.address if choice.continues else "",
+        resume_from=choice.upstream.address if choice.resumes_from_copy else "",
         run=request.demand.request_id,
     )
